--- a/crates/lovageramp/tests/processes/support/cluster.rs
+++ b/crates/lovageramp/tests/processes/support/cluster.rs
@@ -4,6 +4,7 @@
 //! settings can be written before the kernel has chosen the daemons' own ports, and so
 //! that tests can cut, freeze and swallow what goes between any two of them.
 
+use super::other_build;
 use super::process::Process;
 use super::until::until;
 use super::{Answer, account_item, bearer, chat, get, request};
@@ -181,7 +182,8 @@
     }
 
     async fn launch(&mut self, program: &str, name: &str, args: &[&str]) {
-        let mut command = Command::new(program);
+        let first_start = !self.path(&format!("{name}.log")).exists();
+        let mut command = Command::new(other_build::program(program, name, first_start));
         command.args(args).args(&self.options);
         self.launch_command(command, name).await;
     }
@@ -225,7 +227,7 @@
         let file = self.write_settings(&name, &settings);
         let first_start = number == 1 && !self.path("began").exists();
         if first_start {
-            let formatted = std::process::Command::new(CONTROL)
+            let formatted = std::process::Command::new(other_build::program(CONTROL, &name, true))
                 .args(["--settings", &file, "--init"])
                 .output()
                 .unwrap();
--- a/crates/lovageramp/tests/processes/support/mod.rs
+++ b/crates/lovageramp/tests/processes/support/mod.rs
@@ -15,6 +15,7 @@
 mod limit;
 mod map_group;
 pub mod notes;
+mod other_build;
 mod process;
 mod stream;
 mod until;
