--- a/crates/agent/src/map/chooser.rs
+++ b/crates/agent/src/map/chooser.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use expert::{
-    Estimate, EstimateSettings, Load, Map, MapFault, Plan, Planner, Shape, Speeds, Weights,
+    Load, LoadEstimator, LoadEstimatorSettings, Map, MapFault, Plan, Planner, Shape, Speeds,
+    Weights,
 };
 use note::Group;
 use wire::proto::RankWindow;
@@ -20,7 +21,7 @@
 #[derive(Debug)]
 pub(crate) struct Chooser {
     shape: Shape,
-    estimate: Estimate,
+    estimate: LoadEstimator,
     speeds: Speeds,
     /// Windows of the ranks, since the last plan.
     windows: BTreeMap<u32, RankWindow>,
@@ -35,10 +36,10 @@
         let (layers, experts) = (narrow(group.layers)?, narrow(group.experts)?);
         let slots = narrow(group.experts.div_ceil(group.ranks.max(1)) + group.spare_slots)?;
         let ranks = party.hosts.len();
-        let settings = EstimateSettings::default();
+        let settings = LoadEstimatorSettings::default();
         let mut chooser = Chooser {
             shape: Shape::new(layers, experts, slots, party.hosts.clone()),
-            estimate: Estimate::new(layers.into(), experts.into(), settings),
+            estimate: LoadEstimator::new(layers.into(), experts.into(), settings),
             speeds: Speeds::new(ranks, FIRST_SECONDS_PER_TOKEN),
             windows: BTreeMap::new(),
             hopeless: None,
--- a/crates/agent/src/map/control_calls.rs
+++ b/crates/agent/src/map/control_calls.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use expert::{Decision, Standing};
+use expert::{Decision, GroupState};
 use ractor::ActorRef;
 use wire::proto::{MapQuery, OpenCoordinator, command, outcome, query, query_reply};
 
@@ -29,7 +29,7 @@
     });
 }
 
-async fn opened(cx: &MapContext) -> Option<Standing> {
+async fn opened(cx: &MapContext) -> Option<GroupState> {
     let open = command::Body::OpenCoordinator(OpenCoordinator {
         group: cx.group.clone(),
         agent: cx.name.clone(),
@@ -62,7 +62,7 @@
     let _ = inbox.send_message(MapMsg::Standing(standing));
 }
 
-async fn read(cx: &MapContext) -> Option<Standing> {
+async fn read(cx: &MapContext) -> Option<GroupState> {
     let query = query::Body::Map(MapQuery {
         group: cx.group.clone(),
     });
--- a/crates/agent/src/map/engine_calls.rs
+++ b/crates/agent/src/map/engine_calls.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use expert::{Decision, EngineOrder, EngineState, Map, Verdict};
+use expert::{Decision, EngineCommand, EngineState, Map, Verdict};
 use ractor::ActorRef;
 
 use crate::engine::{InForce, MapOrder, MapState, map_document};
@@ -15,7 +15,7 @@
     cx: Arc<MapContext>,
     orders: Orders,
     serial: u64,
-    order: EngineOrder,
+    order: EngineCommand,
     inbox: ActorRef<MapMsg>,
 ) {
     let state = match given(&orders, order).await {
@@ -26,10 +26,10 @@
 }
 
 /// Whether the order is known to have been answered.
-async fn given(orders: &Orders, order: EngineOrder) -> Option<()> {
+async fn given(orders: &Orders, order: EngineCommand) -> Option<()> {
     let (fencing, order) = match order {
-        EngineOrder::Read => return Some(()),
-        EngineOrder::Stage {
+        EngineCommand::Read => return Some(()),
+        EngineCommand::Stage {
             fencing,
             version,
             map,
@@ -38,7 +38,7 @@
             let map = map_document(&map);
             (fencing, MapOrder::Stage { version, map })
         }
-        EngineOrder::Join {
+        EngineCommand::Join {
             fencing,
             formation,
             maps,
@@ -46,18 +46,18 @@
             let maps = maps.into_iter().map(in_force).collect::<Option<_>>()?;
             (fencing, MapOrder::Join { formation, maps })
         }
-        EngineOrder::Hold {
+        EngineCommand::Hold {
             fencing,
             version,
             barrier_step: step,
         } => (fencing, MapOrder::Hold { version, step }),
-        EngineOrder::Outcome {
+        EngineCommand::Outcome {
             fencing,
             version,
             barrier_step: step,
             verdict: Verdict::Commit,
         } => (fencing, MapOrder::Commit { version, step }),
-        EngineOrder::Outcome {
+        EngineCommand::Outcome {
             fencing,
             version,
             barrier_step: step,
--- a/crates/agent/src/map/msg.rs
+++ b/crates/agent/src/map/msg.rs
@@ -1,6 +1,6 @@
 //! What the map actor is told.
 
-use expert::{DecideOutcome, EngineState, Standing};
+use expert::{DecideOutcome, EngineState, GroupState};
 use wire::Incoming;
 use wire::proto::frame::Body;
 
@@ -24,13 +24,13 @@
         state: Option<EngineState>,
     },
     /// What the durable state holds.
-    Standing(Option<Standing>),
+    Standing(Option<GroupState>),
     /// The coordinator was opened.
-    Opened(Option<Standing>),
+    Opened(Option<GroupState>),
     /// A number was opened so that the engine can join in this formation.
     JoinOpened {
         formation: u64,
-        standing: Option<Standing>,
+        standing: Option<GroupState>,
     },
     /// The formation in which this agent's engine steps, for the coordinator
     /// `to`.
--- a/crates/agent/src/map/settings.rs
+++ b/crates/agent/src/map/settings.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cfg::Reader;
-use expert::{MoveCost, SwitchNeed, SwitchTiming};
+use expert::{MoveCost, SwitchCriteria, SwitchTiming};
 
 /// When expert maps are planned, and how they are switched.
 #[derive(Clone, Debug)]
@@ -24,7 +24,7 @@
     pub start: StartMap,
     /// When a switch is worth its price beside what moves cost; always, if
     /// none is given.
-    pub need: Option<SwitchNeed>,
+    pub need: Option<SwitchCriteria>,
 }
 
 /// The map that engines start with.
--- a/crates/agent/src/map/stand_in.rs
+++ b/crates/agent/src/map/stand_in.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use expert::{Decision, Standing, Verdict};
+use expert::{Decision, GroupState, Verdict};
 
 use crate::engine::Release;
 use crate::map::map_context::MapContext;
@@ -48,7 +48,7 @@
     }
 
     /// Takes in what stands.
-    pub fn opened(&mut self, standing: &Standing) {
+    pub fn opened(&mut self, standing: &GroupState) {
         let committed = standing.committed.iter().map(|decision| decision.version);
         self.committed.extend(committed);
         let current = standing.current.as_ref().map_or(0, |last| last.version);
--- a/crates/agent/src/map/state.rs
+++ b/crates/agent/src/map/state.rs
@@ -5,8 +5,8 @@
 use std::time::Instant;
 
 use expert::{
-    Coordinator, CoordinatorOutput, DecideOutcome, Map, Participant, ParticipantOutput, Standing,
-    StepClock, Verdict,
+    Coordinator, CoordinatorOutput, DecideOutcome, GroupState, Map, Participant, ParticipantOutput,
+    StepTimer, Verdict,
 };
 use note::Group;
 use ractor::ActorRef;
@@ -52,7 +52,7 @@
     /// When it is logged again what the coordinator waits for.
     pub log_at: Instant,
     /// How long steps take.
-    pub steps: StepClock,
+    pub steps: StepTimer,
     /// The coordinator has not asked for counts yet since it began.
     pub begins: bool,
     /// No switch was under way when the ranks were last asked for their counts,
@@ -84,7 +84,7 @@
             serial: 0,
             begins: false,
             asked_idle: false,
-            steps: StepClock::default(),
+            steps: StepTimer::default(),
             log_at: now,
             stand_in: StandIn::default(),
             calls: BTreeSet::new(),
@@ -276,7 +276,7 @@
         };
     }
 
-    fn opened(&mut self, standing: Option<Standing>, now: Instant) {
+    fn opened(&mut self, standing: Option<GroupState>, now: Instant) {
         self.calls.remove(&ControlCall::Open);
         let (Some(standing), Some(coordinator)) = (standing, &mut self.coordinator) else {
             return;
--- a/crates/agent/src/map/translate.rs
+++ b/crates/agent/src/map/translate.rs
@@ -1,7 +1,7 @@
 //! The messages between agents and control, and the expert crate's own types.
 
 use expert::{
-    CoordinatorMessage, DecideOutcome, Decision, ParticipantMessage, Refusal, Standing, Verdict,
+    CoordinatorMessage, DecideOutcome, Decision, GroupState, ParticipantMessage, Refusal, Verdict,
 };
 use wire::proto::frame::Body;
 use wire::proto::{
@@ -143,12 +143,12 @@
 }
 
 /// What control holds for the group.
-pub(crate) fn standing(outcome: CoordinatorOutcome) -> Standing {
-    Standing {
+pub(crate) fn standing(outcome: CoordinatorOutcome) -> GroupState {
+    GroupState {
         fencing: outcome.fencing,
         current: outcome.current.map(decision),
         committed: outcome.committed.into_iter().map(decision).collect(),
-        ..Standing::default()
+        ..GroupState::default()
     }
 }
 
--- a/crates/agent/src/rank_agent.rs
+++ b/crates/agent/src/rank_agent.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use expert::{MoveCost, SwitchNeed, SwitchTiming};
+use expert::{MoveCost, SwitchCriteria, SwitchTiming};
 use eyre::WrapErr;
 use member::{SpeedReports, TargetSpeed};
 use node::{Decode, Follower, FollowerSettings};
@@ -233,7 +233,7 @@
         timing: SWITCH,
         most_new: usize::try_from(experts.most_new).unwrap_or(usize::MAX),
         start: StartMap::Bare,
-        need: Some(SwitchNeed {
+        need: Some(SwitchCriteria {
             step: pause.mul_f64(FAST_PASS),
             soon: pause.mul_f64(SLOW_PASS),
             gain: LEAST_GAIN,
--- a/crates/agent/tests/support/control.rs
+++ b/crates/agent/tests/support/control.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use expert::{Decision, Decisions, Standing, Verdict};
+use expert::{Decision, Decisions, GroupState, Verdict};
 use serde_json::json;
 use tokio::net::TcpListener;
 use wire::proto::frame::Body;
@@ -147,7 +147,7 @@
     }
 
     /// What stands for the group.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> GroupState {
         let inner = self.inner.lock().unwrap();
         let standing = inner.decisions.current(super::GROUP);
         standing.cloned().unwrap_or_default()
--- a/crates/control/src/machine/maps.rs
+++ b/crates/control/src/machine/maps.rs
@@ -2,7 +2,7 @@
 
 use super::Machine;
 use bytes::Bytes;
-use expert::{Decision, Standing, Verdict};
+use expert::{Decision, GroupState, Verdict};
 use wire::proto::{CoordinatorOutcome, DecideMap, MapDecision, OpenCoordinator};
 
 impl Machine {
@@ -43,7 +43,7 @@
     }
 }
 
-fn coordinator_outcome(group: &str, standing: &Standing) -> CoordinatorOutcome {
+fn coordinator_outcome(group: &str, standing: &GroupState) -> CoordinatorOutcome {
     let current = standing.current.as_ref();
     let committed = standing.committed.iter();
     CoordinatorOutcome {
--- a/crates/expert/benches/maps/run.rs
+++ b/crates/expert/benches/maps/run.rs
@@ -4,7 +4,7 @@
 use crate::scenario::Scenario;
 use crate::score::Score;
 use crate::trace::{Trace, WINDOWS};
-use expert::{Estimate, EstimateSettings, Load, Map, MoveCost, Planner, Shape, Speeds};
+use expert::{Load, LoadEstimator, LoadEstimatorSettings, Map, MoveCost, Planner, Shape, Speeds};
 use std::time::Instant;
 
 /// Experts of each layer.
@@ -33,7 +33,7 @@
     policy: Policy,
     scenario: Scenario,
     planner: Planner,
-    estimate: Estimate,
+    estimate: LoadEstimator,
     speeds: Speeds,
     map: Map,
     first_map: Map,
@@ -75,7 +75,11 @@
                 cost: COST,
                 horizon: HORIZON,
             },
-            estimate: Estimate::new(layers.into(), EXPERTS.into(), EstimateSettings::default()),
+            estimate: LoadEstimator::new(
+                layers.into(),
+                EXPERTS.into(),
+                LoadEstimatorSettings::default(),
+            ),
             speeds,
             first_map: map.clone(),
             map,
@@ -141,12 +145,12 @@
         self.speeds.observe(&tokens, &seconds);
         if self.policy == Policy::Full {
             // Made from the newest window alone.
-            let settings = EstimateSettings {
+            let settings = LoadEstimatorSettings {
                 level: 1.0,
                 trend: 0.0,
-                ..EstimateSettings::default()
+                ..LoadEstimatorSettings::default()
             };
-            self.estimate = Estimate::new(load.layers(), load.experts(), settings);
+            self.estimate = LoadEstimator::new(load.layers(), load.experts(), settings);
         }
         self.estimate.observe(load);
     }
--- a/crates/expert/src/coordinator.rs
+++ b/crates/expert/src/coordinator.rs
@@ -1,8 +1,8 @@
 //! Drives the participants of a group through map switches.
 
 use crate::{
-    CoordinatorMessage, CoordinatorOutput, DecideOutcome, Decision, ParticipantMessage, Refusal,
-    Standing, SwitchTiming, Verdict,
+    CoordinatorMessage, CoordinatorOutput, DecideOutcome, Decision, GroupState, ParticipantMessage,
+    Refusal, SwitchTiming, Verdict,
 };
 use bytes::Bytes;
 use std::collections::BTreeSet;
@@ -159,7 +159,7 @@
     /// A former coordinator may have got ranks to stage the next version and
     /// to wait for its outcome. That version is aborted first, so that they
     /// go on, and so that a version never has two contents.
-    pub fn on_opened(&mut self, standing: &Standing, now: Instant) -> Vec<CoordinatorOutput> {
+    pub fn on_opened(&mut self, standing: &GroupState, now: Instant) -> Vec<CoordinatorOutput> {
         if !matches!(self.phase, Phase::Opening) {
             return Vec::new();
         }
--- a/crates/expert/src/decisions.rs
+++ b/crates/expert/src/decisions.rs
@@ -1,8 +1,8 @@
 //! The durable record of which expert map each group runs on.
 
 use crate::error::Code;
-use crate::record::{DecisionsRecord, StandingRecord};
-use crate::{DecideOutcome, Decision, Error, Refusal, Result, Standing, Verdict};
+use crate::record::{DecisionsRecord, GroupStateRecord};
+use crate::{DecideOutcome, Decision, Error, GroupState, Refusal, Result, Verdict};
 use bytes::Bytes;
 use prost::Message;
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
 /// same commands hold the same state.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Decisions {
-    groups: BTreeMap<String, Standing>,
+    groups: BTreeMap<String, GroupState>,
 }
 
 impl Decisions {
@@ -42,7 +42,7 @@
     /// let second = decisions.open_coordinator("g", "b", 9);
     /// assert!(second.fencing > first.fencing);
     /// ```
-    pub fn open_coordinator(&mut self, group: &str, agent: &str, incarnation: u64) -> Standing {
+    pub fn open_coordinator(&mut self, group: &str, agent: &str, incarnation: u64) -> GroupState {
         let standing = self.groups.entry(group.to_owned()).or_default();
         standing.fencing += 1;
         agent.clone_into(&mut standing.agent);
@@ -97,7 +97,7 @@
     /// assert!(expert::Decisions::new().current("g").is_none());
     /// ```
     #[must_use]
-    pub fn current(&self, group: &str) -> Option<&Standing> {
+    pub fn current(&self, group: &str) -> Option<&GroupState> {
         self.groups.get(group)
     }
 
@@ -108,7 +108,7 @@
     /// decisions.open_coordinator("g", "a", 1);
     /// assert_eq!(decisions.groups().next().map(|(group, _)| group), Some("g"));
     /// ```
-    pub fn groups(&self) -> impl Iterator<Item = (&str, &Standing)> {
+    pub fn groups(&self) -> impl Iterator<Item = (&str, &GroupState)> {
         self.groups
             .iter()
             .map(|(group, standing)| (group.as_str(), standing))
@@ -129,7 +129,7 @@
         let groups = self
             .groups
             .iter()
-            .map(|(group, standing)| StandingRecord::new(group, standing))
+            .map(|(group, standing)| GroupStateRecord::new(group, standing))
             .collect();
         let record = DecisionsRecord {
             format: FORMAT,
@@ -155,14 +155,14 @@
         let mut groups = BTreeMap::new();
         for mut record in record.groups {
             let group = std::mem::take(&mut record.group);
-            groups.insert(group, record.into_standing());
+            groups.insert(group, record.into_group_state());
         }
         Ok(Decisions { groups })
     }
 }
 
 /// Why `decision` can't follow what stands, if it can't.
-fn refuse(standing: &Standing, decision: &Decision) -> Option<Refusal> {
+fn refuse(standing: &GroupState, decision: &Decision) -> Option<Refusal> {
     // A coordinator that was cut off still believes that it leads. Its ranks
     // may have been released by the next one, so a late decision of it would
     // switch some ranks to a map that the others never staged.
--- a/crates/expert/src/engine_order.rs
+++ b/crates/expert/src/engine_command.rs
@@ -5,7 +5,7 @@
 
 /// What an agent asks of its engine during a switch, one at a time.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum EngineOrder {
+pub enum EngineCommand {
     /// Tell the state.
     Read,
     /// Load a map without using it.
--- a/crates/expert/src/goal.rs
+++ b/crates/expert/src/goal.rs
@@ -1,6 +1,6 @@
 //! What a participant is working towards.
 
-use crate::{Standing, Verdict};
+use crate::{GroupState, Verdict};
 use bytes::Bytes;
 
 /// What a participant is working towards.
@@ -12,7 +12,7 @@
     /// The engine, which was started, on the maps that the others use.
     Join {
         /// What stood once no promise of its former life counted any more.
-        standing: Option<Standing>,
+        standing: Option<GroupState>,
     },
     /// Nothing is to be done.
     Rest,
--- a/crates/expert/src/standing.rs
+++ b/crates/expert/src/group_state.rs
@@ -10,7 +10,7 @@
 
 /// What the durable state holds for one group.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Standing {
+pub struct GroupState {
     /// The current fencing number; 0 before the first coordinator.
     pub fencing: u64,
     /// Agent that holds the fencing number.
@@ -23,11 +23,11 @@
     pub committed: Vec<Decision>,
 }
 
-impl Standing {
+impl GroupState {
     /// Version that the next decision must have.
     ///
     /// ```
-    /// assert_eq!(expert::Standing::default().next_version(), 1);
+    /// assert_eq!(expert::GroupState::default().next_version(), 1);
     /// ```
     #[must_use]
     pub fn next_version(&self) -> u64 {
@@ -42,7 +42,7 @@
     /// that the group was started with holds.
     ///
     /// ```
-    /// assert!(expert::Standing::default().in_force(0).is_none());
+    /// assert!(expert::GroupState::default().in_force(0).is_none());
     /// ```
     #[must_use]
     pub fn in_force(&self, step: u64) -> Option<&Decision> {
--- a/crates/expert/src/estimate.rs
+++ b/crates/expert/src/load_estimator.rs
@@ -1,6 +1,6 @@
 //! Forecast of the load from the windows counted so far.
 
-use crate::{EstimateSettings, Load};
+use crate::{Load, LoadEstimatorSettings};
 
 /// Error of a forecast, in shares of a layer, that is never a surprise.
 const ERROR_FLOOR: f64 = 0.02;
@@ -17,8 +17,8 @@
 /// 1985) over the share that each expert has of its layer, so that a busier
 /// hour doesn't look like a change of popularity.
 #[derive(Clone, Debug)]
-pub struct Estimate {
-    settings: EstimateSettings,
+pub struct LoadEstimator {
+    settings: LoadEstimatorSettings,
     windows: u64,
     level: Load,
     trend: Load,
@@ -26,18 +26,18 @@
     usual_error: Vec<f64>,
 }
 
-impl Estimate {
+impl LoadEstimator {
     /// An estimate that has seen nothing.
     ///
     /// ```
-    /// use expert::{Estimate, EstimateSettings};
+    /// use expert::{LoadEstimator, LoadEstimatorSettings};
     ///
-    /// let estimate = Estimate::new(1, 2, EstimateSettings::default());
+    /// let estimate = LoadEstimator::new(1, 2, LoadEstimatorSettings::default());
     /// assert_eq!(estimate.windows(), 0);
     /// ```
     #[must_use]
-    pub fn new(layers: usize, experts: usize, settings: EstimateSettings) -> Estimate {
-        Estimate {
+    pub fn new(layers: usize, experts: usize, settings: LoadEstimatorSettings) -> LoadEstimator {
+        LoadEstimator {
             settings,
             windows: 0,
             level: Load::new(layers, experts),
@@ -57,9 +57,9 @@
     /// ignored.
     ///
     /// ```
-    /// use expert::{Estimate, EstimateSettings, Load};
+    /// use expert::{LoadEstimator, LoadEstimatorSettings, Load};
     ///
-    /// let mut estimate = Estimate::new(1, 2, EstimateSettings::default());
+    /// let mut estimate = LoadEstimator::new(1, 2, LoadEstimatorSettings::default());
     /// let mut load = Load::new(1, 2);
     /// load.add(&[30, 10]);
     /// estimate.observe(&load);
@@ -127,9 +127,9 @@
     /// The load expected on average over the next windows.
     ///
     /// ```
-    /// use expert::{Estimate, EstimateSettings};
+    /// use expert::{LoadEstimator, LoadEstimatorSettings};
     ///
-    /// let estimate = Estimate::new(1, 2, EstimateSettings::default());
+    /// let estimate = LoadEstimator::new(1, 2, LoadEstimatorSettings::default());
     /// assert_eq!(estimate.forecast().layer(0), &[0.0, 0.0]);
     /// ```
     #[must_use]
--- a/crates/expert/src/estimate_settings.rs
+++ b/crates/expert/src/load_estimator_settings.rs
@@ -2,7 +2,7 @@
 
 /// How fast the load estimate follows what is counted.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct EstimateSettings {
+pub struct LoadEstimatorSettings {
     /// Weight of the newest window in the level, 0 to 1.
     pub level: f64,
     /// Weight of the newest change in the trend, 0 to 1.
@@ -16,9 +16,9 @@
     pub ahead: u32,
 }
 
-impl Default for EstimateSettings {
-    fn default() -> EstimateSettings {
-        EstimateSettings {
+impl Default for LoadEstimatorSettings {
+    fn default() -> LoadEstimatorSettings {
+        LoadEstimatorSettings {
             level: 0.6,
             trend: 0.3,
             damping: 0.9,
--- a/crates/expert/src/participant.rs
+++ b/crates/expert/src/participant.rs
@@ -2,8 +2,8 @@
 
 use crate::goal::{Attempt, Goal};
 use crate::{
-    CoordinatorMessage, EngineState, ParticipantMessage, ParticipantOutput, Standing, SwitchTiming,
-    Verdict,
+    CoordinatorMessage, EngineState, GroupState, ParticipantMessage, ParticipantOutput,
+    SwitchTiming, Verdict,
 };
 use std::time::Instant;
 
@@ -52,12 +52,12 @@
     /// durable state before it gives an order.
     ///
     /// ```
-    /// use expert::{EngineOrder, Participant, ParticipantOutput, SwitchTiming};
+    /// use expert::{EngineCommand, Participant, ParticipantOutput, SwitchTiming};
     ///
     /// let now = std::time::Instant::now();
     /// let mut participant = Participant::new(SwitchTiming::default(), now);
     /// let outputs = participant.tick(now + SwitchTiming::default().ghost);
-    /// assert_eq!(outputs[0], ParticipantOutput::Order(EngineOrder::Read));
+    /// assert_eq!(outputs[0], ParticipantOutput::Order(EngineCommand::Read));
     /// ```
     #[must_use]
     pub fn new(timing: SwitchTiming, now: Instant) -> Participant {
@@ -251,7 +251,7 @@
     pub fn on_opened(
         &mut self,
         formation: u64,
-        standing: &Standing,
+        standing: &GroupState,
         now: Instant,
     ) -> Vec<ParticipantOutput> {
         self.fencing = self.fencing.max(standing.fencing);
@@ -267,7 +267,7 @@
 
     /// Takes in what the durable state holds for the group; the default if it
     /// holds nothing.
-    pub fn on_standing(&mut self, standing: &Standing, now: Instant) -> Vec<ParticipantOutput> {
+    pub fn on_standing(&mut self, standing: &GroupState, now: Instant) -> Vec<ParticipantOutput> {
         self.fencing = self.fencing.max(standing.fencing);
         let latest = standing.current.as_ref().map_or(0, |last| last.version);
         match &self.goal {
--- a/crates/expert/src/participant_standing.rs
+++ b/crates/expert/src/participant_group_state.rs
@@ -1,12 +1,12 @@
 //! What a participant does with what the durable state holds.
 
 use crate::goal::{Attempt, Goal};
-use crate::{Arming, Decision, Participant, Standing, Verdict};
+use crate::{Arming, Decision, GroupState, Participant, Verdict};
 use bytes::Bytes;
 
 impl Participant {
     /// Finds out where a former life of this agent left off.
-    pub(crate) fn learn(&mut self, standing: &Standing, latest: u64) {
+    pub(crate) fn learn(&mut self, standing: &GroupState, latest: u64) {
         let Some(engine) = self.engine else {
             return;
         };
@@ -35,7 +35,7 @@
     }
 
     /// The attempt at `version` is decided.
-    pub(crate) fn decided(&mut self, version: u64, standing: &Standing) {
+    pub(crate) fn decided(&mut self, version: u64, standing: &GroupState) {
         let commit = standing.committed.iter().find(|d| d.version == version);
         if let Some(decision) = commit {
             self.commit(decision);
@@ -49,7 +49,7 @@
     }
 
     /// Nothing is at work here; takes up a committed map that was missed.
-    pub(crate) fn catch_up(&mut self, standing: &Standing, latest: u64) {
+    pub(crate) fn catch_up(&mut self, standing: &GroupState, latest: u64) {
         self.resolved = self.resolved.max(latest);
         let known = self
             .engine
--- a/crates/expert/src/participant_output.rs
+++ b/crates/expert/src/participant_output.rs
@@ -1,13 +1,13 @@
 //! What a participant wants done.
 
-use crate::{EngineOrder, ParticipantMessage};
+use crate::{EngineCommand, ParticipantMessage};
 
 /// What a participant wants done.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ParticipantOutput {
     /// Give the engine an order; the answer goes to
     /// [`Participant::on_engine`](crate::Participant::on_engine).
-    Order(EngineOrder),
+    Order(EngineCommand),
     /// Read what stands for the group from the durable state, linearizably;
     /// the answer goes to
     /// [`Participant::on_standing`](crate::Participant::on_standing).
--- a/crates/expert/src/participant_steps.rs
+++ b/crates/expert/src/participant_steps.rs
@@ -3,7 +3,8 @@
 use crate::goal::{Attempt, Goal};
 use crate::participant::send;
 use crate::{
-    EngineOrder, EngineState, Participant, ParticipantMessage, ParticipantOutput, Standing, Verdict,
+    EngineCommand, EngineState, GroupState, Participant, ParticipantMessage, ParticipantOutput,
+    Verdict,
 };
 use std::time::Instant;
 
@@ -13,7 +14,7 @@
         let Some(engine) = self.engine else {
             let settled = self.quiet_until.is_none() || self.goal != Goal::Learn;
             if settled && now >= self.read_at {
-                self.order(EngineOrder::Read, now, outputs);
+                self.order(EngineCommand::Read, now, outputs);
             }
             return;
         };
@@ -43,7 +44,7 @@
             self.order(order, now, outputs);
         } else if self.engine.is_some() && now >= self.read_at + self.timing.resend {
             // The engine may restart at any time, whatever was asked of it.
-            self.order(EngineOrder::Read, now, outputs);
+            self.order(EngineCommand::Read, now, outputs);
         }
     }
 
@@ -57,9 +58,9 @@
         engine.arming.is_some() && self.unanswered
     }
 
-    fn order(&mut self, order: EngineOrder, now: Instant, outputs: &mut Vec<ParticipantOutput>) {
+    fn order(&mut self, order: EngineCommand, now: Instant, outputs: &mut Vec<ParticipantOutput>) {
         self.engine = None;
-        self.is_read = order == EngineOrder::Read;
+        self.is_read = order == EngineCommand::Read;
         self.order_until = Some(now + self.timing.order);
         self.read_at = now;
         outputs.push(ParticipantOutput::Order(order));
@@ -87,11 +88,11 @@
     /// promise of an engine in the present formation, and so this one's.
     fn advance_join(
         &mut self,
-        standing: Option<Standing>,
+        standing: Option<GroupState>,
         engine: EngineState,
         now: Instant,
         outputs: &mut Vec<ParticipantOutput>,
-    ) -> Option<EngineOrder> {
+    ) -> Option<EngineCommand> {
         if !engine.waiting {
             self.joined(standing);
             return None;
@@ -100,7 +101,7 @@
         let formation = engine.formation?;
         if let Some(standing) = standing.filter(|_| self.join_in == Some(formation)) {
             let maps = standing.committed.into_iter().rev().collect();
-            return Some(EngineOrder::Join {
+            return Some(EngineCommand::Join {
                 fencing: self.fencing.max(standing.fencing),
                 formation,
                 maps,
@@ -116,7 +117,7 @@
     }
 
     /// The engine runs steps on the maps in force.
-    fn joined(&mut self, standing: Option<Standing>) {
+    fn joined(&mut self, standing: Option<GroupState>) {
         self.join_in = None;
         let Some(standing) = standing else {
             self.goal = Goal::Learn;
@@ -136,7 +137,7 @@
         attempt: &Attempt,
         engine: EngineState,
         outputs: &mut Vec<ParticipantOutput>,
-    ) -> Option<EngineOrder> {
+    ) -> Option<EngineCommand> {
         let version = attempt.version;
         if !engine.waits {
             // After a restart it would join on its start map while the others
@@ -166,7 +167,7 @@
         engine: EngineState,
         now: Instant,
         outputs: &mut Vec<ParticipantOutput>,
-    ) -> Option<EngineOrder> {
+    ) -> Option<EngineCommand> {
         // From here on the outcome may be committed at any time, and the
         // message that tells it may be lost: the durable state is asked.
         self.ask_at = Some(self.ask_at.unwrap_or(now + self.timing.resend));
@@ -185,7 +186,7 @@
             return None;
         }
         self.promised_in = engine.formation;
-        Some(EngineOrder::Hold {
+        Some(EngineCommand::Hold {
             fencing: attempt.fencing,
             version,
             barrier_step,
@@ -200,7 +201,7 @@
         engine: EngineState,
         now: Instant,
         outputs: &mut Vec<ParticipantOutput>,
-    ) -> Option<EngineOrder> {
+    ) -> Option<EngineCommand> {
         let version = attempt.version;
         let done = match verdict {
             Verdict::Commit => engine.version >= version || self.has_reset(engine),
@@ -237,7 +238,7 @@
         if !is_there && engine.arming.is_none() {
             return Some(stage_order(&attempt));
         }
-        Some(EngineOrder::Outcome {
+        Some(EngineCommand::Outcome {
             fencing: attempt.fencing,
             version,
             barrier_step,
@@ -259,8 +260,8 @@
     }
 }
 
-fn stage_order(attempt: &Attempt) -> EngineOrder {
-    EngineOrder::Stage {
+fn stage_order(attempt: &Attempt) -> EngineCommand {
+    EngineCommand::Stage {
         fencing: attempt.fencing,
         version: attempt.version,
         map: attempt.map.clone(),
--- a/crates/expert/src/record/standing_record.rs
+++ b/crates/expert/src/record/group_state_record.rs
@@ -1,11 +1,11 @@
 //! Encoded form of one group's standing.
 
 use crate::record::DecisionRecord;
-use crate::{Decision, Standing};
+use crate::{Decision, GroupState};
 
-/// Encoded form of [`Standing`] with the name of its group.
+/// Encoded form of [`GroupState`] with the name of its group.
 #[derive(Clone, Eq, PartialEq, prost::Message)]
-pub(crate) struct StandingRecord {
+pub(crate) struct GroupStateRecord {
     #[prost(string, tag = "1")]
     pub(crate) group: String,
     #[prost(uint64, tag = "2")]
@@ -20,9 +20,9 @@
     committed: Vec<DecisionRecord>,
 }
 
-impl StandingRecord {
-    pub(crate) fn new(group: &str, standing: &Standing) -> StandingRecord {
-        StandingRecord {
+impl GroupStateRecord {
+    pub(crate) fn new(group: &str, standing: &GroupState) -> GroupStateRecord {
+        GroupStateRecord {
             group: group.to_owned(),
             fencing: standing.fencing,
             agent: standing.agent.clone(),
@@ -36,8 +36,8 @@
         }
     }
 
-    pub(crate) fn into_standing(self) -> Standing {
-        Standing {
+    pub(crate) fn into_group_state(self) -> GroupState {
+        GroupState {
             fencing: self.fencing,
             agent: self.agent,
             incarnation: self.incarnation,
--- a/crates/expert/src/step_clock.rs
+++ b/crates/expert/src/step_timer.rs
@@ -10,21 +10,21 @@
 /// How long the steps of a group take, by the last step that ranks told of.
 ///
 /// ```
-/// use expert::StepClock;
+/// use expert::StepTimer;
 /// use std::time::{Duration, Instant};
 ///
 /// let now = Instant::now();
-/// let mut clock = StepClock::default();
+/// let mut clock = StepTimer::default();
 /// assert_eq!(clock.observe(10, now), None);
 /// let time = clock.observe(20, now + Duration::from_millis(600));
 /// assert_eq!(time, Some(Duration::from_millis(60)));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct StepClock {
+pub struct StepTimer {
     seen: VecDeque<(Instant, u64)>,
 }
 
-impl StepClock {
+impl StepTimer {
     /// Takes in the last step that was begun; the usual time of a step for half
     /// a second or more, if that is known.
     pub fn observe(&mut self, step: u64, now: Instant) -> Option<Duration> {
--- a/crates/expert/src/switch_need.rs
+++ b/crates/expert/src/switch_criteria.rs
@@ -9,7 +9,7 @@
 /// slow. Nobody does while they stay well below the pauses that streams may
 /// make.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SwitchNeed {
+pub struct SwitchCriteria {
     /// Steps that take less are fast enough.
     pub step: Duration,
     /// Steps are too slow if they are about to take as long.
@@ -18,7 +18,7 @@
     pub gain: f64,
 }
 
-impl SwitchNeed {
+impl SwitchCriteria {
     /// Whether to switch to the map of `plan`, where a step has lately taken
     /// `step`; it is unknown in a group that was just formed.
     ///
@@ -27,10 +27,10 @@
     /// about to take longer by what the plan saves.
     ///
     /// ```
-    /// use expert::{Load, Map, MoveCost, Planner, Shape, Speeds, SwitchNeed, Weights};
+    /// use expert::{Load, Map, MoveCost, Planner, Shape, Speeds, SwitchCriteria, Weights};
     /// use std::time::Duration;
     ///
-    /// let need = SwitchNeed {
+    /// let need = SwitchCriteria {
     ///     step: Duration::from_millis(66),
     ///     soon: Duration::from_millis(90),
     ///     gain: 0.08,
--- a/crates/expert/tests/coordinator.rs
+++ b/crates/expert/tests/coordinator.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 use expert::{
-    Coordinator, CoordinatorMessage, CoordinatorOutput, DecideOutcome, ParticipantMessage,
-    Standing, SwitchTiming,
+    Coordinator, CoordinatorMessage, CoordinatorOutput, DecideOutcome, GroupState,
+    ParticipantMessage, SwitchTiming,
 };
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -21,7 +21,7 @@
     let now = Instant::now();
     let mut coordinator = Coordinator::new(BTreeSet::from([RANK.to_owned()]), 1, timing, now);
     coordinator.tick(now);
-    let outputs = coordinator.on_opened(&Standing::default(), now);
+    let outputs = coordinator.on_opened(&GroupState::default(), now);
     let [CoordinatorOutput::Decide(abort)] = &outputs[..] else {
         panic!("{outputs:?}")
     };
--- a/crates/expert/tests/participant.rs
+++ b/crates/expert/tests/participant.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 use expert::{
-    Arming, CoordinatorMessage, Decision, EngineOrder, EngineState, Participant,
-    ParticipantMessage, ParticipantOutput, Standing, SwitchTiming, Verdict,
+    Arming, CoordinatorMessage, Decision, EngineCommand, EngineState, GroupState, Participant,
+    ParticipantMessage, ParticipantOutput, SwitchTiming, Verdict,
 };
 use std::time::{Duration, Instant};
 
@@ -42,7 +42,7 @@
     }
 }
 
-fn orders(outputs: &[ParticipantOutput]) -> Vec<&EngineOrder> {
+fn orders(outputs: &[ParticipantOutput]) -> Vec<&EngineCommand> {
     let mut orders = Vec::new();
     for output in outputs {
         if let ParticipantOutput::Order(order) = output {
@@ -66,7 +66,7 @@
     let now = start + TIMING.ghost;
     participant.tick(now);
     participant.on_engine(Some(running()), now);
-    participant.on_standing(&Standing::default(), now);
+    participant.on_standing(&GroupState::default(), now);
     (participant, now)
 }
 
@@ -143,10 +143,10 @@
         verdict: Verdict::Abort,
         map: Bytes::new(),
     };
-    let standing = Standing {
+    let standing = GroupState {
         fencing: 1,
         current: Some(decision),
-        ..Standing::default()
+        ..GroupState::default()
     };
     participant.on_standing(&standing, now);
     let outputs = participant.on_message("a", stage(1, 4), now);
@@ -160,15 +160,21 @@
     // first must have come or gone, and what it did is told from that.
     let (mut participant, now) = ready(Instant::now());
     let outputs = participant.on_message("a", stage(1, 1), now);
-    assert!(matches!(orders(&outputs)[..], [EngineOrder::Stage { .. }]));
+    assert!(matches!(
+        orders(&outputs)[..],
+        [EngineCommand::Stage { .. }]
+    ));
     participant.on_engine(None, now);
     let later = now + TIMING.resend;
     let outputs = participant.tick(later);
-    assert_eq!(orders(&outputs), [&EngineOrder::Read]);
+    assert_eq!(orders(&outputs), [&EngineCommand::Read]);
     let outputs = participant.on_engine(Some(running()), later);
     assert!(orders(&outputs).is_empty());
     let outputs = participant.tick(later + TIMING.ghost);
-    assert!(matches!(orders(&outputs)[..], [EngineOrder::Stage { .. }]));
+    assert!(matches!(
+        orders(&outputs)[..],
+        [EngineCommand::Stage { .. }]
+    ));
     assert!(answers(&outputs).is_empty());
 }
 
@@ -212,19 +218,19 @@
 }
 
 /// What stands once this agent has opened a number of its own.
-fn opened() -> Standing {
-    Standing {
+fn opened() -> GroupState {
+    GroupState {
         fencing: 7,
         current: Some(committed(2, 90)),
         committed: vec![committed(2, 90), committed(1, 40)],
-        ..Standing::default()
+        ..GroupState::default()
     }
 }
 
 /// What a participant does at its next look, at which it finds this engine.
 fn look(participant: &mut Participant, state: EngineState, now: Instant) -> Vec<ParticipantOutput> {
     let outputs = participant.tick(now);
-    assert_eq!(orders(&outputs), [&EngineOrder::Read]);
+    assert_eq!(orders(&outputs), [&EngineCommand::Read]);
     participant.on_engine(Some(state), now)
 }
 
@@ -239,7 +245,7 @@
     let outputs = look(&mut participant, started(Some(4)), now);
     assert_eq!(outputs, [ParticipantOutput::Open { formation: 4 }]);
     let outputs = participant.on_opened(4, &opened(), now);
-    let join = EngineOrder::Join {
+    let join = EngineCommand::Join {
         fencing: 7,
         formation: 4,
         maps: vec![committed(1, 40), committed(2, 90)],
@@ -259,7 +265,7 @@
     assert!(
         !orders(&outputs)
             .iter()
-            .any(|order| matches!(order, EngineOrder::Stage { .. }))
+            .any(|order| matches!(order, EngineCommand::Stage { .. }))
     );
 }
 
@@ -288,7 +294,7 @@
     let outputs = participant.on_opened(6, &opened(), now);
     assert!(matches!(
         orders(&outputs)[..],
-        [EngineOrder::Join { formation: 6, .. }]
+        [EngineCommand::Join { formation: 6, .. }]
     ));
 }
 
@@ -377,9 +383,9 @@
 }
 
 /// What stands once version 3 was committed and version 4 given up.
-fn given_up_since() -> Standing {
+fn given_up_since() -> GroupState {
     let committed = committed(3, 20);
-    Standing {
+    GroupState {
         fencing: 4,
         current: Some(Decision {
             fencing: 4,
@@ -389,7 +395,7 @@
             map: Bytes::new(),
         }),
         committed: vec![committed],
-        ..Standing::default()
+        ..GroupState::default()
     }
 }
 
@@ -428,10 +434,10 @@
     participant.on_engine(None, now);
     let now = now + TIMING.ghost;
     let asked = participant.on_message("a", outcome(1, Verdict::Abort), now);
-    assert_eq!(orders(&asked), [&EngineOrder::Read]);
+    assert_eq!(orders(&asked), [&EngineCommand::Read]);
     let told = participant.on_engine(Some(state), now);
     assert_eq!(answers(&told), []);
-    let abort = EngineOrder::Outcome {
+    let abort = EngineCommand::Outcome {
         fencing: 4,
         version: 1,
         barrier_step: 0,
@@ -470,5 +476,5 @@
     assert_eq!(answers(&told), [ParticipantMessage::Applied { version: 1 }]);
     let later = now + TIMING.resend * 3;
     let told = participant.tick(later);
-    assert_eq!(orders(&told), [&EngineOrder::Read]);
+    assert_eq!(orders(&told), [&EngineCommand::Read]);
 }
--- a/crates/expert/tests/planner.rs
+++ b/crates/expert/tests/planner.rs
@@ -5,8 +5,8 @@
 )]
 
 use expert::{
-    Estimate, EstimateSettings, ExpertId, Load, Map, MapFault, MoveCost, Planner, Rank, Shape,
-    Speeds, Weights,
+    ExpertId, Load, LoadEstimator, LoadEstimatorSettings, Map, MapFault, MoveCost, Planner, Rank,
+    Shape, Speeds, Weights,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
@@ -254,7 +254,7 @@
 
 #[test]
 fn forecast_follows_drift() {
-    let mut estimate = Estimate::new(1, 2, EstimateSettings::default());
+    let mut estimate = LoadEstimator::new(1, 2, LoadEstimatorSettings::default());
     let mut load = Load::new(1, 2);
     for window in 0..20_u32 {
         load = Load::new(1, 2);
@@ -268,7 +268,7 @@
 fn forecast_after_flip() {
     // Popularity flips at once, as with a new client account's traffic: an
     // estimate that eases over keeps the group skewed for an hour.
-    let mut estimate = Estimate::new(1, 2, EstimateSettings::default());
+    let mut estimate = LoadEstimator::new(1, 2, LoadEstimatorSettings::default());
     for _ in 0..10 {
         let mut load = Load::new(1, 2);
         load.add(&[900, 100]);
--- a/crates/expert/tests/switch/engine.rs
+++ b/crates/expert/tests/switch/engine.rs
@@ -1,7 +1,7 @@
 //! An engine that may or may not check fencing numbers.
 
 use bytes::Bytes;
-use expert::{Decision, EngineOrder, EngineState, Verdict};
+use expert::{Decision, EngineCommand, EngineState, Verdict};
 
 /// What an engine does with an old fencing number.
 #[derive(Clone, Copy, PartialEq)]
@@ -43,19 +43,19 @@
     }
 
     /// The state after the order, or `None` if it was refused.
-    pub fn obey(&mut self, order: &EngineOrder) -> Option<EngineState> {
+    pub fn obey(&mut self, order: &EngineCommand) -> Option<EngineState> {
         let fencing = fencing(order).unwrap_or(self.fencing);
         if self.check == FencingCheck::Refuse && fencing < self.fencing {
             return None;
         }
         self.fencing = self.fencing.max(fencing);
         match order {
-            EngineOrder::Read => {}
-            EngineOrder::Stage { version, map, .. } => {
+            EngineCommand::Read => {}
+            EngineCommand::Stage { version, map, .. } => {
                 self.state.staged = Some(*version);
                 self.staged = map.clone();
             }
-            EngineOrder::Hold {
+            EngineCommand::Hold {
                 version,
                 barrier_step,
                 ..
@@ -64,14 +64,14 @@
                     self.state.held = Some(*barrier_step);
                 }
             }
-            EngineOrder::Join {
+            EngineCommand::Join {
                 formation, maps, ..
             } => {
                 if self.state.waiting && self.state.formation == Some(*formation) {
                     self.join(maps);
                 }
             }
-            EngineOrder::Outcome {
+            EngineCommand::Outcome {
                 version,
                 barrier_step,
                 verdict,
@@ -122,12 +122,12 @@
 }
 
 /// Fencing number of an order; a read has none.
-pub fn fencing(order: &EngineOrder) -> Option<u64> {
+pub fn fencing(order: &EngineCommand) -> Option<u64> {
     match order {
-        EngineOrder::Read => None,
-        EngineOrder::Stage { fencing, .. }
-        | EngineOrder::Hold { fencing, .. }
-        | EngineOrder::Join { fencing, .. }
-        | EngineOrder::Outcome { fencing, .. } => Some(*fencing),
+        EngineCommand::Read => None,
+        EngineCommand::Stage { fencing, .. }
+        | EngineCommand::Hold { fencing, .. }
+        | EngineCommand::Join { fencing, .. }
+        | EngineCommand::Outcome { fencing, .. } => Some(*fencing),
     }
 }
--- a/crates/expert/tests/switch/event.rs
+++ b/crates/expert/tests/switch/event.rs
@@ -1,8 +1,8 @@
 //! Something on its way.
 
 use expert::{
-    CoordinatorMessage, DecideOutcome, Decision, EngineOrder, EngineState, ParticipantMessage,
-    Standing,
+    CoordinatorMessage, DecideOutcome, Decision, EngineCommand, EngineState, GroupState,
+    ParticipantMessage,
 };
 
 /// Something on its way. Numbers of lives tell apart who asked from who runs
@@ -24,7 +24,7 @@
     },
     Opened {
         life: usize,
-        standing: Standing,
+        standing: GroupState,
     },
     OpenJoin {
         rank: usize,
@@ -35,7 +35,7 @@
         rank: usize,
         life: usize,
         formation: u64,
-        standing: Standing,
+        standing: GroupState,
     },
     Decide {
         life: usize,
@@ -52,13 +52,13 @@
     Answer {
         rank: usize,
         life: usize,
-        standing: Standing,
+        standing: GroupState,
     },
     Order {
         rank: usize,
         life: usize,
         serial: u64,
-        order: EngineOrder,
+        order: EngineCommand,
     },
     Obeyed {
         rank: usize,
--- a/crates/expert/tests/switch/world.rs
+++ b/crates/expert/tests/switch/world.rs
@@ -7,7 +7,7 @@
 use crate::event::Event;
 use bytes::Bytes;
 use expert::{
-    Coordinator, CoordinatorOutput, Decisions, EngineOrder, EngineState, Participant,
+    Coordinator, CoordinatorOutput, Decisions, EngineCommand, EngineState, Participant,
     ParticipantOutput, SwitchTiming,
 };
 use rand::rngs::StdRng;
@@ -343,7 +343,7 @@
     }
 
     /// The agent refuses orders under a lower number than it has learnt.
-    fn obey(&mut self, rank: usize, life: usize, order: &EngineOrder) -> Option<EngineState> {
+    fn obey(&mut self, rank: usize, life: usize, order: &EngineCommand) -> Option<EngineState> {
         let current = self.decisions.current(GROUP).map_or(0, |s| s.fencing);
         let agent = &mut self.agents[rank];
         if let Some(fencing) = fencing(order).filter(|_| agent.life == life) {
--- a/crates/expert/tests/switch_need.rs
+++ b/crates/expert/tests/switch_need.rs
@@ -1,9 +1,9 @@
 //! Loads under which a switch of the map is worth its price.
 
-use expert::{Load, Map, Plan, Shape, SwitchNeed};
+use expert::{Load, Map, Plan, Shape, SwitchCriteria};
 use std::time::Duration;
 
-const NEED: SwitchNeed = SwitchNeed {
+const NEED: SwitchCriteria = SwitchCriteria {
     step: Duration::from_millis(66),
     soon: Duration::from_millis(90),
     gain: 0.08,
