--- a/crates/agent/src/map/chooser.rs
+++ b/crates/agent/src/map/chooser.rs
@@ -57,7 +57,7 @@
                 self.speeds.set_lost(rank);
             }
         }
-        let bare = Map::empty(self.shape.clone()).on_hosts(party.hosts);
+        let bare = Map::empty(self.shape.clone()).with_hosts(party.hosts);
         if let Some(bare) = bare {
             self.shape = bare.shape().clone();
         }
@@ -88,7 +88,7 @@
         let experts = usize::try_from(group.experts) == Ok(self.shape.experts());
         let slots = group.experts.div_ceil(group.ranks.max(1)) + group.spare_slots;
         let same = usize::try_from(group.ranks) == Ok(self.shape.ranks());
-        layers && experts && same && usize::try_from(slots) == Ok(self.shape.slots())
+        layers && experts && same && usize::try_from(slots) == Ok(self.shape.slots_per_rank())
     }
 
     /// Takes in what ranks counted.
@@ -169,11 +169,11 @@
     fn present(&self, present: Option<&Map>, start: StartMap) -> Map {
         let hosts = self.shape.hosts().to_vec();
         present
-            .and_then(|map| map.on_hosts(hosts))
+            .and_then(|map| map.with_hosts(hosts))
             .filter(|map| *map.shape() == self.shape)
             .unwrap_or_else(|| match start {
                 StartMap::Copies => Map::uniform(self.shape.clone()),
-                StartMap::Bare => Map::in_turn(self.shape.clone()),
+                StartMap::Bare => Map::round_robin(self.shape.clone()),
             })
     }
 
@@ -181,10 +181,10 @@
         let planner = Planner {
             weights,
             cost: cfg.cost,
-            horizon: f64::from(cfg.horizon),
+            horizon_windows: f64::from(cfg.horizon),
         };
         let load = self.estimate.forecast();
-        let plan = planner.plan_within(present, &load, &self.speeds, cfg.most_new);
+        let plan = planner.plan_with_limit(present, &load, &self.speeds, cfg.most_new);
         plan.is_change.then_some(plan)
     }
 }
--- a/crates/agent/src/map/engine_calls.rs
+++ b/crates/agent/src/map/engine_calls.rs
@@ -83,9 +83,9 @@
         loading: map.loading,
         staged: map.staged,
         next: map.next.filter(|next| *next > map.version),
-        held: map.held,
-        waits: map.waits,
-        waiting: map.waiting,
+        held_step: map.held,
+        requires_join: map.waits,
+        awaiting_join: map.waiting,
         formation: match map.formation {
             Some(0) => None,
             told => Some(told.unwrap_or_default()),
--- a/crates/agent/src/map/planning.rs
+++ b/crates/agent/src/map/planning.rs
@@ -31,12 +31,12 @@
         log::info!(
             group = self.cx.group.as_str(), loads = plan.loads,
             before_us:display = micros(plan.before), after_us:display = micros(plan.after),
-            even_us:display = micros(plan.even);
+            even_us:display = micros(plan.ideal);
             "switches the expert map"
         );
         let loading = chooser::loading(plan, &self.cx.cfg);
         if let Some(coordinator) = &mut self.coordinator {
-            let outputs = coordinator.begin(plan.map.to_bytes(), loading, now);
+            let outputs = coordinator.begin_switch(plan.map.to_bytes(), loading, now);
             self.coordinate(outputs);
         }
     }
@@ -82,7 +82,7 @@
         }
         let plan = chooser.plan(self.present.as_ref(), &group, &self.cx.cfg);
         let need = self.cx.cfg.need;
-        let is_needed = |plan: &Plan| need.is_none_or(|need| need.is_met(plan, pass));
+        let is_needed = |plan: &Plan| need.is_none_or(|need| need.should_switch(plan, pass));
         if let Some(plan) = plan.filter(is_needed) {
             self.begin(&plan, now);
         }
--- a/crates/agent/src/map/state.rs
+++ b/crates/agent/src/map/state.rs
@@ -108,13 +108,13 @@
             // The answer to an order that was given up is not the next one's.
             MapMsg::Engine { serial, .. } if serial != self.serial => {}
             MapMsg::Engine { state, .. } => {
-                let outputs = self.participant.on_engine(state, now);
+                let outputs = self.participant.on_engine_state(state, now);
                 self.participate(outputs);
             }
             MapMsg::Standing(standing) => {
                 self.calls.remove(&ControlCall::Ask);
                 if let Some(standing) = standing {
-                    let outputs = self.participant.on_standing(&standing, now);
+                    let outputs = self.participant.on_group_state(&standing, now);
                     self.participate(outputs);
                 }
             }
@@ -191,7 +191,7 @@
         let Some(coordinator) = &self.coordinator else {
             return;
         };
-        let (phase, waiting) = coordinator.standing();
+        let (phase, waiting) = coordinator.status();
         let telling = phase == "telling";
         if !telling && phase != "idle" {
             return;
@@ -309,8 +309,8 @@
     pub fn coordinate(&mut self, outputs: Vec<CoordinatorOutput>) {
         for output in outputs {
             match output {
-                CoordinatorOutput::Open if self.calls.contains(&ControlCall::Open) => {}
-                CoordinatorOutput::Open => {
+                CoordinatorOutput::OpenCoordinator if self.calls.contains(&ControlCall::Open) => {}
+                CoordinatorOutput::OpenCoordinator => {
                     self.calls.insert(ControlCall::Open);
                     let (cx, inbox) = (Arc::clone(&self.cx), self.inbox.clone());
                     tokio::spawn(control_calls::open(cx, inbox));
@@ -338,19 +338,20 @@
     fn participate(&mut self, outputs: Vec<ParticipantOutput>) {
         for output in outputs {
             match output {
-                ParticipantOutput::Open { .. } if self.calls.contains(&ControlCall::Join) => {}
-                ParticipantOutput::Open { formation } => {
+                ParticipantOutput::OpenFencing { .. }
+                    if self.calls.contains(&ControlCall::Join) => {}
+                ParticipantOutput::OpenFencing { formation } => {
                     self.calls.insert(ControlCall::Join);
                     let (cx, inbox) = (Arc::clone(&self.cx), self.inbox.clone());
                     tokio::spawn(control_calls::open_to_join(cx, formation, inbox));
                 }
-                ParticipantOutput::Ask if self.calls.contains(&ControlCall::Ask) => {}
-                ParticipantOutput::Ask => {
+                ParticipantOutput::ReadGroupState if self.calls.contains(&ControlCall::Ask) => {}
+                ParticipantOutput::ReadGroupState => {
                     self.calls.insert(ControlCall::Ask);
                     let (cx, inbox) = (Arc::clone(&self.cx), self.inbox.clone());
                     tokio::spawn(control_calls::ask(cx, inbox));
                 }
-                ParticipantOutput::Order(order) => {
+                ParticipantOutput::Command(order) => {
                     self.serial += 1;
                     let (cx, inbox) = (Arc::clone(&self.cx), self.inbox.clone());
                     let orders = self.orders.clone();
--- a/crates/agent/src/map/waiting.rs
+++ b/crates/agent/src/map/waiting.rs
@@ -19,7 +19,7 @@
         let Some(coordinator) = &self.coordinator else {
             return;
         };
-        let (phase, waiting) = coordinator.standing();
+        let (phase, waiting) = coordinator.status();
         let counted = self.chooser.as_ref().map_or(0, Chooser::counted);
         let known = self.party.ranks.is_some();
         if phase != "idle" || !known || self.chooser.is_none() {
--- a/crates/agent/src/rank_agent.rs
+++ b/crates/agent/src/rank_agent.rs
@@ -46,10 +46,10 @@
 /// copying experts takes up to a second; an attempt that takes longer is given
 /// up, since the popularity that it was planned for is over soon.
 const SWITCH: SwitchTiming = SwitchTiming {
-    resend: Duration::from_millis(100),
-    attempt: Duration::from_millis(1_500),
-    order: Duration::from_millis(2_500),
-    ghost: Duration::from_millis(200),
+    resend_interval: Duration::from_millis(100),
+    phase_timeout: Duration::from_millis(1_500),
+    command_timeout: Duration::from_millis(2_500),
+    late_command_window: Duration::from_millis(200),
     lead_steps: LEAD,
     lead_time: LEAD_TIME,
 };
@@ -228,15 +228,15 @@
             store_bytes_per_s: experts.bytes_per_second,
             slowdown,
             store_price: 0.0,
-            plan_bytes: u64::MAX,
+            max_plan_bytes: u64::MAX,
         },
         timing: SWITCH,
         most_new: usize::try_from(experts.most_new).unwrap_or(usize::MAX),
         start: StartMap::Bare,
         need: Some(SwitchCriteria {
-            step: pause.mul_f64(FAST_PASS),
-            soon: pause.mul_f64(SLOW_PASS),
-            gain: LEAST_GAIN,
+            slow_step: pause.mul_f64(FAST_PASS),
+            projected_slow_step: pause.mul_f64(SLOW_PASS),
+            min_gain: LEAST_GAIN,
         }),
     }
 }
--- a/crates/agent/tests/support/control.rs
+++ b/crates/agent/tests/support/control.rs
@@ -149,7 +149,7 @@
     /// What stands for the group.
     pub fn standing(&self) -> GroupState {
         let inner = self.inner.lock().unwrap();
-        let standing = inner.decisions.current(super::GROUP);
+        let standing = inner.decisions.group_state(super::GROUP);
         standing.cloned().unwrap_or_default()
     }
 
@@ -288,7 +288,7 @@
     }
 
     fn opened(&self) -> CoordinatorOutcome {
-        let standing = self.decisions.current(super::GROUP);
+        let standing = self.decisions.group_state(super::GROUP);
         let standing = standing.cloned().unwrap_or_default();
         CoordinatorOutcome {
             fencing: standing.fencing,
--- a/crates/control/src/machine/maps.rs
+++ b/crates/control/src/machine/maps.rs
@@ -36,7 +36,7 @@
 
     /// What stands for a group.
     pub(crate) fn map(&self, group: &str) -> CoordinatorOutcome {
-        let standing = self.decisions.current(group);
+        let standing = self.decisions.group_state(group);
         standing.map_or_else(CoordinatorOutcome::default, |standing| {
             coordinator_outcome(group, standing)
         })
--- a/crates/expert/benches/maps/run.rs
+++ b/crates/expert/benches/maps/run.rs
@@ -22,7 +22,7 @@
     store_bytes_per_s: 1e9,
     slowdown: 0.1,
     store_price: 1.0,
-    plan_bytes: 300_000_000_000,
+    max_plan_bytes: 300_000_000_000,
 };
 
 /// Windows over which a move is expected to pay: one hour.
@@ -73,7 +73,7 @@
             planner: Planner {
                 weights: policy.weights(),
                 cost: COST,
-                horizon: HORIZON,
+                horizon_windows: HORIZON,
             },
             estimate: LoadEstimator::new(
                 layers.into(),
@@ -116,7 +116,7 @@
     fn switch(&mut self, next: Map, score: &mut Score) {
         let faults = next.check(self.speeds.live());
         assert!(faults.is_empty(), "{}: {:?}", self.policy.name(), faults[0]);
-        score.loaded(next.loads_after(&self.map));
+        score.loaded(next.loads_from(&self.map));
         self.map = next;
     }
 
@@ -146,8 +146,8 @@
         if self.policy == Policy::Full {
             // Made from the newest window alone.
             let settings = LoadEstimatorSettings {
-                level: 1.0,
-                trend: 0.0,
+                level_weight: 1.0,
+                trend_weight: 0.0,
                 ..LoadEstimatorSettings::default()
             };
             self.estimate = LoadEstimator::new(load.layers(), load.experts(), settings);
@@ -165,7 +165,7 @@
         for (slot, expert) in slots.iter().enumerate() {
             if let Some(expert) = expert {
                 let expert = usize::from(expert.0);
-                tokens[slot / self.map.shape().slots()] +=
+                tokens[slot / self.map.shape().slots_per_rank()] +=
                     load.layer(layer)[expert] / copies[expert];
             }
         }
--- a/crates/expert/src/balance.rs
+++ b/crates/expert/src/balance.rs
@@ -23,7 +23,7 @@
         let cost = speeds.seconds_per_token();
         let mut map = Map::empty(shape);
         for layer in 0..load.layers().min(map.shape().layers()) {
-            let packing = Packing::new(map.shape().slots(), load.layer(layer), &cost);
+            let packing = Packing::new(map.shape().slots_per_rank(), load.layer(layer), &cost);
             let slots = packing.pack();
             for (slot, expert) in map.layer_mut(layer).iter_mut().zip(slots) {
                 *slot = (expert != NO_EXPERT).then_some(ExpertId(expert));
--- a/crates/expert/src/coordinator.rs
+++ b/crates/expert/src/coordinator.rs
@@ -65,7 +65,7 @@
     /// let now = std::time::Instant::now();
     /// let members = BTreeSet::from(["advisor-01".to_owned()]);
     /// let mut coordinator = Coordinator::new(members, 0, SwitchTiming::default(), now);
-    /// assert_eq!(coordinator.tick(now), [CoordinatorOutput::Open]);
+    /// assert_eq!(coordinator.tick(now), [CoordinatorOutput::OpenCoordinator]);
     /// ```
     #[must_use]
     pub fn new(
@@ -112,7 +112,7 @@
 
     /// What it is at, and the agents that it waits for.
     #[must_use]
-    pub fn standing(&self) -> (&'static str, Vec<&str>) {
+    pub fn status(&self) -> (&'static str, Vec<&str>) {
         let (phase, waiting) = match &self.phase {
             Phase::Opening => ("opening", None),
             Phase::Idle => ("idle", None),
@@ -141,7 +141,12 @@
 
     /// Begins a switch to `map`, which takes `loading` to load at the rate of
     /// the weight store; does nothing unless idle.
-    pub fn begin(&mut self, map: Bytes, loading: Duration, now: Instant) -> Vec<CoordinatorOutput> {
+    pub fn begin_switch(
+        &mut self,
+        map: Bytes,
+        loading: Duration,
+        now: Instant,
+    ) -> Vec<CoordinatorOutput> {
         if !self.is_idle() || map.is_empty() {
             return Vec::new();
         }
@@ -149,7 +154,7 @@
             map,
             waiting: self.members.clone(),
             step: 0,
-            until: now + self.timing.attempt + loading,
+            until: now + self.timing.phase_timeout + loading,
         };
         self.send(now)
     }
@@ -261,9 +266,9 @@
         }
         self.phase = Phase::Holding {
             map: std::mem::take(map),
-            barrier_step: *step + self.timing.lead(self.step_time),
+            barrier_step: *step + self.timing.barrier_lead(self.step_time),
             waiting: self.members.clone(),
-            until: *until + self.timing.attempt,
+            until: *until + self.timing.phase_timeout,
         };
         self.send(now)
     }
@@ -327,11 +332,11 @@
 
     /// What the phase waits for, sent for the first time or again.
     fn send(&mut self, now: Instant) -> Vec<CoordinatorOutput> {
-        self.resend_at = now + self.timing.resend;
+        self.resend_at = now + self.timing.resend_interval;
         let (fencing, version) = (self.fencing, self.next_version);
         match &self.phase {
             Phase::Idle | Phase::Deposed => Vec::new(),
-            Phase::Opening => vec![CoordinatorOutput::Open],
+            Phase::Opening => vec![CoordinatorOutput::OpenCoordinator],
             Phase::Deciding(decision) => vec![CoordinatorOutput::Decide(decision.clone())],
             Phase::Staging { map, waiting, .. } => to_all(
                 waiting,
--- a/crates/expert/src/coordinator_output.rs
+++ b/crates/expert/src/coordinator_output.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CoordinatorOutput {
     /// Open a coordinator in the durable state.
-    Open,
+    OpenCoordinator,
     /// Have a decision committed in the durable state.
     Decide(Decision),
     /// Send a message to a participant.
--- a/crates/expert/src/decisions.rs
+++ b/crates/expert/src/decisions.rs
@@ -94,10 +94,10 @@
     /// What stands for `group`, if a coordinator was ever opened for it.
     ///
     /// ```
-    /// assert!(expert::Decisions::new().current("g").is_none());
+    /// assert!(expert::Decisions::new().group_state("g").is_none());
     /// ```
     #[must_use]
-    pub fn current(&self, group: &str) -> Option<&GroupState> {
+    pub fn group_state(&self, group: &str) -> Option<&GroupState> {
         self.groups.get(group)
     }
 
--- a/crates/expert/src/engine_state.rs
+++ b/crates/expert/src/engine_state.rs
@@ -14,11 +14,11 @@
     /// Version that comes into use at a later step.
     pub next: Option<u64>,
     /// The step that does not run until the outcome is known.
-    pub held: Option<u64>,
+    pub held_step: Option<u64>,
     /// Whether it runs no step after a start until it has joined.
-    pub waits: bool,
+    pub requires_join: bool,
     /// Whether it waits now.
-    pub waiting: bool,
+    pub awaiting_join: bool,
     /// Number of the formation in which it steps with the other engines of
     /// its group; `None` between two, always 0 if the engine tells none.
     pub formation: Option<u64>,
@@ -44,7 +44,7 @@
     /// version from it on if it is told so.
     pub(crate) fn promises(&self, version: u64, barrier_step: u64) -> bool {
         self.staged == Some(version)
-            && self.held == Some(barrier_step)
+            && self.held_step == Some(barrier_step)
             && self.arming != Some(Arming::Unarmed)
     }
 
@@ -52,8 +52,8 @@
     pub(crate) fn has_dropped(&self, version: u64) -> bool {
         let is_there = [self.staged, self.loading].contains(&Some(version));
         match self.arming {
-            Some(arming) => arming == Arming::Unarmed && self.held.is_none(),
-            None => !is_there && self.held.is_none(),
+            Some(arming) => arming == Arming::Unarmed && self.held_step.is_none(),
+            None => !is_there && self.held_step.is_none(),
         }
     }
 }
--- a/crates/expert/src/load_estimator.rs
+++ b/crates/expert/src/load_estimator.rs
@@ -83,12 +83,12 @@
         let first = self.totals[layer] <= 0.0;
         let error = self.error(layer, tokens, total);
         let usual = self.usual_error[layer];
-        let most = self.settings.surprise * usual + ERROR_FLOOR;
+        let most = self.settings.outlier_factor * usual + ERROR_FLOOR;
         let surprised = error > most;
         let weight = match (first, surprised) {
             (true, _) => 1.0,
-            (false, true) => LEVEL_AFTER_SURPRISE.max(self.settings.level),
-            (false, false) => self.settings.level,
+            (false, true) => LEVEL_AFTER_SURPRISE.max(self.settings.level_weight),
+            (false, false) => self.settings.level_weight,
         };
         if !first {
             // A surprise counts too, up to its limit: a steady drift just
@@ -105,7 +105,7 @@
                 0.0
             } else {
                 let change = next - *level;
-                damping * *trend + self.settings.trend * (change - damping * *trend)
+                damping * *trend + self.settings.trend_weight * (change - damping * *trend)
             };
             *level = next;
         }
@@ -149,11 +149,11 @@
     /// By how many trends the shares move, averaged over the windows ahead.
     fn reach(&self) -> f64 {
         let (mut step, mut moved, mut sum) = (1.0, 0.0, 0.0);
-        for _ in 0..self.settings.ahead {
+        for _ in 0..self.settings.forecast_windows {
             step *= self.settings.damping;
             moved += step;
             sum += moved;
         }
-        sum / f64::from(self.settings.ahead.max(1))
+        sum / f64::from(self.settings.forecast_windows.max(1))
     }
 }
--- a/crates/expert/src/load_estimator_settings.rs
+++ b/crates/expert/src/load_estimator_settings.rs
@@ -4,26 +4,26 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadEstimatorSettings {
     /// Weight of the newest window in the level, 0 to 1.
-    pub level: f64,
+    pub level_weight: f64,
     /// Weight of the newest change in the trend, 0 to 1.
-    pub trend: f64,
+    pub trend_weight: f64,
     /// Share of the trend that is left one window later, 0 to 1.
     pub damping: f64,
     /// How many times its usual error the forecast has to be off before the
     /// estimate starts afresh from the newest window.
-    pub surprise: f64,
+    pub outlier_factor: f64,
     /// Windows ahead over which the forecast is averaged.
-    pub ahead: u32,
+    pub forecast_windows: u32,
 }
 
 impl Default for LoadEstimatorSettings {
     fn default() -> LoadEstimatorSettings {
         LoadEstimatorSettings {
-            level: 0.6,
-            trend: 0.3,
+            level_weight: 0.6,
+            trend_weight: 0.3,
             damping: 0.9,
-            surprise: 3.0,
-            ahead: 2,
+            outlier_factor: 3.0,
+            forecast_windows: 2,
         }
     }
 }
--- a/crates/expert/src/map.rs
+++ b/crates/expert/src/map.rs
@@ -31,7 +31,7 @@
     /// ```
     #[must_use]
     pub fn empty(shape: Shape) -> Map {
-        let slots = vec![None; shape.layers() * shape.layer_slots()];
+        let slots = vec![None; shape.layers() * shape.slots_per_layer()];
         Map { shape, slots }
     }
 
@@ -49,7 +49,7 @@
         let mut map = Map::empty(shape);
         let (ranks, experts) = (map.shape.ranks(), map.shape.experts());
         for layer in 0..map.shape.layers() {
-            for place in 0..map.shape.layer_slots() {
+            for place in 0..map.shape.slots_per_layer() {
                 let (round, turn) = (place / ranks, place % ranks);
                 // Each round begins half a group further on, so that the
                 // copies of an expert land on different hosts.
@@ -69,18 +69,18 @@
     /// ```
     /// use expert::{Map, Shape};
     ///
-    /// let map = Map::in_turn(Shape::with_spare(1, 4, 2, 1, 1));
+    /// let map = Map::round_robin(Shape::with_spare(1, 4, 2, 1, 1));
     /// let rank: Vec<_> = map.rank_slots(0, 1).iter().flatten().map(|e| e.0).collect();
     /// assert_eq!(rank, [1, 3]);
     /// ```
     #[must_use]
-    pub fn in_turn(shape: Shape) -> Map {
+    pub fn round_robin(shape: Shape) -> Map {
         let mut map = Map::empty(shape);
         let ranks = map.shape.ranks().max(1);
         for layer in 0..map.shape.layers() {
             for place in 0..map.shape.experts() {
                 let (round, rank) = (place / ranks, place % ranks);
-                if round < map.shape.slots() {
+                if round < map.shape.slots_per_rank() {
                     let expert = ExpertId::from_index(place);
                     map.rank_slots_mut(layer, rank)[round] = Some(expert);
                 }
@@ -102,14 +102,14 @@
     /// use expert::{Map, Shape};
     ///
     /// let map = Map::uniform(Shape::new(1, 4, 3, vec![0, 0]));
-    /// let moved = map.on_hosts(vec![0, 1]).unwrap();
+    /// let moved = map.with_hosts(vec![0, 1]).unwrap();
     /// assert_eq!(moved.layer(0), map.layer(0));
-    /// assert!(map.on_hosts(vec![0]).is_none());
+    /// assert!(map.with_hosts(vec![0]).is_none());
     /// ```
     #[must_use]
-    pub fn on_hosts(&self, hosts: Vec<u16>) -> Option<Map> {
+    pub fn with_hosts(&self, hosts: Vec<u16>) -> Option<Map> {
         (hosts.len() == self.shape.ranks()).then(|| Map {
-            shape: self.shape.on_hosts(hosts),
+            shape: self.shape.with_hosts(hosts),
             slots: self.slots.clone(),
         })
     }
@@ -121,7 +121,7 @@
     /// Panics if the shape has no such layer.
     #[must_use]
     pub fn layer(&self, layer: usize) -> &[Option<ExpertId>] {
-        let width = self.shape.layer_slots();
+        let width = self.shape.slots_per_layer();
         &self.slots[layer * width..(layer + 1) * width]
     }
 
@@ -132,17 +132,17 @@
     /// Panics if the shape has no such layer or rank.
     #[must_use]
     pub fn rank_slots(&self, layer: usize, rank: usize) -> &[Option<ExpertId>] {
-        let width = self.shape.slots();
+        let width = self.shape.slots_per_rank();
         &self.layer(layer)[rank * width..(rank + 1) * width]
     }
 
     pub(crate) fn layer_mut(&mut self, layer: usize) -> &mut [Option<ExpertId>] {
-        let width = self.shape.layer_slots();
+        let width = self.shape.slots_per_layer();
         &mut self.slots[layer * width..(layer + 1) * width]
     }
 
     fn rank_slots_mut(&mut self, layer: usize, rank: usize) -> &mut [Option<ExpertId>] {
-        let width = self.shape.slots();
+        let width = self.shape.slots_per_rank();
         &mut self.layer_mut(layer)[rank * width..(rank + 1) * width]
     }
 
@@ -174,7 +174,7 @@
     /// ```
     #[must_use]
     pub fn check(&self, live: &[bool]) -> Vec<MapFault> {
-        let expected = self.shape.layers() * self.shape.layer_slots();
+        let expected = self.shape.layers() * self.shape.slots_per_layer();
         if self.slots.len() != expected {
             let found = self.slots.len();
             return vec![MapFault::Size { expected, found }];
@@ -201,7 +201,7 @@
                     continue;
                 }
                 if !seen.insert(expert) {
-                    faults.push(MapFault::Doubled {
+                    faults.push(MapFault::Duplicate {
                         layer,
                         rank: id,
                         expert,
@@ -249,22 +249,22 @@
         tokens
     }
 
-    /// How many experts the ranks have to load that `former` did not give
+    /// How many experts the ranks have to load that `previous` did not give
     /// them.
     ///
     /// ```
     /// use expert::{Map, Shape};
     ///
     /// let map = Map::uniform(Shape::with_spare(1, 4, 2, 1, 1));
-    /// assert_eq!(map.loads_after(&map), 0);
+    /// assert_eq!(map.loads_from(&map), 0);
     /// ```
     #[must_use]
-    pub fn loads_after(&self, former: &Map) -> usize {
-        if self.shape != former.shape {
+    pub fn loads_from(&self, previous: &Map) -> usize {
+        if self.shape != previous.shape {
             return self.slots.iter().flatten().count();
         }
-        let width = self.shape.slots().max(1);
-        let ranks = self.slots.chunks(width).zip(former.slots.chunks(width));
+        let width = self.shape.slots_per_rank().max(1);
+        let ranks = self.slots.chunks(width).zip(previous.slots.chunks(width));
         ranks
             .map(|(new, old)| new.iter().flatten().filter(|e| !old.contains(&Some(**e))))
             .map(Iterator::count)
@@ -304,8 +304,8 @@
         }
         let (shape, slots) = record.into_parts()?;
         let map = Map { shape, slots };
-        let expected = map.shape.layers() * map.shape.layer_slots();
-        let room = map.shape.layer_slots() >= map.shape.experts();
+        let expected = map.shape.layers() * map.shape.slots_per_layer();
+        let room = map.shape.slots_per_layer() >= map.shape.experts();
         if map.slots.len() == expected && room {
             Ok(map)
         } else {
--- a/crates/expert/src/map_fault.rs
+++ b/crates/expert/src/map_fault.rs
@@ -23,7 +23,7 @@
         expert: ExpertId,
     },
     /// A rank holds the same expert twice, which wastes a slot.
-    Doubled {
+    Duplicate {
         /// Layer of the slots.
         layer: usize,
         /// Rank of the slots.
@@ -55,7 +55,7 @@
                 "unknown expert {} at layer {layer} rank {}",
                 expert.0, rank.0
             ),
-            MapFault::Doubled {
+            MapFault::Duplicate {
                 layer,
                 rank,
                 expert,
--- a/crates/expert/src/move_cost.rs
+++ b/crates/expert/src/move_cost.rs
@@ -14,7 +14,7 @@
     pub store_price: f64,
     /// Most bytes that one plan may load, besides experts that no live rank
     /// holds.
-    pub plan_bytes: u64,
+    pub max_plan_bytes: u64,
 }
 
 impl MoveCost {
@@ -35,7 +35,7 @@
     ///     store_bytes_per_s: 440e6,
     ///     slowdown: 0.5,
     ///     store_price: 1.5,
-    ///     plan_bytes: u64::MAX,
+    ///     max_plan_bytes: u64::MAX,
     /// };
     /// assert!((cost.seconds() - 0.2).abs() < 1e-9);
     /// ```
@@ -45,7 +45,7 @@
     }
 
     /// Loads that one plan may ask for.
-    pub(crate) fn plan_loads(&self) -> u64 {
-        self.plan_bytes / self.expert_bytes.max(1)
+    pub(crate) fn max_plan_loads(&self) -> u64 {
+        self.max_plan_bytes / self.expert_bytes.max(1)
     }
 }
--- a/crates/expert/src/participant.rs
+++ b/crates/expert/src/participant.rs
@@ -56,8 +56,8 @@
     ///
     /// let now = std::time::Instant::now();
     /// let mut participant = Participant::new(SwitchTiming::default(), now);
-    /// let outputs = participant.tick(now + SwitchTiming::default().ghost);
-    /// assert_eq!(outputs[0], ParticipantOutput::Order(EngineCommand::Read));
+    /// let outputs = participant.tick(now + SwitchTiming::default().late_command_window);
+    /// assert_eq!(outputs[0], ParticipantOutput::Command(EngineCommand::Read));
     /// ```
     #[must_use]
     pub fn new(timing: SwitchTiming, now: Instant) -> Participant {
@@ -71,7 +71,7 @@
             order_until: None,
             is_read: false,
             // An order of a former life may still be on its way.
-            quiet_until: Some(now + timing.ghost),
+            quiet_until: Some(now + timing.late_command_window),
             ask_at: None,
             read_at: now,
             join_in: None,
@@ -267,7 +267,11 @@
 
     /// Takes in what the durable state holds for the group; the default if it
     /// holds nothing.
-    pub fn on_standing(&mut self, standing: &GroupState, now: Instant) -> Vec<ParticipantOutput> {
+    pub fn on_group_state(
+        &mut self,
+        standing: &GroupState,
+        now: Instant,
+    ) -> Vec<ParticipantOutput> {
         self.fencing = self.fencing.max(standing.fencing);
         let latest = standing.current.as_ref().map_or(0, |last| last.version);
         match &self.goal {
@@ -287,7 +291,7 @@
 
     /// Takes in the engine's answer to an order: its state after it, or
     /// `None` if the answer was lost or the order refused.
-    pub fn on_engine(
+    pub fn on_engine_state(
         &mut self,
         state: Option<EngineState>,
         now: Instant,
@@ -310,12 +314,12 @@
     /// asked for; so only reads go out until it must have come or gone.
     fn lost(&mut self, now: Instant) {
         self.engine = None;
-        self.read_at = now + self.timing.resend;
+        self.read_at = now + self.timing.resend_interval;
         if self.is_read {
             return;
         }
         self.unanswered = true;
-        self.quiet_until = Some(now + self.timing.ghost);
+        self.quiet_until = Some(now + self.timing.late_command_window);
         // It may have been refused for a number that is higher than any seen
         // here; the durable state knows it.
         self.ask(now);
@@ -335,8 +339,8 @@
             self.advance(now, &mut outputs);
         }
         if self.ask_at.is_some_and(|at| now >= at) {
-            self.ask_at = Some(now + self.timing.resend);
-            outputs.push(ParticipantOutput::Ask);
+            self.ask_at = Some(now + self.timing.resend_interval);
+            outputs.push(ParticipantOutput::ReadGroupState);
         }
         outputs
     }
--- a/crates/expert/src/participant_group_state.rs
+++ b/crates/expert/src/participant_group_state.rs
@@ -11,9 +11,9 @@
             return;
         };
         self.promised_in = engine.formation;
-        match (engine.staged, engine.held) {
+        match (engine.staged, engine.held_step) {
             // What such an engine has loaded stays there, in use or given up.
-            _ if engine.arming == Some(Arming::Unarmed) && engine.held.is_none() => {
+            _ if engine.arming == Some(Arming::Unarmed) && engine.held_step.is_none() => {
                 self.goal = Goal::Rest;
                 self.catch_up(standing, latest);
             }
--- a/crates/expert/src/participant_steps.rs
+++ b/crates/expert/src/participant_steps.rs
@@ -42,7 +42,7 @@
             && self.quiet_until.is_none()
         {
             self.order(order, now, outputs);
-        } else if self.engine.is_some() && now >= self.read_at + self.timing.resend {
+        } else if self.engine.is_some() && now >= self.read_at + self.timing.resend_interval {
             // The engine may restart at any time, whatever was asked of it.
             self.order(EngineCommand::Read, now, outputs);
         }
@@ -61,20 +61,20 @@
     fn order(&mut self, order: EngineCommand, now: Instant, outputs: &mut Vec<ParticipantOutput>) {
         self.engine = None;
         self.is_read = order == EngineCommand::Read;
-        self.order_until = Some(now + self.timing.order);
+        self.order_until = Some(now + self.timing.command_timeout);
         self.read_at = now;
-        outputs.push(ParticipantOutput::Order(order));
+        outputs.push(ParticipantOutput::Command(order));
     }
 
     /// Notices that the engine was started since it was last read: it has
     /// lost its maps and whatever it promised.
     fn heed_start(&mut self, engine: EngineState) {
-        if engine.waiting && !matches!(self.goal, Goal::Join { .. }) {
+        if engine.awaiting_join && !matches!(self.goal, Goal::Join { .. }) {
             self.goal = Goal::Join { standing: None };
         }
         // An order of before may have reached the engine after its start, and
         // it would keep a promise that nobody here knows of.
-        if !engine.waiting && engine.held.is_some() && self.goal == Goal::Rest {
+        if !engine.awaiting_join && engine.held_step.is_some() && self.goal == Goal::Rest {
             self.goal = Goal::Learn;
         }
     }
@@ -93,7 +93,7 @@
         now: Instant,
         outputs: &mut Vec<ParticipantOutput>,
     ) -> Option<EngineCommand> {
-        if !engine.waiting {
+        if !engine.awaiting_join {
             self.joined(standing);
             return None;
         }
@@ -110,8 +110,8 @@
         if self.join_in != Some(formation) || now >= self.open_at {
             self.join_in = Some(formation);
             self.goal = Goal::Join { standing: None };
-            self.open_at = now + self.timing.resend;
-            outputs.push(ParticipantOutput::Open { formation });
+            self.open_at = now + self.timing.resend_interval;
+            outputs.push(ParticipantOutput::OpenFencing { formation });
         }
         None
     }
@@ -139,7 +139,7 @@
         outputs: &mut Vec<ParticipantOutput>,
     ) -> Option<EngineCommand> {
         let version = attempt.version;
-        if !engine.waits {
+        if !engine.requires_join {
             // After a restart it would join on its start map while the others
             // run on this one.
             self.tell(attempt, ParticipantMessage::Refused { version }, outputs);
@@ -170,7 +170,7 @@
     ) -> Option<EngineCommand> {
         // From here on the outcome may be committed at any time, and the
         // message that tells it may be lost: the durable state is asked.
-        self.ask_at = Some(self.ask_at.unwrap_or(now + self.timing.resend));
+        self.ask_at = Some(self.ask_at.unwrap_or(now + self.timing.resend_interval));
         let version = attempt.version;
         if formation.is_some_and(|counted| engine.formation != Some(counted)) {
             // Engines that the coordinator doesn't know of step along.
@@ -221,7 +221,7 @@
             // switch began now, its outcome would displace this one before
             // the barrier, and this rank alone would skip this map.
             self.engine = None;
-            self.read_at = now + self.timing.resend;
+            self.read_at = now + self.timing.resend_interval;
             return None;
         }
         // What is decided holds under any later number too. Under its own it
--- a/crates/expert/src/planner.rs
+++ b/crates/expert/src/planner.rs
@@ -14,7 +14,7 @@
     /// What loading experts costs.
     pub cost: MoveCost,
     /// Windows over which a move is expected to go on paying.
-    pub horizon: f64,
+    pub horizon_windows: f64,
 }
 
 /// The search in one layer.
@@ -75,26 +75,32 @@
     ///         store_bytes_per_s: 1e9,
     ///         slowdown: 0.1,
     ///         store_price: 1.0,
-    ///         plan_bytes: u64::MAX,
+    ///         max_plan_bytes: u64::MAX,
     ///     },
-    ///     horizon: 12.0,
+    ///     horizon_windows: 12.0,
     /// };
     /// let plan = planner.plan(&map, &load, &Speeds::new(2, 1e-3));
     /// assert!(plan.after <= plan.before);
     /// ```
     #[must_use]
     pub fn plan(&self, map: &Map, load: &Load, speeds: &Speeds) -> Plan {
-        self.plan_within(map, load, speeds, usize::MAX)
+        self.plan_with_limit(map, load, speeds, usize::MAX)
     }
 
     /// As [`Planner::plan`], with at most `most_new` experts new to a rank in
     /// each layer, as some engines take no more at a time.
     #[must_use]
-    pub fn plan_within(&self, map: &Map, load: &Load, speeds: &Speeds, most_new: usize) -> Plan {
+    pub fn plan_with_limit(
+        &self,
+        map: &Map,
+        load: &Load,
+        speeds: &Speeds,
+        most_new: usize,
+    ) -> Plan {
         let shape = map.shape();
         let fits = (load.layers(), load.experts()) == (shape.layers(), shape.experts());
         if !fits || speeds.live().len() != shape.ranks() {
-            return Plan::stay(map);
+            return Plan::unchanged(map);
         }
         let cost = speeds.seconds_per_token();
         let mut delta = Delta::new(cost.len());
@@ -125,16 +131,16 @@
             after += layer.state.slowest().1;
             layer.state.store(&mut next, index);
         }
-        let loads = next.loads_after(map) as u64;
+        let loads = next.loads_from(map) as u64;
         Plan {
             is_change: next != *map,
             map: next,
             loads,
             repairs,
-            homeless,
+            unplaced: homeless,
             before,
             after,
-            even,
+            ideal: even,
             cost: self.cost.seconds() * loads_as_f64(loads),
         }
     }
@@ -142,7 +148,7 @@
     /// Least step time that a load must save in each window to pay.
     fn least_saved(&self) -> f64 {
         let cost = self.weights.moves * self.cost.seconds();
-        cost / (self.weights.skew * self.horizon).max(f64::MIN_POSITIVE)
+        cost / (self.weights.skew * self.horizon_windows).max(f64::MIN_POSITIVE)
     }
 
     /// Takes segments by gain for each load while they pay.
@@ -154,7 +160,7 @@
         }
         // Within a layer the ratio falls, so its segments stay in order.
         offers.sort_by(|a, b| b.1.ratio().total_cmp(&a.1.ratio()).then(a.0.cmp(&b.0)));
-        let mut budget = self.cost.plan_loads().saturating_sub(repairs);
+        let mut budget = self.cost.max_plan_loads().saturating_sub(repairs);
         let least = self.least_saved();
         for (index, segment) in offers {
             let loads = u64::from(segment.loads);
--- a/crates/expert/src/record/map_record.rs
+++ b/crates/expert/src/record/map_record.rs
@@ -28,7 +28,7 @@
             format,
             layers: narrow(shape.layers()),
             experts: narrow(shape.experts()),
-            slots_per_rank: narrow(shape.slots()),
+            slots_per_rank: narrow(shape.slots_per_rank()),
             hosts: shape.hosts().iter().map(|&host| u32::from(host)).collect(),
             slots: slots
                 .iter()
--- a/crates/expert/src/search/layer_state.rs
+++ b/crates/expert/src/search/layer_state.rs
@@ -30,7 +30,7 @@
         load: &'a [f64],
         cost: &'a [Option<f64>],
     ) -> LayerState<'a> {
-        let width = map.shape().slots();
+        let width = map.shape().slots_per_rank();
         let mut state = LayerState {
             width,
             slots: vec![NO_EXPERT; map.layer(layer).len()],
--- a/crates/expert/src/shape.rs
+++ b/crates/expert/src/shape.rs
@@ -5,7 +5,7 @@
 pub struct Shape {
     layers: u16,
     experts: u16,
-    slots: u16,
+    slots_per_rank: u16,
     hosts: Vec<u16>,
 }
 
@@ -18,11 +18,11 @@
     /// assert_eq!(shape.ranks(), 4);
     /// ```
     #[must_use]
-    pub fn new(layers: u16, experts: u16, slots: u16, hosts: Vec<u16>) -> Shape {
+    pub fn new(layers: u16, experts: u16, slots_per_rank: u16, hosts: Vec<u16>) -> Shape {
         Shape {
             layers,
             experts,
-            slots,
+            slots_per_rank,
             hosts,
         }
     }
@@ -32,7 +32,7 @@
     ///
     /// ```
     /// let shape = expert::Shape::with_spare(4, 128, 16, 1, 8);
-    /// assert_eq!(shape.slots(), 9);
+    /// assert_eq!(shape.slots_per_rank(), 9);
     /// ```
     #[must_use]
     pub fn with_spare(
@@ -48,8 +48,8 @@
     }
 
     /// The same dimensions on other hosts.
-    pub(crate) fn on_hosts(&self, hosts: Vec<u16>) -> Shape {
-        Shape::new(self.layers, self.experts, self.slots, hosts)
+    pub(crate) fn with_hosts(&self, hosts: Vec<u16>) -> Shape {
+        Shape::new(self.layers, self.experts, self.slots_per_rank, hosts)
     }
 
     /// Number of layers with experts.
@@ -66,8 +66,8 @@
 
     /// Number of slots a layer on each rank.
     #[must_use]
-    pub fn slots(&self) -> usize {
-        usize::from(self.slots)
+    pub fn slots_per_rank(&self) -> usize {
+        usize::from(self.slots_per_rank)
     }
 
     /// Number of ranks.
@@ -83,7 +83,7 @@
     }
 
     /// Slots of all ranks in one layer.
-    pub(crate) fn layer_slots(&self) -> usize {
-        self.ranks() * self.slots()
+    pub(crate) fn slots_per_layer(&self) -> usize {
+        self.ranks() * self.slots_per_rank()
     }
 }
--- a/crates/expert/src/switch_criteria.rs
+++ b/crates/expert/src/switch_criteria.rs
@@ -11,11 +11,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SwitchCriteria {
     /// Steps that take less are fast enough.
-    pub step: Duration,
+    pub slow_step: Duration,
     /// Steps are too slow if they are about to take as long.
-    pub soon: Duration,
+    pub projected_slow_step: Duration,
     /// Part of the time of the experts' work that a switch must save.
-    pub gain: f64,
+    pub min_gain: f64,
 }
 
 impl SwitchCriteria {
@@ -30,10 +30,10 @@
     /// use expert::{Load, Map, MoveCost, Planner, Shape, Speeds, SwitchCriteria, Weights};
     /// use std::time::Duration;
     ///
-    /// let need = SwitchCriteria {
-    ///     step: Duration::from_millis(66),
-    ///     soon: Duration::from_millis(90),
-    ///     gain: 0.08,
+    /// let criteria = SwitchCriteria {
+    ///     slow_step: Duration::from_millis(66),
+    ///     projected_slow_step: Duration::from_millis(90),
+    ///     min_gain: 0.08,
     /// };
     /// let map = Map::uniform(Shape::with_spare(1, 4, 2, 1, 1));
     /// let planner = Planner {
@@ -43,16 +43,16 @@
     ///         store_bytes_per_s: 1e9,
     ///         slowdown: 0.1,
     ///         store_price: 0.0,
-    ///         plan_bytes: u64::MAX,
+    ///         max_plan_bytes: u64::MAX,
     ///     },
-    ///     horizon: 6.0,
+    ///     horizon_windows: 6.0,
     /// };
     /// let plan = planner.plan(&map, &Load::new(1, 4), &Speeds::new(2, 1e-3));
-    /// assert!(!need.is_met(&plan, Some(Duration::from_millis(40))));
+    /// assert!(!criteria.should_switch(&plan, Some(Duration::from_millis(40))));
     /// ```
     #[must_use]
-    pub fn is_met(&self, plan: &Plan, step: Option<Duration>) -> bool {
-        let saves = plan.before > 0.0 && plan.after <= plan.before * (1.0 - self.gain);
+    pub fn should_switch(&self, plan: &Plan, step: Option<Duration>) -> bool {
+        let saves = plan.before > 0.0 && plan.after <= plan.before * (1.0 - self.min_gain);
         if !saves {
             return false;
         }
@@ -60,6 +60,7 @@
             return true;
         };
         let longer = plan.before / plan.after.max(f64::MIN_POSITIVE);
-        step >= self.step || step.as_secs_f64() * longer >= self.soon.as_secs_f64()
+        step >= self.slow_step
+            || step.as_secs_f64() * longer >= self.projected_slow_step.as_secs_f64()
     }
 }
--- a/crates/expert/src/switch_timing.rs
+++ b/crates/expert/src/switch_timing.rs
@@ -6,14 +6,14 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SwitchTiming {
     /// Before an unanswered message or question is sent again.
-    pub resend: Duration,
+    pub resend_interval: Duration,
     /// Time for staging or for holding before the switch is aborted.
-    pub attempt: Duration,
+    pub phase_timeout: Duration,
     /// Time without an answer after which an order to an engine is given up.
-    pub order: Duration,
+    pub command_timeout: Duration,
     /// How long after that it may still be obeyed. No other order is given
     /// in the meantime.
-    pub ghost: Duration,
+    pub late_command_window: Duration,
     /// Steps between the newest that is known to have run and the barrier.
     pub lead_steps: u64,
     /// Time that these steps may take; with slow steps they are fewer.
@@ -39,11 +39,11 @@
     ///     lead_time: Duration::from_millis(300),
     ///     ..SwitchTiming::default()
     /// };
-    /// assert_eq!(timing.lead(Some(Duration::from_millis(50))), 5);
-    /// assert_eq!(timing.lead(Some(Duration::from_millis(140))), 2);
+    /// assert_eq!(timing.barrier_lead(Some(Duration::from_millis(50))), 5);
+    /// assert_eq!(timing.barrier_lead(Some(Duration::from_millis(140))), 2);
     /// ```
     #[must_use]
-    pub fn lead(&self, step: Option<Duration>) -> u64 {
+    pub fn barrier_lead(&self, step: Option<Duration>) -> u64 {
         if self.lead_time == Duration::MAX {
             return self.lead_steps;
         }
@@ -58,10 +58,10 @@
 impl Default for SwitchTiming {
     fn default() -> SwitchTiming {
         SwitchTiming {
-            resend: Duration::from_millis(500),
-            attempt: Duration::from_mins(1),
-            order: Duration::from_secs(30),
-            ghost: Duration::from_secs(2),
+            resend_interval: Duration::from_millis(500),
+            phase_timeout: Duration::from_mins(1),
+            command_timeout: Duration::from_secs(30),
+            late_command_window: Duration::from_secs(2),
             lead_steps: 100,
             lead_time: Duration::MAX,
         }
--- a/crates/expert/tests/coordinator.rs
+++ b/crates/expert/tests/coordinator.rs
@@ -29,7 +29,7 @@
     coordinator.on_decided(DecideOutcome::Accepted(abort.clone()), now);
     coordinator.on_message(RANK, ParticipantMessage::Applied { version }, now);
     coordinator.set_step_time(step);
-    coordinator.begin(Bytes::from_static(b"a map"), Duration::ZERO, now);
+    coordinator.begin_switch(Bytes::from_static(b"a map"), Duration::ZERO, now);
     let staged = ParticipantMessage::Staged {
         version: version + 1,
         step: 100,
--- a/crates/expert/tests/decisions.rs
+++ b/crates/expert/tests/decisions.rs
@@ -86,7 +86,7 @@
     abort.map = Bytes::new();
     assert!(decisions.decide(GROUP, abort).is_accepted());
     decisions.decide(GROUP, commit(fencing, 3, 30));
-    let standing = decisions.current(GROUP).unwrap();
+    let standing = decisions.group_state(GROUP).unwrap();
     let version = |step| standing.in_force(step).map(|decision| decision.version);
     assert_eq!(version(9), None);
     assert_eq!(version(29), Some(1));
--- a/crates/expert/tests/participant.rs
+++ b/crates/expert/tests/participant.rs
@@ -8,10 +8,10 @@
 use std::time::{Duration, Instant};
 
 const TIMING: SwitchTiming = SwitchTiming {
-    resend: Duration::from_millis(10),
-    attempt: Duration::from_secs(1),
-    order: Duration::from_millis(50),
-    ghost: Duration::from_millis(50),
+    resend_interval: Duration::from_millis(10),
+    phase_timeout: Duration::from_secs(1),
+    command_timeout: Duration::from_millis(50),
+    late_command_window: Duration::from_millis(50),
     lead_steps: 10,
     lead_time: Duration::MAX,
 };
@@ -19,7 +19,7 @@
 /// An engine that runs steps.
 fn running() -> EngineState {
     EngineState {
-        waits: true,
+        requires_join: true,
         formation: Some(3),
         ..EngineState::default()
     }
@@ -45,7 +45,7 @@
 fn orders(outputs: &[ParticipantOutput]) -> Vec<&EngineCommand> {
     let mut orders = Vec::new();
     for output in outputs {
-        if let ParticipantOutput::Order(order) = output {
+        if let ParticipantOutput::Command(order) = output {
             orders.push(order);
         }
     }
@@ -63,10 +63,10 @@
 /// A participant that has read its engine and the durable state.
 fn ready(start: Instant) -> (Participant, Instant) {
     let mut participant = Participant::new(TIMING, start);
-    let now = start + TIMING.ghost;
+    let now = start + TIMING.late_command_window;
     participant.tick(now);
-    participant.on_engine(Some(running()), now);
-    participant.on_standing(&GroupState::default(), now);
+    participant.on_engine_state(Some(running()), now);
+    participant.on_group_state(&GroupState::default(), now);
     (participant, now)
 }
 
@@ -78,10 +78,10 @@
         staged: Some(1),
         ..running()
     };
-    participant.on_engine(Some(state), now);
+    participant.on_engine_state(Some(state), now);
     participant.on_message("a", hold(1, 1), now);
-    state.held = Some(20);
-    participant.on_engine(Some(state), now);
+    state.held_step = Some(20);
+    participant.on_engine_state(Some(state), now);
     (participant, now)
 }
 
@@ -94,8 +94,8 @@
     let (mut participant, now) = holding(Instant::now());
     let outputs = participant.on_message("b", stage(2, 2), now);
     assert!(orders(&outputs).is_empty());
-    let outputs = participant.tick(now + TIMING.resend);
-    assert!(outputs.contains(&ParticipantOutput::Ask));
+    let outputs = participant.tick(now + TIMING.resend_interval);
+    assert!(outputs.contains(&ParticipantOutput::ReadGroupState));
 }
 
 #[test]
@@ -148,7 +148,7 @@
         current: Some(decision),
         ..GroupState::default()
     };
-    participant.on_standing(&standing, now);
+    participant.on_group_state(&standing, now);
     let outputs = participant.on_message("a", stage(1, 4), now);
     assert!(orders(&outputs).is_empty());
 }
@@ -164,13 +164,13 @@
         orders(&outputs)[..],
         [EngineCommand::Stage { .. }]
     ));
-    participant.on_engine(None, now);
-    let later = now + TIMING.resend;
+    participant.on_engine_state(None, now);
+    let later = now + TIMING.resend_interval;
     let outputs = participant.tick(later);
     assert_eq!(orders(&outputs), [&EngineCommand::Read]);
-    let outputs = participant.on_engine(Some(running()), later);
+    let outputs = participant.on_engine_state(Some(running()), later);
     assert!(orders(&outputs).is_empty());
-    let outputs = participant.tick(later + TIMING.ghost);
+    let outputs = participant.tick(later + TIMING.late_command_window);
     assert!(matches!(
         orders(&outputs)[..],
         [EngineCommand::Stage { .. }]
@@ -189,7 +189,7 @@
         step: 20,
         ..running()
     };
-    participant.on_engine(Some(state), now);
+    participant.on_engine_state(Some(state), now);
     let outputs = participant.on_message("a", hold(1, 1), now);
     assert_eq!(
         answers(&outputs),
@@ -201,7 +201,7 @@
 /// An engine that was started and waits to join.
 fn started(formation: Option<u64>) -> EngineState {
     EngineState {
-        waiting: true,
+        awaiting_join: true,
         formation,
         ..running()
     }
@@ -231,7 +231,7 @@
 fn look(participant: &mut Participant, state: EngineState, now: Instant) -> Vec<ParticipantOutput> {
     let outputs = participant.tick(now);
     assert_eq!(orders(&outputs), [&EngineCommand::Read]);
-    participant.on_engine(Some(state), now)
+    participant.on_engine_state(Some(state), now)
 }
 
 #[test]
@@ -241,9 +241,9 @@
     // nothing of its promise. The switch may be committed at any moment, so a
     // number is opened first that shuts the commit out.
     let (mut participant, now) = holding(Instant::now());
-    let now = now + TIMING.resend;
+    let now = now + TIMING.resend_interval;
     let outputs = look(&mut participant, started(Some(4)), now);
-    assert_eq!(outputs, [ParticipantOutput::Open { formation: 4 }]);
+    assert_eq!(outputs, [ParticipantOutput::OpenFencing { formation: 4 }]);
     let outputs = participant.on_opened(4, &opened(), now);
     let join = EngineCommand::Join {
         fencing: 7,
@@ -259,8 +259,8 @@
         next: Some(2),
         ..running()
     };
-    participant.on_engine(Some(state), now);
-    let outputs = participant.on_message("b", stage(8, 3), now + TIMING.resend);
+    participant.on_engine_state(Some(state), now);
+    let outputs = participant.on_message("b", stage(8, 3), now + TIMING.resend_interval);
     assert!(answers(&outputs).is_empty());
     assert!(
         !orders(&outputs)
@@ -274,11 +274,11 @@
     // The group has not taken the engine in yet: a switch may still be
     // decided without it, so what stands now may not be the last word.
     let (mut participant, now) = ready(Instant::now());
-    let now = now + TIMING.resend;
+    let now = now + TIMING.resend_interval;
     assert!(look(&mut participant, started(None), now).is_empty());
-    let now = now + TIMING.resend;
+    let now = now + TIMING.resend_interval;
     let outputs = look(&mut participant, started(Some(4)), now);
-    assert_eq!(outputs, [ParticipantOutput::Open { formation: 4 }]);
+    assert_eq!(outputs, [ParticipantOutput::OpenFencing { formation: 4 }]);
 }
 
 #[test]
@@ -286,9 +286,9 @@
     // The engine restarts once more before the answer comes. A switch may
     // have been decided without it in between, so the answer is too old.
     let (mut participant, now) = ready(Instant::now());
-    let now = now + TIMING.resend;
+    let now = now + TIMING.resend_interval;
     look(&mut participant, started(Some(4)), now);
-    let now = now + TIMING.resend;
+    let now = now + TIMING.resend_interval;
     look(&mut participant, started(Some(6)), now);
     assert!(participant.on_opened(4, &opened(), now).is_empty());
     let outputs = participant.on_opened(6, &opened(), now);
@@ -309,7 +309,7 @@
         formation: Some(4),
         ..running()
     };
-    participant.on_engine(Some(state), now);
+    participant.on_engine_state(Some(state), now);
     let outputs = participant.on_message("a", hold(1, 1), now);
     assert_eq!(
         answers(&outputs),
@@ -323,10 +323,10 @@
     // start map. Only a group that stays on that map is safe with it.
     let (mut participant, now) = ready(Instant::now());
     let state = EngineState {
-        waits: false,
+        requires_join: false,
         ..running()
     };
-    let now = now + TIMING.resend;
+    let now = now + TIMING.resend_interval;
     look(&mut participant, state, now);
     let outputs = participant.on_message("a", stage(1, 1), now);
     assert_eq!(
@@ -345,9 +345,9 @@
         loading: Some(1),
         ..running()
     };
-    let outputs = participant.on_engine(Some(state), now);
+    let outputs = participant.on_engine_state(Some(state), now);
     assert!(outputs.is_empty());
-    let now = now + TIMING.resend;
+    let now = now + TIMING.resend_interval;
     let state = EngineState {
         staged: Some(1),
         ..running()
@@ -408,8 +408,8 @@
     let start = Instant::now();
     let (mut participant, now) = ready(start);
     participant.on_message("b", outcome(4, Verdict::Abort), now);
-    participant.on_engine(Some(armed_before()), now);
-    let told = participant.on_standing(&given_up_since(), now);
+    participant.on_engine_state(Some(armed_before()), now);
+    let told = participant.on_group_state(&given_up_since(), now);
     assert_eq!(answers(&told), []);
     let told = participant.on_message("b", outcome(4, Verdict::Abort), now);
     let applied = ParticipantMessage::Applied { version: 4 };
@@ -429,13 +429,13 @@
         arming: Some(Arming::Unarmed),
         ..running()
     };
-    participant.on_engine(Some(state), now);
+    participant.on_engine_state(Some(state), now);
     participant.on_message("a", hold(1, 1), now);
-    participant.on_engine(None, now);
-    let now = now + TIMING.ghost;
+    participant.on_engine_state(None, now);
+    let now = now + TIMING.late_command_window;
     let asked = participant.on_message("a", outcome(1, Verdict::Abort), now);
     assert_eq!(orders(&asked), [&EngineCommand::Read]);
-    let told = participant.on_engine(Some(state), now);
+    let told = participant.on_engine_state(Some(state), now);
     assert_eq!(answers(&told), []);
     let abort = EngineCommand::Outcome {
         fencing: 4,
@@ -444,7 +444,7 @@
         verdict: Verdict::Abort,
     };
     assert_eq!(orders(&told), [&abort]);
-    let told = participant.on_engine(Some(state), now);
+    let told = participant.on_engine_state(Some(state), now);
     assert_eq!(answers(&told), [ParticipantMessage::Applied { version: 1 }]);
 }
 
@@ -461,20 +461,20 @@
         arming: Some(Arming::Unarmed),
         ..running()
     };
-    participant.on_engine(Some(state), now);
+    participant.on_engine_state(Some(state), now);
     participant.on_message("a", hold(1, 1), now);
-    state.held = Some(20);
+    state.held_step = Some(20);
     state.arming = Some(Arming::Armed);
-    participant.on_engine(Some(state), now);
+    participant.on_engine_state(Some(state), now);
     participant.on_message("a", outcome(1, Verdict::Commit), now);
     let anew = EngineState {
         arming: Some(Arming::Unarmed),
         formation: Some(4),
         ..running()
     };
-    let told = participant.on_engine(Some(anew), now);
+    let told = participant.on_engine_state(Some(anew), now);
     assert_eq!(answers(&told), [ParticipantMessage::Applied { version: 1 }]);
-    let later = now + TIMING.resend * 3;
+    let later = now + TIMING.resend_interval * 3;
     let told = participant.tick(later);
     assert_eq!(orders(&told), [&EngineCommand::Read]);
 }
--- a/crates/expert/tests/planner.rs
+++ b/crates/expert/tests/planner.rs
@@ -15,14 +15,14 @@
     store_bytes_per_s: 1e9,
     slowdown: 0.1,
     store_price: 1.0,
-    plan_bytes: u64::MAX,
+    max_plan_bytes: u64::MAX,
 };
 
 fn planner(skew: f64, moves: f64) -> Planner {
     Planner {
         weights: Weights { skew, moves },
         cost: COST,
-        horizon: 12.0,
+        horizon_windows: 12.0,
     }
 }
 
@@ -68,7 +68,7 @@
     /// Whether the live ranks have a slot for each expert.
     fn fits(&self) -> bool {
         let live = self.speeds.live().iter().filter(|live| **live).count();
-        live * self.map.shape().slots() >= self.map.shape().experts()
+        live * self.map.shape().slots_per_rank() >= self.map.shape().experts()
     }
 }
 
@@ -90,7 +90,7 @@
             .iter()
             .filter(|fault| matches!(fault, MapFault::Missing { .. }))
             .count();
-        faults.len() == missing && missing as u64 == plan.homeless && (missing == 0 || !case.fits())
+        faults.len() == missing && missing as u64 == plan.unplaced && (missing == 0 || !case.fits())
     }
     check(property, 1);
 }
@@ -101,7 +101,7 @@
         let plan = planner(4.0, 1.0).plan(&case.map, &case.load, &case.speeds);
         let slack = 1e-9 * plan.before;
         // Without a slot for each expert, some of the load is nowhere.
-        let bounded = plan.homeless > 0 || plan.even <= plan.after + slack;
+        let bounded = plan.unplaced > 0 || plan.ideal <= plan.after + slack;
         plan.after <= plan.before + slack && bounded
     }
     check(property, 2);
@@ -112,7 +112,7 @@
     fn property(case: Case) -> bool {
         let planner = planner(1.0, 4.0);
         let plan = planner.plan(&case.map, &case.load, &case.speeds);
-        let gain = planner.weights.skew * planner.horizon * (plan.before - plan.after);
+        let gain = planner.weights.skew * planner.horizon_windows * (plan.before - plan.after);
         let chosen = u32::try_from(plan.loads.saturating_sub(plan.repairs)).unwrap();
         let price = planner.weights.moves * COST.seconds() * f64::from(chosen);
         gain >= price - 1e-6 * plan.before
@@ -136,7 +136,7 @@
 fn plan_bytes_limited() {
     fn property(case: Case) -> bool {
         let mut planner = planner(4.0, 1.0);
-        planner.cost.plan_bytes = 3 * COST.expert_bytes;
+        planner.cost.max_plan_bytes = 3 * COST.expert_bytes;
         let plan = planner.plan(&case.map, &case.load, &case.speeds);
         plan.loads <= plan.repairs.max(3)
     }
@@ -165,7 +165,7 @@
     map.clear_rank(Rank(2));
     let plan = planner(0.0, 1e9).plan(&map, &load, &speeds);
     assert!(plan.repairs > 0);
-    assert_eq!(plan.homeless, 2, "15 slots are left for 16 experts");
+    assert_eq!(plan.unplaced, 2, "15 slots are left for 16 experts");
 }
 
 #[test]
@@ -198,10 +198,10 @@
     let mut load = Load::new(1, 96);
     load.add(&[10_000; 96]);
     let mut speeds = Speeds::new(12, 1e-6);
-    let map = Map::in_turn(Shape::new(1, 96, 11, (0..12).collect()));
+    let map = Map::round_robin(Shape::new(1, 96, 11, (0..12).collect()));
     speeds.report_slowdown(5, 12.0);
-    let plan = planner(1.0, 0.01).plan_within(&map, &load, &speeds, 4);
-    assert!(plan.after < 1.1 * plan.even);
+    let plan = planner(1.0, 0.01).plan_with_limit(&map, &load, &speeds, 4);
+    assert!(plan.after < 1.1 * plan.ideal);
 }
 
 #[test]
--- a/crates/expert/tests/switch/engine.rs
+++ b/crates/expert/tests/switch/engine.rs
@@ -29,8 +29,8 @@
         Engine {
             state: EngineState {
                 step,
-                waits: true,
-                waiting: true,
+                requires_join: true,
+                awaiting_join: true,
                 ..EngineState::default()
             },
             check,
@@ -61,13 +61,13 @@
                 ..
             } => {
                 if self.state.staged == Some(*version) && self.state.step < *barrier_step {
-                    self.state.held = Some(*barrier_step);
+                    self.state.held_step = Some(*barrier_step);
                 }
             }
             EngineCommand::Join {
                 formation, maps, ..
             } => {
-                if self.state.waiting && self.state.formation == Some(*formation) {
+                if self.state.awaiting_join && self.state.formation == Some(*formation) {
                     self.join(maps);
                 }
             }
@@ -82,7 +82,7 @@
     }
 
     fn join(&mut self, maps: &[Decision]) {
-        self.state.waiting = false;
+        self.state.awaiting_join = false;
         for map in maps {
             if map.barrier_step <= self.state.step + 1 {
                 self.content = map.map.clone();
@@ -99,7 +99,7 @@
             return;
         }
         self.state.staged = None;
-        self.state.held = None;
+        self.state.held_step = None;
         if verdict == Verdict::Commit {
             self.state.next = Some(version);
             self.next = Some((barrier_step, std::mem::take(&mut self.staged)));
@@ -107,7 +107,7 @@
     }
 
     pub fn may_run(&self, step: u64) -> bool {
-        !self.state.waiting && self.state.held.is_none_or(|held| step < held)
+        !self.state.awaiting_join && self.state.held_step.is_none_or(|held| step < held)
     }
 
     /// Runs the next step and returns it.
--- a/crates/expert/tests/switch/main.rs
+++ b/crates/expert/tests/switch/main.rs
@@ -84,7 +84,7 @@
         }
         let contents: BTreeSet<_> = world.ran.values().flatten().collect();
         commits += contents.len().saturating_sub(1);
-        let standing = world.decisions.current("blank-advisor").unwrap();
+        let standing = world.decisions.group_state("blank-advisor").unwrap();
         aborts += usize::try_from(standing.next_version()).unwrap() - contents.len();
     }
     println!("{commits} maps came into use, {aborts} versions did not");
@@ -93,7 +93,7 @@
 
 /// Version of the newest committed map.
 fn newest(world: &World) -> u64 {
-    let standing = world.decisions.current("blank-advisor");
+    let standing = world.decisions.group_state("blank-advisor");
     let committed = standing.and_then(|standing| standing.committed.first());
     committed.map_or(0, |decision| decision.version)
 }
--- a/crates/expert/tests/switch/world.rs
+++ b/crates/expert/tests/switch/world.rs
@@ -65,10 +65,10 @@
 
 fn timing() -> SwitchTiming {
     SwitchTiming {
-        resend: Duration::from_millis(15),
-        attempt: Duration::from_millis(150),
-        order: Duration::from_millis(10),
-        ghost: Duration::from_millis(10),
+        resend_interval: Duration::from_millis(15),
+        phase_timeout: Duration::from_millis(150),
+        command_timeout: Duration::from_millis(10),
+        late_command_window: Duration::from_millis(10),
         lead_steps: 12,
         lead_time: Duration::MAX,
     }
@@ -166,7 +166,7 @@
         };
         let mut outputs = coordinator.tick(now);
         if begin {
-            outputs.extend(coordinator.begin(map, Duration::ZERO, now));
+            outputs.extend(coordinator.begin_switch(map, Duration::ZERO, now));
         }
         self.send(life, outputs);
     }
@@ -268,7 +268,7 @@
                 standing,
             } => {
                 if self.agents[rank].life == life {
-                    let outputs = self.agents[rank].participant.on_standing(&standing, now);
+                    let outputs = self.agents[rank].participant.on_group_state(&standing, now);
                     self.carry_out(rank, outputs);
                 }
             }
@@ -299,7 +299,7 @@
             } => {
                 let agent = &mut self.agents[rank];
                 if agent.life == life && agent.serial == serial {
-                    let outputs = agent.participant.on_engine(state, now);
+                    let outputs = agent.participant.on_engine_state(state, now);
                     self.carry_out(rank, outputs);
                 }
             }
@@ -331,7 +331,11 @@
                 self.post(Event::Decided { life, outcome });
             }
             Event::Ask { rank, life } => {
-                let standing = self.decisions.current(GROUP).cloned().unwrap_or_default();
+                let standing = self
+                    .decisions
+                    .group_state(GROUP)
+                    .cloned()
+                    .unwrap_or_default();
                 self.post(Event::Answer {
                     rank,
                     life,
@@ -344,7 +348,7 @@
 
     /// The agent refuses orders under a lower number than it has learnt.
     fn obey(&mut self, rank: usize, life: usize, order: &EngineCommand) -> Option<EngineState> {
-        let current = self.decisions.current(GROUP).map_or(0, |s| s.fencing);
+        let current = self.decisions.group_state(GROUP).map_or(0, |s| s.fencing);
         let agent = &mut self.agents[rank];
         if let Some(fencing) = fencing(order).filter(|_| agent.life == life) {
             let fence = agent.fence.get_or_insert(current);
@@ -367,7 +371,7 @@
     fn send(&mut self, life: usize, outputs: Vec<CoordinatorOutput>) {
         for output in outputs {
             match output {
-                CoordinatorOutput::Open => self.post(Event::Open { life }),
+                CoordinatorOutput::OpenCoordinator => self.post(Event::Open { life }),
                 CoordinatorOutput::Decide(decision) => self.post(Event::Decide { life, decision }),
                 CoordinatorOutput::Send { to, message } => self.post(Event::ToParticipant {
                     rank: to.parse().unwrap(),
@@ -385,18 +389,18 @@
         let life = self.agents[rank].life;
         for output in outputs {
             match output {
-                ParticipantOutput::Open { formation } => self.post(Event::OpenJoin {
+                ParticipantOutput::OpenFencing { formation } => self.post(Event::OpenJoin {
                     rank,
                     life,
                     formation,
                 }),
-                ParticipantOutput::Ask => self.post(Event::Ask { rank, life }),
+                ParticipantOutput::ReadGroupState => self.post(Event::Ask { rank, life }),
                 ParticipantOutput::Send { to, message } => self.post(Event::ToCoordinator {
                     life: to.parse().unwrap(),
                     from: rank,
                     message,
                 }),
-                ParticipantOutput::Order(order) => {
+                ParticipantOutput::Command(order) => {
                     self.serials += 1;
                     self.agents[rank].serial = self.serials;
                     let event = Event::Order {
