--- a/crates/expert/src/balance.rs
+++ b/crates/expert/src/balance.rs
@@ -1,13 +1,12 @@
-//! A map made anew for a load, without regard to any former map.
+//! Maps built from scratch for a load.
 
 use crate::search::NO_EXPERT;
 use crate::{ExpertId, Load, Map, Shape, Speeds};
 
 impl Map {
-    /// The map made anew for `load` by greedy replication and packing,
-    /// without regard to any former map: spare slots go one by one to the
-    /// expert with the most tokens for each copy, then the copies are packed
-    /// onto the least busy ranks, heaviest first.
+    /// Builds a map for `load` from scratch by greedy replication and packing.
+    /// Spare slots go one by one to the expert with the most tokens per copy,
+    /// then the copies are packed onto the least busy ranks, heaviest first.
     ///
     /// ```
     /// use expert::{Load, Map, Shape, Speeds};
@@ -33,23 +32,26 @@
     }
 }
 
-/// Copies of one layer's experts being packed onto ranks.
+/// State of packing the experts of one layer onto ranks.
 struct Packing<'a> {
-    width: usize,
+    slots_per_rank: usize,
+    /// Tokens of each expert.
     load: &'a [f64],
+    /// Seconds per token on each rank; `None` for a lost rank.
     cost: &'a [Option<f64>],
     slots: Vec<u16>,
-    time: Vec<f64>,
+    /// Seconds that each rank is busy.
+    busy: Vec<f64>,
 }
 
 impl<'a> Packing<'a> {
-    fn new(width: usize, load: &'a [f64], cost: &'a [Option<f64>]) -> Packing<'a> {
+    fn new(slots_per_rank: usize, load: &'a [f64], cost: &'a [Option<f64>]) -> Packing<'a> {
         Packing {
-            width,
+            slots_per_rank,
             load,
             cost,
-            slots: vec![NO_EXPERT; width * cost.len()],
-            time: vec![0.0; cost.len()],
+            slots: vec![NO_EXPERT; slots_per_rank * cost.len()],
+            busy: vec![0.0; cost.len()],
         }
     }
 
@@ -68,16 +70,17 @@
         self.slots
     }
 
-    /// Copies of each expert: one, and the spare slots to the hottest.
+    /// Number of copies of each expert: one each, and one for every spare
+    /// slot, which goes to the expert with the most tokens per copy.
     fn copies(&self) -> Vec<u32> {
         let live = self.cost.iter().flatten().count();
-        let slots = live * self.width;
+        let slots = live * self.slots_per_rank;
         let mut copies = vec![1; self.load.len()];
         let limit = u32::try_from(live).unwrap_or(u32::MAX);
         for _ in self.load.len()..slots {
             let share = |expert: usize| self.load[expert] / f64::from(copies[expert]);
-            let open = (0..copies.len()).filter(|&expert| copies[expert] < limit);
-            let hottest = open.max_by(|&a, &b| share(a).total_cmp(&share(b)).then(b.cmp(&a)));
+            let candidates = (0..copies.len()).filter(|&expert| copies[expert] < limit);
+            let hottest = candidates.max_by(|&a, &b| share(a).total_cmp(&share(b)).then(b.cmp(&a)));
             match hottest {
                 Some(expert) => copies[expert] += 1,
                 None => break,
@@ -87,26 +90,26 @@
     }
 
     fn rank_slots(&self, rank: usize) -> &[u16] {
-        &self.slots[rank * self.width..(rank + 1) * self.width]
+        &self.slots[rank * self.slots_per_rank..(rank + 1) * self.slots_per_rank]
     }
 
-    fn has_room(&self, rank: usize) -> bool {
+    fn has_free_slot(&self, rank: usize) -> bool {
         self.cost[rank].is_some() && self.rank_slots(rank).contains(&NO_EXPERT)
     }
 
-    /// Puts a copy on the rank that is done first with it. The last ranks
-    /// with room may all hold the expert already; then the copy is dropped,
-    /// unless it is the only one, which always finds room.
+    /// Places a copy on the rank that would finish first with it. If all ranks
+    /// with a free slot already hold the expert, the copy is dropped; an only
+    /// copy always finds a slot.
     fn place(&mut self, share: f64, expert: u16) {
-        let done = |rank: usize| self.time[rank] + share * self.cost[rank].unwrap_or(f64::MAX);
-        let open = (0..self.time.len())
-            .filter(|&rank| self.has_room(rank) && !self.rank_slots(rank).contains(&expert));
-        let Some(rank) = open.min_by(|&a, &b| done(a).total_cmp(&done(b))) else {
+        let finish = |rank: usize| self.busy[rank] + share * self.cost[rank].unwrap_or(f64::MAX);
+        let candidates = (0..self.busy.len())
+            .filter(|&rank| self.has_free_slot(rank) && !self.rank_slots(rank).contains(&expert));
+        let Some(rank) = candidates.min_by(|&a, &b| finish(a).total_cmp(&finish(b))) else {
             return;
         };
-        self.time[rank] = done(rank);
-        let start = rank * self.width;
-        let slots = &mut self.slots[start..start + self.width];
+        self.busy[rank] = finish(rank);
+        let start = rank * self.slots_per_rank;
+        let slots = &mut self.slots[start..start + self.slots_per_rank];
         if let Some(slot) = slots.iter_mut().find(|slot| **slot == NO_EXPERT) {
             *slot = expert;
         }
--- a/crates/expert/src/move_cost.rs
+++ b/crates/expert/src/move_cost.rs
@@ -1,27 +1,26 @@
-//! What loading experts costs.
+//! Cost of loading experts.
 
-/// What loading experts costs, and how much of it a plan may ask for.
+/// Cost of loading experts, and the limit for a single plan.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MoveCost {
-    /// Bytes of one expert of one layer.
+    /// Size of one expert of one layer, in bytes.
     pub expert_bytes: u64,
-    /// Rate limit of the weight store for this group, in bytes a second.
+    /// Rate limit of the weight store for this group, in bytes per second.
     pub store_bytes_per_s: f64,
     /// Share of step time lost while experts are loaded.
     pub slowdown: f64,
-    /// Seconds of step time that a second of the weight store is worth to
-    /// everyone else who loads from it.
+    /// Price of one second of the weight store's time, in seconds of step time:
+    /// what it is worth to the other groups that load from it.
     pub store_price: f64,
-    /// Most bytes that one plan may load, besides experts that no live rank
-    /// holds.
+    /// Maximum number of bytes that one plan may load. Experts that no live
+    /// rank holds are loaded even beyond it.
     pub max_plan_bytes: u64,
 }
 
 impl MoveCost {
-    /// Seconds that the weight store needs for one expert.
+    /// Seconds that the weight store needs to deliver one expert.
     #[must_use]
     pub fn load_seconds(&self) -> f64 {
-        // Exact up to 2^53 bytes, far beyond an expert.
         #[allow(clippy::cast_precision_loss, reason = "an expert is below 2^53 bytes")]
         let bytes = self.expert_bytes as f64;
         bytes / self.store_bytes_per_s
@@ -44,7 +43,7 @@
         self.load_seconds() * (self.slowdown + self.store_price)
     }
 
-    /// Loads that one plan may ask for.
+    /// Maximum number of experts that one plan may load.
     pub(crate) fn max_plan_loads(&self) -> u64 {
         self.max_plan_bytes / self.expert_bytes.max(1)
     }
--- a/crates/expert/src/plan.rs
+++ b/crates/expert/src/plan.rs
@@ -1,28 +1,30 @@
-//! A map worth switching to, or the one to stay on.
+//! Result of planning.
 
 use crate::Map;
 
-/// A map worth switching to, or the one to stay on.
+/// Result of planning: a map worth switching to, or the current map.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The map; what was planned from if no move pays.
+    /// The planned map; the current one if no move pays off.
     pub map: Map,
-    /// Whether that map is another one than before.
+    /// Whether the planned map differs from the current one.
     pub is_change: bool,
-    /// Experts that the ranks have to load.
+    /// Number of experts that the ranks have to load.
     pub loads: u64,
-    /// Of these, experts that no live rank held.
+    /// Number of these that no live rank held before.
     pub repairs: u64,
-    /// Experts for which no slot is left: the group can't run without them.
+    /// Number of experts for which no slot is left. The group can't run without
+    /// them.
     pub unplaced: u64,
-    /// Expected step time of a window on the present map, in seconds; of the
+    /// Expected step time of a window on the current map, in seconds; on the
     /// repaired map if repairs were needed.
     pub before: f64,
-    /// Expected step time of a window on the new map, in seconds.
+    /// Expected step time of a window on the planned map, in seconds.
     pub after: f64,
-    /// Step time of a window if the load could be split as one likes.
+    /// Step time of a window if the load could be split perfectly evenly, in
+    /// seconds.
     pub ideal: f64,
-    /// What loading costs, in seconds of step time.
+    /// Cost of the loads, in seconds of step time.
     pub cost: f64,
 }
 
--- a/crates/expert/src/planner.rs
+++ b/crates/expert/src/planner.rs
@@ -1,44 +1,45 @@
-//! Which moves of experts pay.
+//! Selection of the expert moves that pay off.
 
 use crate::search::{Chain, Delta, LayerState, Segment};
 use crate::{Load, Map, MoveCost, Plan, Speeds, Weights};
 
-/// Which moves of experts pay.
+/// Selects the expert moves that pay off.
 ///
-/// A move pays if the step time that it is expected to save over the horizon,
-/// times the weight of skew, is more than its cost times the weight of moves.
+/// A move pays off if the step time that it is expected to save over the
+/// horizon, times the weight of skew, exceeds its cost times the weight of
+/// moves.
 #[derive(Clone, Copy, Debug)]
 pub struct Planner {
-    /// Weights from the release note.
+    /// Weights of step time and of moves.
     pub weights: Weights,
-    /// What loading experts costs.
+    /// Cost of loading experts.
     pub cost: MoveCost,
-    /// Windows over which a move is expected to go on paying.
+    /// Number of windows over which a move is expected to save step time.
     pub horizon_windows: f64,
 }
 
-/// The search in one layer.
+/// The moves found and selected for one layer.
 struct LayerPlan<'a> {
     state: LayerState<'a>,
     chain: Chain,
-    /// Number of moves of the chain that are taken.
-    taken: usize,
+    /// Number of moves of the chain that are selected, from its start.
+    selected: usize,
 }
 
 impl LayerPlan<'_> {
-    /// Takes fewer moves, until no rank gets more new experts than it takes.
-    fn shorten(&mut self, map: &Map, layer: usize, most_new: usize, delta: &mut Delta) {
+    /// Selects fewer moves until no rank gets more than `max_new` new experts.
+    fn limit_new(&mut self, map: &Map, layer: usize, max_new: usize, delta: &mut Delta) {
         let mut ends: Vec<usize> = self.chain.segments().iter().map(|s| s.end).collect();
-        while self.taken > 0 && self.most_new(map, layer, delta) > most_new {
-            ends.retain(|end| *end < self.taken);
-            self.taken = ends.pop().unwrap_or(self.taken - 1);
+        while self.selected > 0 && self.max_new_experts(map, layer, delta) > max_new {
+            ends.retain(|end| *end < self.selected);
+            self.selected = ends.pop().unwrap_or(self.selected - 1);
         }
     }
 
-    /// Most experts that are new to one rank.
-    fn most_new(&self, map: &Map, layer: usize, delta: &mut Delta) -> usize {
+    /// Largest number of experts that are new to a rank.
+    fn max_new_experts(&self, map: &Map, layer: usize, delta: &mut Delta) -> usize {
         let mut state = self.state.clone();
-        for &candidate in &self.chain.moves[..self.taken] {
+        for &candidate in &self.chain.moves[..self.selected] {
             state.apply(candidate, delta);
         }
         let mut next = map.clone();
@@ -55,12 +56,13 @@
 }
 
 impl Planner {
-    /// Plans the next map for the load expected and the ranks that run.
+    /// Plans the next map for the expected load and the live ranks.
     ///
-    /// Experts that no live rank holds are placed first and whatever they
-    /// cost. Then moves are taken by their gain for each load, as long as
-    /// they pay and the plan's bytes allow. A load or speeds of other
-    /// dimensions than the map's change nothing.
+    /// Experts that no live rank holds are placed first, at any cost. Then
+    /// moves are selected in the order of their gain per loaded expert, as long
+    /// as they pay off and [`MoveCost::max_plan_bytes`] allows. If the
+    /// dimensions of the load or of the speeds differ from those of the map,
+    /// the plan is the unchanged map.
     ///
     /// ```
     /// use expert::{Load, Map, MoveCost, Planner, Shape, Speeds, Weights};
@@ -87,45 +89,39 @@
         self.plan_with_limit(map, load, speeds, usize::MAX)
     }
 
-    /// As [`Planner::plan`], with at most `most_new` experts new to a rank in
-    /// each layer, as some engines take no more at a time.
+    /// Like [`Planner::plan`], but with at most `max_new` new experts on each
+    /// rank in each layer, because some engines accept no more at a time.
     #[must_use]
-    pub fn plan_with_limit(
-        &self,
-        map: &Map,
-        load: &Load,
-        speeds: &Speeds,
-        most_new: usize,
-    ) -> Plan {
+    pub fn plan_with_limit(&self, map: &Map, load: &Load, speeds: &Speeds, max_new: usize) -> Plan {
         let shape = map.shape();
-        let fits = (load.layers(), load.experts()) == (shape.layers(), shape.experts());
-        if !fits || speeds.live().len() != shape.ranks() {
+        let matches = (load.layers(), load.experts()) == (shape.layers(), shape.experts());
+        if !matches || speeds.live().len() != shape.ranks() {
             return Plan::unchanged(map);
         }
         let cost = speeds.seconds_per_token();
         let mut delta = Delta::new(cost.len());
-        let (mut repairs, mut homeless) = (0, 0);
+        let (mut repairs, mut unplaced) = (0, 0);
         let mut layers = Vec::with_capacity(load.layers());
         for layer in 0..load.layers() {
             let mut state = LayerState::new(map, layer, load.layer(layer), &cost);
-            let (placed, left) = state.repair(&mut delta);
+            let (placed, not_placed) = state.repair(&mut delta);
             repairs += placed;
-            homeless += left;
-            let chain = Chain::search(state.clone(), self.least_saved(), &mut delta);
+            unplaced += not_placed;
+            let chain = Chain::search(state.clone(), self.min_saved(), &mut delta);
             layers.push(LayerPlan {
                 state,
                 chain,
-                taken: 0,
+                selected: 0,
             });
         }
         let before = layers.iter().map(|layer| layer.state.slowest().1).sum();
-        let even = layers.iter().map(|layer| layer.state.even_time()).sum();
-        self.take(&mut layers, repairs);
+        let ideal = layers.iter().map(|layer| layer.state.ideal_time()).sum();
+        self.select(&mut layers, repairs);
         let mut next = map.clone();
         let mut after = 0.0;
         for (index, layer) in layers.iter_mut().enumerate() {
-            layer.shorten(map, index, most_new, &mut delta);
-            for &candidate in &layer.chain.moves[..layer.taken] {
+            layer.limit_new(map, index, max_new, &mut delta);
+            for &candidate in &layer.chain.moves[..layer.selected] {
                 layer.state.apply(candidate, &mut delta);
             }
             after += layer.state.slowest().1;
@@ -137,38 +133,45 @@
             map: next,
             loads,
             repairs,
-            unplaced: homeless,
+            unplaced,
             before,
             after,
-            ideal: even,
+            ideal,
             cost: self.cost.seconds() * loads_as_f64(loads),
         }
     }
 
-    /// Least step time that a load must save in each window to pay.
-    fn least_saved(&self) -> f64 {
+    /// Step time, in seconds, that each loaded expert must save per window to
+    /// pay off.
+    fn min_saved(&self) -> f64 {
         let cost = self.weights.moves * self.cost.seconds();
         cost / (self.weights.skew * self.horizon_windows).max(f64::MIN_POSITIVE)
     }
 
-    /// Takes segments by gain for each load while they pay.
-    fn take(&self, layers: &mut [LayerPlan<'_>], repairs: u64) {
-        let mut offers: Vec<(usize, Segment)> = Vec::new();
+    /// Selects segments in the order of their gain per loaded expert while they
+    /// pay off and fit the byte limit.
+    fn select(&self, layers: &mut [LayerPlan<'_>], repairs: u64) {
+        let mut candidates: Vec<(usize, Segment)> = Vec::new();
         for (index, layer) in layers.iter().enumerate() {
             let segments = layer.chain.segments().into_iter();
-            offers.extend(segments.map(|segment| (index, segment)));
+            candidates.extend(segments.map(|segment| (index, segment)));
         }
-        // Within a layer the ratio falls, so its segments stay in order.
-        offers.sort_by(|a, b| b.1.ratio().total_cmp(&a.1.ratio()).then(a.0.cmp(&b.0)));
+        // The gain per load decreases within a layer, so its segments keep their
+        // order.
+        candidates.sort_by(|a, b| {
+            b.1.gain_per_load()
+                .total_cmp(&a.1.gain_per_load())
+                .then(a.0.cmp(&b.0))
+        });
         let mut budget = self.cost.max_plan_loads().saturating_sub(repairs);
-        let least = self.least_saved();
-        for (index, segment) in offers {
+        let min_saved = self.min_saved();
+        for (index, segment) in candidates {
             let loads = u64::from(segment.loads);
-            if segment.ratio() <= least || loads > budget {
+            if segment.gain_per_load() <= min_saved || loads > budget {
                 break;
             }
             budget -= loads;
-            layers[index].taken = segment.end;
+            layers[index].selected = segment.end;
         }
     }
 }
--- a/crates/expert/src/search/chain.rs
+++ b/crates/expert/src/search/chain.rs
@@ -1,69 +1,70 @@
-//! A sequence of moves for one layer, and which part of it to carry out.
+//! A sequence of moves for one layer.
 
 use crate::search::{Candidate, LayerState, delta::Delta, kick::kick, moves};
 
-/// Longest chain, so that planning ends whatever the load.
-const LONGEST: usize = 512;
+/// Maximum number of moves, which bounds the planning time for any load.
+const MAX_MOVES: usize = 512;
 
-/// Moves at the end of a chain that are looked at together: if they save far
-/// less than pays, so will those after them.
-const TAIL: usize = 16;
+/// Number of moves at the end of a chain that are assessed together: if they
+/// save far less than would pay off, so will the moves after them.
+const TAIL_MOVES: usize = 16;
 
-/// Share of what pays that the tail must save for the search to go on.
-const TAIL_SHARE: f64 = 0.5;
+/// Share of the saving that pays off that the tail must reach for the search
+/// to continue.
+const MIN_TAIL_SHARE: f64 = 0.5;
 
-/// Most kicks in one chain.
-const KICKS: usize = 32;
+/// Maximum number of kicks in one chain.
+const MAX_KICKS: usize = 32;
 
-/// A sequence of moves for one layer, each made for the state that the
-/// former leave.
+/// A sequence of moves for one layer, each chosen in the state that the
+/// previous moves lead to.
 #[derive(Debug)]
 pub(crate) struct Chain {
     pub(crate) moves: Vec<Candidate>,
-    /// Time of the layer after each number of moves, from none on.
+    /// Time of the layer after the first `n` moves, by `n` from 0.
     times: Vec<f64>,
-    /// Loads needed for each number of moves.
+    /// Number of loads that the first `n` moves need, by `n` from 0.
     loads: Vec<u32>,
 }
 
-/// Moves of one chain that are carried out together or not at all: a single
-/// one may show no gain until the next rank is relieved too.
+/// Consecutive moves of a chain that are carried out together or not at all,
+/// since a single move may gain nothing until the next rank is relieved too.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Segment {
-    /// Number of moves of the chain, counted from its start.
+    /// Index in the chain of the first move after the segment.
     pub(crate) end: usize,
-    /// Step time saved in a window, in seconds.
+    /// Step time saved per window, in seconds.
     pub(crate) saved: f64,
     pub(crate) loads: u32,
 }
 
 impl Segment {
-    /// Gain for each load.
-    pub(crate) fn ratio(&self) -> f64 {
+    /// Step time saved per loaded expert.
+    pub(crate) fn gain_per_load(&self) -> f64 {
         self.saved / f64::from(self.loads.max(1))
     }
 }
 
 impl Chain {
-    /// Moves until nothing helps, or until even a perfect split could not
-    /// save `least_saved` seconds more.
-    pub(crate) fn search(mut state: LayerState<'_>, least_saved: f64, delta: &mut Delta) -> Chain {
-        let even = state.even_time();
+    /// Searches for moves until none helps, or until even a perfectly even
+    /// split could not save another `min_saved` seconds.
+    pub(crate) fn search(mut state: LayerState<'_>, min_saved: f64, delta: &mut Delta) -> Chain {
+        let ideal = state.ideal_time();
         let mut chain = Chain {
             moves: Vec::new(),
             times: vec![state.slowest().1],
             loads: vec![0],
         };
         let (mut time, mut loads, mut kicks) = (state.slowest().1, 0, 0);
-        while chain.moves.len() < LONGEST
-            && time - even > least_saved
-            && chain.tail_pays(least_saved)
+        while chain.moves.len() < MAX_MOVES
+            && time - ideal > min_saved
+            && chain.tail_pays(min_saved)
         {
-            let next = if let Some(candidate) = moves::best(&state, moves::FEW, delta)
+            let next = if let Some(candidate) = moves::best(&state, moves::SHORTLIST, delta)
                 .or_else(|| moves::best(&state, usize::MAX, delta))
             {
                 vec![candidate]
-            } else if kicks < KICKS
+            } else if kicks < MAX_KICKS
                 && let Some(moves) = kick(&state, delta)
             {
                 kicks += 1;
@@ -83,30 +84,31 @@
         chain
     }
 
-    /// Whether the last moves still save enough for each load.
-    fn tail_pays(&self, least_saved: f64) -> bool {
-        let Some(from) = self.moves.len().checked_sub(TAIL) else {
+    /// Whether the last moves still save enough per loaded expert.
+    fn tail_pays(&self, min_saved: f64) -> bool {
+        let Some(from) = self.moves.len().checked_sub(TAIL_MOVES) else {
             return true;
         };
         let end = self.moves.len();
         let saved = self.times[from] - self.times[end];
         let loads = f64::from(self.loads[end] - self.loads[from]);
-        saved > TAIL_SHARE * least_saved * loads
+        saved > MIN_TAIL_SHARE * min_saved * loads
     }
 
-    /// The chain cut at the corners of its lower convex hull of time over
-    /// loads: the gain for each load falls from one segment to the next.
+    /// The chain split at the vertices of the lower convex hull of time over
+    /// loads, so that the gain per load decreases from one segment to the next.
     pub(crate) fn segments(&self) -> Vec<Segment> {
         let mut segments = Vec::new();
         let mut from = 0;
-        while let Some(segment) = self.steepest(from) {
+        while let Some(segment) = self.next_segment(from) {
             from = segment.end;
             segments.push(segment);
         }
         segments
     }
 
-    fn steepest(&self, from: usize) -> Option<Segment> {
+    /// The segment from move `from` with the largest gain per load.
+    fn next_segment(&self, from: usize) -> Option<Segment> {
         let mut best: Option<Segment> = None;
         for end in from + 1..self.times.len() {
             let segment = Segment {
@@ -114,8 +116,8 @@
                 saved: self.times[from] - self.times[end],
                 loads: self.loads[end] - self.loads[from],
             };
-            let least = best.map_or(0.0, |best| best.ratio());
-            if segment.ratio() > least {
+            let best_gain = best.map_or(0.0, |best| best.gain_per_load());
+            if segment.gain_per_load() > best_gain {
                 best = Some(segment);
             }
         }
--- a/crates/expert/src/search/delta.rs
+++ b/crates/expert/src/search/delta.rs
@@ -1,47 +1,47 @@
-//! Changes of rank times that a candidate would cause.
+//! Changes in rank times caused by a candidate.
 
-/// Changes of rank times that a candidate would cause.
+/// Changes in rank times caused by a candidate.
 ///
-/// Kept between candidates, so that trying one allocates nothing.
+/// Reused across candidates to avoid an allocation for each.
 #[derive(Debug)]
 pub(crate) struct Delta {
-    by_rank: Vec<f64>,
-    listed: Vec<bool>,
-    touched: Vec<u16>,
+    seconds: Vec<f64>,
+    is_changed: Vec<bool>,
+    changed: Vec<u16>,
 }
 
 impl Delta {
     pub(crate) fn new(ranks: usize) -> Delta {
         Delta {
-            by_rank: vec![0.0; ranks],
-            listed: vec![false; ranks],
-            touched: Vec::with_capacity(ranks),
+            seconds: vec![0.0; ranks],
+            is_changed: vec![false; ranks],
+            changed: Vec::with_capacity(ranks),
         }
     }
 
     pub(crate) fn add(&mut self, rank: u16, seconds: f64) {
         let index = usize::from(rank);
-        if !self.listed[index] {
-            self.listed[index] = true;
-            self.touched.push(rank);
+        if !self.is_changed[index] {
+            self.is_changed[index] = true;
+            self.changed.push(rank);
         }
-        self.by_rank[index] += seconds;
+        self.seconds[index] += seconds;
     }
 
-    /// Forgets all changes.
+    /// Removes all changes.
     pub(crate) fn clear(&mut self) {
-        for &rank in &self.touched {
-            self.by_rank[usize::from(rank)] = 0.0;
-            self.listed[usize::from(rank)] = false;
+        for &rank in &self.changed {
+            self.seconds[usize::from(rank)] = 0.0;
+            self.is_changed[usize::from(rank)] = false;
         }
-        self.touched.clear();
+        self.changed.clear();
     }
 
-    /// Ranks whose time changes, with the change.
+    /// Ranks whose time changes, with the change in seconds.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (usize, f64)> {
-        self.touched.iter().map(|&rank| {
+        self.changed.iter().map(|&rank| {
             let rank = usize::from(rank);
-            (rank, self.by_rank[rank])
+            (rank, self.seconds[rank])
         })
     }
 }
--- a/crates/expert/src/search/layer_state.rs
+++ b/crates/expert/src/search/layer_state.rs
@@ -1,4 +1,4 @@
-//! The slots of one layer with the rank times that follow from them.
+//! The slots of one layer and the resulting rank times.
 
 use crate::search::{Candidate, delta::Delta};
 use crate::{ExpertId, Map};
@@ -6,20 +6,20 @@
 /// Marks an empty slot.
 pub(crate) const NO_EXPERT: u16 = u16::MAX;
 
-/// The slots of one layer with the rank times that follow from them.
+/// The slots of one layer and the resulting rank times.
 #[derive(Clone, Debug)]
 pub(crate) struct LayerState<'a> {
-    /// Slots of each rank.
-    pub(crate) width: usize,
+    /// Number of slots of each rank.
+    pub(crate) slots_per_rank: usize,
     /// Expert of each slot, by rank.
     pub(crate) slots: Vec<u16>,
     /// Tokens of each expert.
     pub(crate) load: &'a [f64],
-    /// Seconds for a token on each rank, `None` for a lost rank.
+    /// Seconds per token on each rank; `None` for a lost rank.
     pub(crate) cost: &'a [Option<f64>],
     /// Live ranks that hold each expert.
     pub(crate) holders: Vec<Vec<u16>>,
-    /// Seconds that each rank is busy with this layer.
+    /// Seconds that each rank takes for this layer in a window.
     pub(crate) time: Vec<f64>,
 }
 
@@ -30,9 +30,9 @@
         load: &'a [f64],
         cost: &'a [Option<f64>],
     ) -> LayerState<'a> {
-        let width = map.shape().slots_per_rank();
+        let slots_per_rank = map.shape().slots_per_rank();
         let mut state = LayerState {
-            width,
+            slots_per_rank,
             slots: vec![NO_EXPERT; map.layer(layer).len()],
             load,
             cost,
@@ -43,7 +43,7 @@
             let Some(ExpertId(expert)) = *expert else {
                 continue;
             };
-            let rank = slot / width;
+            let rank = slot / slots_per_rank;
             if cost[rank].is_some() && usize::from(expert) < load.len() {
                 state.slots[slot] = expert;
                 state.holders[usize::from(expert)].push(rank_number(rank));
@@ -71,8 +71,11 @@
         }
     }
 
-    /// Tokens of each of `copies` copies.
-    #[allow(clippy::cast_precision_loss, reason = "copies are at most the ranks")]
+    /// Tokens of each copy if the expert has `copies` copies.
+    #[allow(
+        clippy::cast_precision_loss,
+        reason = "there are at most as many copies as ranks"
+    )]
     pub(crate) fn share(&self, expert: usize, copies: usize) -> f64 {
         self.load[expert] / copies.max(1) as f64
     }
@@ -82,7 +85,7 @@
     }
 
     pub(crate) fn rank_of(&self, slot: usize) -> u16 {
-        rank_number(slot / self.width)
+        rank_number(slot / self.slots_per_rank)
     }
 
     pub(crate) fn is_live(&self, rank: usize) -> bool {
@@ -90,15 +93,15 @@
     }
 
     pub(crate) fn holds(&self, rank: u16, expert: u16) -> bool {
-        let start = usize::from(rank) * self.width;
-        self.slots[start..start + self.width].contains(&expert)
+        let start = usize::from(rank) * self.slots_per_rank;
+        self.slots[start..start + self.slots_per_rank].contains(&expert)
     }
 
     pub(crate) fn copies(&self, expert: u16) -> usize {
         self.holders[usize::from(expert)].len()
     }
 
-    /// Whether the slot's expert can go without being lost.
+    /// Whether the slot is empty or holds an expert with further copies.
     pub(crate) fn is_spare(&self, slot: usize) -> bool {
         let expert = self.slots[slot];
         expert == NO_EXPERT || self.copies(expert) >= 2
@@ -111,20 +114,20 @@
             .filter(|&(rank, _)| self.is_live(rank))
             .fold(
                 (0, 0.0),
-                |worst, next| {
-                    if next.1 > worst.1 { next } else { worst }
+                |slowest, next| {
+                    if next.1 > slowest.1 { next } else { slowest }
                 },
             )
     }
 
-    /// Time of every rank if the load could be split as one likes.
-    pub(crate) fn even_time(&self) -> f64 {
+    /// Time of each rank if the load could be split perfectly evenly.
+    pub(crate) fn ideal_time(&self) -> f64 {
         let speed: f64 = self.cost.iter().flatten().map(|cost| 1.0 / cost).sum();
         let total: f64 = self.load.iter().sum();
         if speed > 0.0 { total / speed } else { 0.0 }
     }
 
-    /// Collects into `delta` what `candidate` changes.
+    /// Stores in `delta` the changes in rank times that `candidate` causes.
     pub(crate) fn measure(&self, candidate: Candidate, delta: &mut Delta) {
         delta.clear();
         match candidate {
@@ -170,7 +173,7 @@
         delta.add(rank, share * self.rank_cost(rank));
     }
 
-    /// Carries out `candidate`.
+    /// Applies `candidate`; `delta` is scratch space.
     pub(crate) fn apply(&mut self, candidate: Candidate, delta: &mut Delta) {
         self.measure(candidate, delta);
         for (rank, change) in delta.iter() {
@@ -206,7 +209,7 @@
     }
 }
 
-/// Ranks are numbered by `u16` throughout.
+/// Rank numbers are `u16` throughout.
 fn rank_number(rank: usize) -> u16 {
     u16::try_from(rank).unwrap_or(u16::MAX)
 }
--- a/crates/expert/src/search/mod.rs
+++ b/crates/expert/src/search/mod.rs
@@ -1,4 +1,4 @@
-//! Search for better placements within one layer.
+//! Local search for better placements within one layer.
 
 mod candidate;
 mod chain;
--- a/crates/expert/src/search/moves.rs
+++ b/crates/expert/src/search/moves.rs
@@ -1,46 +1,49 @@
-//! The candidate that relieves the slowest rank best.
+//! Selection of the move that relieves the slowest rank most.
 
 use crate::search::{Candidate, LayerState, NO_EXPERT, delta::Delta};
 
-/// Ranks, least busy first, that are tried as takers of load at first.
-pub(crate) const FEW: usize = 16;
+/// Number of least busy ranks that are tried first as receivers of load.
+pub(crate) const SHORTLIST: usize = 16;
 
-/// Relief below this share of the slowest rank's time is taken for none.
-const LEAST_RELIEF: f64 = 1e-6;
+/// Score, relative to the slowest rank, below which a candidate is not an
+/// improvement.
+const MIN_SCORE: f64 = 1e-6;
 
-/// A candidate with its score.
+/// The best candidate so far, with its score.
 type Best = Option<(f64, Candidate)>;
 
-/// The candidate that relieves the slowest rank best for each load.
+/// The candidate that relieves the slowest rank most per loaded expert, with
+/// the `count` least busy ranks as possible receivers of load.
 ///
-/// The slowest rank alone sets the time of the layer, but two may be equally
-/// slow, and then relieving one changes nothing yet. Candidates are therefore
-/// compared by the drop of the sum of the eighth powers of the rank times,
-/// which is ruled by the slowest ranks and still falls with each of them.
+/// The time of the layer is that of the slowest rank, but two ranks may be
+/// equally slow, so that relieving one of them changes nothing yet. Candidates
+/// are therefore scored by the decrease of the sum of the eighth powers of the
+/// rank times. The slowest ranks dominate it, and it decreases with each of
+/// them.
 pub(crate) fn best(state: &LayerState<'_>, count: usize, delta: &mut Delta) -> Option<Candidate> {
     let (slowest, limit) = state.slowest();
     if limit <= 0.0 {
         return None;
     }
     let mut best = None;
-    let takers = takers(state, slowest, count);
-    let start = slowest * state.width;
-    for slot in start..start + state.width {
+    let receivers = receivers(state, slowest, count);
+    let start = slowest * state.slots_per_rank;
+    for slot in start..start + state.slots_per_rank {
         if state.slots[slot] != NO_EXPERT {
-            for &taker in &takers {
-                try_taker(state, slot, taker, limit, delta, &mut best);
+            for &receiver in &receivers {
+                try_receiver(state, slot, receiver, limit, delta, &mut best);
             }
         }
         if state.slots[slot] != NO_EXPERT && state.is_spare(slot) {
             consider(state, Candidate::Drop { slot }, limit, delta, &mut best);
-            try_replacing(state, slot, limit, delta, &mut best);
+            try_replace(state, slot, limit, delta, &mut best);
         }
     }
     best.map(|(_, candidate)| candidate)
 }
 
-/// The least busy live ranks.
-fn takers(state: &LayerState<'_>, slowest: usize, count: usize) -> Vec<usize> {
+/// The `count` least busy live ranks without the slowest one, least busy first.
+fn receivers(state: &LayerState<'_>, slowest: usize, count: usize) -> Vec<usize> {
     let mut ranks: Vec<usize> = (0..state.time.len())
         .filter(|&rank| rank != slowest && state.is_live(rank))
         .collect();
@@ -53,43 +56,44 @@
     ranks
 }
 
-/// Tries to give the load of `slot` to `taker`: as a further copy in place
-/// of something spare, or in exchange for one of its experts.
-fn try_taker(
+/// Tries to move load of `slot` to `receiver`: by a further copy in place of a
+/// spare one, or in exchange for one of its experts.
+fn try_receiver(
     state: &LayerState<'_>,
     slot: usize,
-    taker: usize,
+    receiver: usize,
     limit: f64,
     delta: &mut Delta,
     best: &mut Best,
 ) {
     let expert = state.slots[slot];
     let rank = state.rank_of(slot);
-    let given = state.share(usize::from(expert), state.copies(expert));
-    let copied = state.share(usize::from(expert), state.copies(expert) + 1);
-    // What would leave the taker slower than the slowest rank is now.
-    let too_much = |former: f64, new: f64| {
-        let change = (new - former) * state.rank_cost(state.rank_of(taker * state.width));
-        state.time[taker] + change >= limit
+    let moved_share = state.share(usize::from(expert), state.copies(expert));
+    let copied_share = state.share(usize::from(expert), state.copies(expert) + 1);
+    // Whether the receiver would become as slow as the slowest rank is now.
+    let overloads = |former: f64, new: f64| {
+        let change =
+            (new - former) * state.rank_cost(state.rank_of(receiver * state.slots_per_rank));
+        state.time[receiver] + change >= limit
     };
-    if state.holds(state.rank_of(taker * state.width), expert) {
+    if state.holds(state.rank_of(receiver * state.slots_per_rank), expert) {
         return;
     }
-    for other in taker * state.width..(taker + 1) * state.width {
+    for other in receiver * state.slots_per_rank..(receiver + 1) * state.slots_per_rank {
         let returned = state.slots[other];
         let former = if returned == NO_EXPERT {
             0.0
         } else {
             state.share(usize::from(returned), state.copies(returned))
         };
-        if state.is_spare(other) && !too_much(former, copied) {
+        if state.is_spare(other) && !overloads(former, copied_share) {
             let put = Candidate::Put {
                 slot: other,
                 expert,
             };
             consider(state, put, limit, delta, best);
         }
-        let relieves = former < given && !too_much(former, given);
+        let relieves = former < moved_share && !overloads(former, moved_share);
         if returned != NO_EXPERT && relieves && !state.holds(rank, returned) {
             let swap = Candidate::Swap { a: slot, b: other };
             consider(state, swap, limit, delta, best);
@@ -97,8 +101,9 @@
     }
 }
 
-/// Tries to put another expert into the spare `slot` of the slowest rank.
-fn try_replacing(
+/// Tries to replace the spare copy in `slot` of the slowest rank by another
+/// expert.
+fn try_replace(
     state: &LayerState<'_>,
     slot: usize,
     limit: f64,
@@ -128,15 +133,16 @@
 ) {
     state.measure(candidate, delta);
     let relief = relief(state, limit, delta);
-    // What needs no load is scored as if it needed half of one, lest it go
-    // before everything however little it helps.
+    // A candidate without loads counts as half a load. Otherwise it would win
+    // however little it gains.
     let score = relief / f64::from(candidate.loads()).max(0.5);
-    if score > best.map_or(LEAST_RELIEF, |(score, _)| score) {
+    if score > best.map_or(MIN_SCORE, |(score, _)| score) {
         *best = Some((score, candidate));
     }
 }
 
-/// Drop of the sum of powers, in units of the slowest rank's.
+/// Decrease of the sum of the eighth powers of the rank times, in units of the
+/// slowest rank's.
 fn relief(state: &LayerState<'_>, limit: f64, delta: &Delta) -> f64 {
     let relief = delta.iter().map(|(rank, change)| {
         let before = state.time[rank] / limit;
--- a/crates/expert/src/weights.rs
+++ b/crates/expert/src/weights.rs
@@ -1,12 +1,12 @@
-//! What a client of the group holds dear.
+//! Weights of step time and of moves.
 
-/// How much slow steps and moved experts weigh, from the release note.
+/// Weights of step time and of moves, set by the release note.
 ///
-/// Only their ratio decides which moves pay.
+/// Only their ratio determines which moves pay off.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Weights {
     /// Weight of a second of step time.
     pub skew: f64,
-    /// Weight of a second that moving experts costs.
+    /// Weight of a second of [move cost](crate::MoveCost::seconds).
     pub moves: f64,
 }
