--- a/crates/expert/src/load_estimator.rs
+++ b/crates/expert/src/load_estimator.rs
@@ -1,33 +1,37 @@
-//! Forecast of the load from the windows counted so far.
+//! Forecast of the load from the windows observed so far.
 
 use crate::{Load, LoadEstimatorSettings};
 
-/// Error of a forecast, in shares of a layer, that is never a surprise.
+/// Forecast error, in shares of a layer, that is never treated as an outlier.
 const ERROR_FLOOR: f64 = 0.02;
 
-/// Weight of the newest window after a surprise.
-const LEVEL_AFTER_SURPRISE: f64 = 0.9;
+/// Minimum weight of an outlier window in the level.
+const OUTLIER_LEVEL_WEIGHT: f64 = 0.9;
 
-/// Weight of the newest error in the usual error.
+/// Smoothing weight of the newest forecast error.
 const ERROR_WEIGHT: f64 = 0.2;
 
-/// Forecast of the load from the windows counted so far.
+/// Forecasts the load from the windows observed so far.
 ///
 /// Double exponential smoothing with a damped trend (Gardner and `McKenzie`,
-/// 1985) over the share that each expert has of its layer, so that a busier
-/// hour doesn't look like a change of popularity.
+/// 1985) of the share that each expert has of the tokens of its layer, so that
+/// a change of total traffic doesn't look like a change of popularity.
 #[derive(Clone, Debug)]
 pub struct LoadEstimator {
     settings: LoadEstimatorSettings,
     windows: u64,
+    /// Smoothed share of each expert.
     level: Load,
+    /// Smoothed change of each share per window.
     trend: Load,
+    /// Smoothed tokens of each layer.
     totals: Vec<f64>,
-    usual_error: Vec<f64>,
+    /// Smoothed forecast error of each layer, in shares.
+    mean_error: Vec<f64>,
 }
 
 impl LoadEstimator {
-    /// An estimate that has seen nothing.
+    /// An estimator without observations.
     ///
     /// ```
     /// use expert::{LoadEstimator, LoadEstimatorSettings};
@@ -43,18 +47,18 @@
             level: Load::new(layers, experts),
             trend: Load::new(layers, experts),
             totals: vec![0.0; layers],
-            usual_error: vec![0.0; layers],
+            mean_error: vec![0.0; layers],
         }
     }
 
-    /// Number of windows taken in.
+    /// Number of windows observed.
     #[must_use]
     pub fn windows(&self) -> u64 {
         self.windows
     }
 
-    /// Takes in the counts of one window. A load of other dimensions is
-    /// ignored.
+    /// Updates the estimate with the counts of one window. A load of other
+    /// dimensions is ignored.
     ///
     /// ```
     /// use expert::{LoadEstimator, LoadEstimatorSettings, Load};
@@ -82,26 +86,27 @@
         }
         let first = self.totals[layer] <= 0.0;
         let error = self.error(layer, tokens, total);
-        let usual = self.usual_error[layer];
-        let most = self.settings.outlier_factor * usual + ERROR_FLOOR;
-        let surprised = error > most;
-        let weight = match (first, surprised) {
+        let mean_error = self.mean_error[layer];
+        let max_error = self.settings.outlier_factor * mean_error + ERROR_FLOOR;
+        let is_outlier = error > max_error;
+        let weight = match (first, is_outlier) {
             (true, _) => 1.0,
-            (false, true) => LEVEL_AFTER_SURPRISE.max(self.settings.level_weight),
+            (false, true) => OUTLIER_LEVEL_WEIGHT.max(self.settings.level_weight),
             (false, false) => self.settings.level_weight,
         };
         if !first {
-            // A surprise counts too, up to its limit: a steady drift just
-            // beyond it would otherwise be a surprise for ever, and its trend
-            // never be learnt.
-            self.usual_error[layer] = usual + ERROR_WEIGHT * (error.min(most) - usual);
+            // An outlier counts too, capped at the limit. Otherwise every
+            // window of a steady drift just beyond the limit would be an
+            // outlier, and its trend would never be learned.
+            self.mean_error[layer] =
+                mean_error + ERROR_WEIGHT * (error.min(max_error) - mean_error);
         }
         let damping = self.settings.damping;
         let (levels, trends) = (self.level.layer_mut(layer), self.trend.layer_mut(layer));
         for ((level, trend), &count) in levels.iter_mut().zip(trends).zip(tokens) {
             let expected = *level + damping * *trend;
             let next = expected + weight * (count / total - expected);
-            *trend = if first || surprised {
+            *trend = if first || is_outlier {
                 0.0
             } else {
                 let change = next - *level;
@@ -112,7 +117,7 @@
         self.totals[layer] += weight * (total - self.totals[layer]);
     }
 
-    /// Sum over the experts of how far the forecast of their shares is off.
+    /// Sum of the absolute forecast errors of the shares of all experts.
     fn error(&self, layer: usize, tokens: &[f64], total: f64) -> f64 {
         let levels = self.level.layer(layer).iter();
         let expected = levels
@@ -124,7 +129,8 @@
             .sum()
     }
 
-    /// The load expected on average over the next windows.
+    /// Mean load expected over the next
+    /// [`forecast_windows`](LoadEstimatorSettings::forecast_windows).
     ///
     /// ```
     /// use expert::{LoadEstimator, LoadEstimatorSettings};
@@ -134,25 +140,26 @@
     /// ```
     #[must_use]
     pub fn forecast(&self) -> Load {
-        let reach = self.reach();
+        let trend_factor = self.trend_factor();
         let mut load = Load::new(self.level.layers(), self.level.experts());
         for layer in 0..load.layers() {
             let total = self.totals[layer];
             let shares = self.level.layer(layer).iter().zip(self.trend.layer(layer));
             for (value, (level, trend)) in load.layer_mut(layer).iter_mut().zip(shares) {
-                *value = (level + reach * trend).max(0.0) * total;
+                *value = (level + trend_factor * trend).max(0.0) * total;
             }
         }
         load
     }
 
-    /// By how many trends the shares move, averaged over the windows ahead.
-    fn reach(&self) -> f64 {
-        let (mut step, mut moved, mut sum) = (1.0, 0.0, 0.0);
+    /// Multiple of the trend by which the shares move on average over the
+    /// forecast windows.
+    fn trend_factor(&self) -> f64 {
+        let (mut increment, mut total, mut sum) = (1.0, 0.0, 0.0);
         for _ in 0..self.settings.forecast_windows {
-            step *= self.settings.damping;
-            moved += step;
-            sum += moved;
+            increment *= self.settings.damping;
+            total += increment;
+            sum += total;
         }
         sum / f64::from(self.settings.forecast_windows.max(1))
     }
--- a/crates/expert/src/load_estimator_settings.rs
+++ b/crates/expert/src/load_estimator_settings.rs
@@ -1,18 +1,18 @@
-//! How fast the load estimate follows what is counted.
+//! Smoothing parameters of the load estimator.
 
-/// How fast the load estimate follows what is counted.
+/// Smoothing parameters of the load estimator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadEstimatorSettings {
     /// Weight of the newest window in the level, 0 to 1.
     pub level_weight: f64,
     /// Weight of the newest change in the trend, 0 to 1.
     pub trend_weight: f64,
-    /// Share of the trend that is left one window later, 0 to 1.
+    /// Share of the trend that remains one window later, 0 to 1.
     pub damping: f64,
-    /// How many times its usual error the forecast has to be off before the
-    /// estimate starts afresh from the newest window.
+    /// Multiple of the mean forecast error beyond which a window is an outlier.
+    /// The estimate is then reset almost entirely to that window.
     pub outlier_factor: f64,
-    /// Windows ahead over which the forecast is averaged.
+    /// Number of future windows over which the forecast is averaged.
     pub forecast_windows: u32,
 }
 
--- a/crates/expert/src/speeds.rs
+++ b/crates/expert/src/speeds.rs
@@ -1,29 +1,30 @@
-//! How fast each rank computes.
+//! Relative compute speed of each rank.
 
-/// Weight of the newest window.
-const WEIGHT: f64 = 0.5;
+/// Smoothing weight of the newest window.
+const NEWEST_WEIGHT: f64 = 0.5;
 
-/// Speeds within this share of the group's are taken for equal: step times
-/// hold more than the experts' work, and moving experts after noise costs
-/// more than it gives.
+/// Relative deviation from the usual speed that is treated as noise: step
+/// times include more than the work of the experts, and moving experts in
+/// response to noise costs more than it saves.
 const DEAD_ZONE: f64 = 0.08;
 
-/// Slowest speed that is told apart; anything below is as bad as lost.
-const SLOWEST: f64 = 0.05;
+/// Lower bound of the relative speed; a rank below it is as good as lost.
+const MIN_SPEED: f64 = 0.05;
 
-/// How fast each rank computes, relative to the middle rank of its group.
+/// Compute speed of each rank, relative to the median rank of its group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Speeds {
-    raw: Vec<f64>,
-    /// What ranks report themselves, which goes before what is measured.
+    /// Smoothed measured speeds.
+    measured: Vec<f64>,
+    /// Speeds that ranks report themselves; they override measured ones.
     reported: Vec<Option<f64>>,
     live: Vec<bool>,
     seconds_per_token: f64,
 }
 
 impl Speeds {
-    /// Ranks of equal speed that need `seconds_per_token` for each token of
-    /// each layer.
+    /// Ranks of equal speed, each of which needs `seconds_per_token` for a
+    /// token of one layer.
     ///
     /// ```
     /// assert_eq!(expert::Speeds::new(2, 1e-6).relative(0), 1.0);
@@ -31,15 +32,16 @@
     #[must_use]
     pub fn new(ranks: usize, seconds_per_token: f64) -> Speeds {
         Speeds {
-            raw: vec![1.0; ranks],
+            measured: vec![1.0; ranks],
             reported: vec![None; ranks],
             live: vec![true; ranks],
             seconds_per_token,
         }
     }
 
-    /// Takes in one window: tokens that each rank computed, and the seconds
-    /// that it was busy. Ranks without tokens or time keep their speed.
+    /// Updates the speeds from one window: the tokens that each rank computed,
+    /// and the seconds that it was busy. Ranks without tokens or without busy
+    /// time keep their speed.
     ///
     /// ```
     /// let mut speeds = expert::Speeds::new(3, 1e-6);
@@ -52,27 +54,32 @@
             .zip(seconds)
             .map(|(&tokens, &seconds)| (tokens > 0.0 && seconds > 0.0).then(|| tokens / seconds))
             .collect();
-        let Some(middle) = middle(rates.iter().flatten().copied()) else {
+        let Some(median_rate) = median(rates.iter().flatten().copied()) else {
             return;
         };
-        let usual = self::middle(seconds.iter().copied().filter(|&s| s > 0.0));
+        let median_seconds = median(seconds.iter().copied().filter(|&s| s > 0.0));
         let per_token = self.seconds_per_token;
-        self.seconds_per_token = per_token + WEIGHT * (1.0 / middle - per_token);
-        for (rank, rate) in rates.iter().enumerate().take(self.raw.len()) {
+        self.seconds_per_token = per_token + NEWEST_WEIGHT * (1.0 / median_rate - per_token);
+        for (rank, rate) in rates.iter().enumerate().take(self.measured.len()) {
             let Some(rate) = rate else {
                 continue;
             };
-            // Some engines tell the same time for all ranks, that of the
-            // slowest: a rank with few tokens would then pass for slow.
-            let differs = usual.is_some_and(|s| (seconds[rank] / s - 1.0).abs() > DEAD_ZONE);
-            let known = self.is_unusual(rank);
-            let speed = if differs || known { rate / middle } else { 1.0 };
-            self.raw[rank] += WEIGHT * (speed - self.raw[rank]);
+            // Some engines report the time of the slowest rank for all ranks.
+            // A rank with few tokens would then look slow.
+            let differs =
+                median_seconds.is_some_and(|s| (seconds[rank] / s - 1.0).abs() > DEAD_ZONE);
+            let deviates = self.deviates(rank);
+            let speed = if differs || deviates {
+                rate / median_rate
+            } else {
+                1.0
+            };
+            self.measured[rank] += NEWEST_WEIGHT * (speed - self.measured[rank]);
         }
     }
 
-    /// Takes in that a rank reports to take `slowdown` times longer than usual
-    /// for its work.
+    /// Records that a rank reports to take `slowdown` times as long as usual
+    /// for its work. Zero or less removes the report.
     ///
     /// ```
     /// let mut speeds = expert::Speeds::new(2, 1e-6);
@@ -87,11 +94,11 @@
         }
     }
 
-    fn is_unusual(&self, rank: usize) -> bool {
-        (self.raw[rank] - 1.0).abs() > DEAD_ZONE
+    fn deviates(&self, rank: usize) -> bool {
+        (self.measured[rank] - 1.0).abs() > DEAD_ZONE
     }
 
-    /// Marks a rank as lost: it holds nothing and computes nothing.
+    /// Marks a rank as lost: it holds no experts and computes no tokens.
     ///
     /// ```
     /// let mut speeds = expert::Speeds::new(2, 1e-6);
@@ -104,7 +111,7 @@
         }
     }
 
-    /// Marks a rank as back, at the speed of its group.
+    /// Marks a rank as live again, at the usual speed of its group.
     ///
     /// ```
     /// let mut speeds = expert::Speeds::new(1, 1e-6);
@@ -115,43 +122,43 @@
     pub fn set_live(&mut self, rank: usize) {
         if let Some(live) = self.live.get_mut(rank).filter(|live| !**live) {
             *live = true;
-            self.raw[rank] = 1.0;
+            self.measured[rank] = 1.0;
             self.reported[rank] = None;
         }
     }
 
-    /// Which ranks run.
+    /// Whether each rank is live.
     #[must_use]
     pub fn live(&self) -> &[bool] {
         &self.live
     }
 
-    /// Speed of a rank, 1 for the usual one.
+    /// Speed of a rank relative to the usual one, which is 1.
     ///
     /// # Panics
     ///
     /// Panics if there is no such rank.
     #[must_use]
     pub fn relative(&self, rank: usize) -> f64 {
-        let speed = self.reported[rank].unwrap_or(self.raw[rank]);
+        let speed = self.reported[rank].unwrap_or(self.measured[rank]);
         if (speed - 1.0).abs() > DEAD_ZONE {
-            speed.max(SLOWEST)
+            speed.max(MIN_SPEED)
         } else {
             1.0
         }
     }
 
-    /// Seconds that each rank needs for a token of a layer; `None` if lost.
+    /// Seconds that each rank needs for a token of one layer; `None` if lost.
     pub(crate) fn seconds_per_token(&self) -> Vec<Option<f64>> {
         let cost = |rank: usize| {
             let seconds = self.seconds_per_token / self.relative(rank);
             self.live[rank].then_some(seconds)
         };
-        (0..self.raw.len()).map(cost).collect()
+        (0..self.measured.len()).map(cost).collect()
     }
 }
 
-fn middle(values: impl Iterator<Item = f64>) -> Option<f64> {
+fn median(values: impl Iterator<Item = f64>) -> Option<f64> {
     let mut sorted: Vec<f64> = values.collect();
     sorted.sort_by(f64::total_cmp);
     sorted.get(sorted.len() / 2).copied()
--- a/crates/expert/src/step_timer.rs
+++ b/crates/expert/src/step_timer.rs
@@ -1,43 +1,45 @@
-//! How long the steps of a group take.
+//! Mean step time of a group.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Time over which steps are averaged: some six of them, as one more or less
-/// that was begun in time would make too much of a difference in fewer.
-const SPAN: Duration = Duration::from_millis(500);
+/// Time over which steps are averaged, about six steps: over fewer, whether
+/// one more step has begun would change the result too much.
+const AVERAGING_SPAN: Duration = Duration::from_millis(500);
 
-/// How long the steps of a group take, by the last step that ranks told of.
+/// Measures the mean step time of a group from the newest step that its ranks
+/// report.
 ///
 /// ```
 /// use expert::StepTimer;
 /// use std::time::{Duration, Instant};
 ///
 /// let now = Instant::now();
-/// let mut clock = StepTimer::default();
-/// assert_eq!(clock.observe(10, now), None);
-/// let time = clock.observe(20, now + Duration::from_millis(600));
+/// let mut timer = StepTimer::default();
+/// assert_eq!(timer.observe(10, now), None);
+/// let time = timer.observe(20, now + Duration::from_millis(600));
 /// assert_eq!(time, Some(Duration::from_millis(60)));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct StepTimer {
-    seen: VecDeque<(Instant, u64)>,
+    samples: VecDeque<(Instant, u64)>,
 }
 
 impl StepTimer {
-    /// Takes in the last step that was begun; the usual time of a step for half
-    /// a second or more, if that is known.
+    /// Records the newest step that has begun, and returns the mean step time
+    /// over the last half second or more. `None` if no step has run in between.
     pub fn observe(&mut self, step: u64, now: Instant) -> Option<Duration> {
-        if self.seen.back().is_some_and(|(_, last)| *last > step) {
-            // The group was formed anew.
-            self.seen.clear();
+        if self.samples.back().is_some_and(|(_, last)| *last > step) {
+            // A lower step number means that the group has formed again.
+            self.samples.clear();
         }
-        self.seen.push_back((now, step));
-        let old = |(at, _): &(Instant, u64)| now.saturating_duration_since(*at) >= SPAN;
-        while self.seen.get(1).is_some_and(old) {
-            self.seen.pop_front();
+        self.samples.push_back((now, step));
+        let is_old =
+            |(at, _): &(Instant, u64)| now.saturating_duration_since(*at) >= AVERAGING_SPAN;
+        while self.samples.get(1).is_some_and(is_old) {
+            self.samples.pop_front();
         }
-        let (at, from) = *self.seen.front()?;
+        let (at, from) = *self.samples.front()?;
         let steps = u32::try_from(step - from).ok()?;
         now.saturating_duration_since(at).checked_div(steps)
     }
--- a/crates/expert/src/switch_criteria.rs
+++ b/crates/expert/src/switch_criteria.rs
@@ -1,30 +1,31 @@
-//! When a switch is worth its price.
+//! Criteria for switching to a planned map.
 
 use crate::Plan;
 use std::time::Duration;
 
-/// When a switch is worth its price beside what moves cost.
+/// Criteria for switching to a planned map, besides the cost of its moves.
 ///
-/// Moving experts costs as much whether or not anybody notices that steps are
-/// slow. Nobody does while they stay well below the pauses that streams may
-/// make.
+/// Moving experts costs the same whether or not clients notice slow steps, and
+/// they don't while steps are well below the pauses allowed within a stream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SwitchCriteria {
-    /// Steps that take less are fast enough.
+    /// Step time from which on steps are too slow.
     pub slow_step: Duration,
-    /// Steps are too slow if they are about to take as long.
+    /// Step time from which on steps are too slow if they are projected to take
+    /// as long on the current map.
     pub projected_slow_step: Duration,
-    /// Part of the time of the experts' work that a switch must save.
+    /// Share of the expected step time that a switch must save, 0 to 1.
     pub min_gain: f64,
 }
 
 impl SwitchCriteria {
-    /// Whether to switch to the map of `plan`, where a step has lately taken
-    /// `step`; it is unknown in a group that was just formed.
+    /// Whether to switch to the map of `plan` when steps have recently taken
+    /// `step_time`, which is unknown in a group that has just formed.
     ///
-    /// Right after a change of popularity most of the measured steps were
-    /// still those of before, on a map that fitted: on the map in use they are
-    /// about to take longer by what the plan saves.
+    /// Right after a change of popularity, most of the measured steps ran with
+    /// the old popularity, which the current map suited. The step time on the
+    /// current map is therefore projected to grow by the factor that the plan
+    /// saves.
     ///
     /// ```
     /// use expert::{Load, Map, MoveCost, Planner, Shape, Speeds, SwitchCriteria, Weights};
@@ -51,16 +52,16 @@
     /// assert!(!criteria.should_switch(&plan, Some(Duration::from_millis(40))));
     /// ```
     #[must_use]
-    pub fn should_switch(&self, plan: &Plan, step: Option<Duration>) -> bool {
-        let saves = plan.before > 0.0 && plan.after <= plan.before * (1.0 - self.min_gain);
-        if !saves {
+    pub fn should_switch(&self, plan: &Plan, step_time: Option<Duration>) -> bool {
+        let saves_enough = plan.before > 0.0 && plan.after <= plan.before * (1.0 - self.min_gain);
+        if !saves_enough {
             return false;
         }
-        let Some(step) = step else {
+        let Some(step_time) = step_time else {
             return true;
         };
-        let longer = plan.before / plan.after.max(f64::MIN_POSITIVE);
-        step >= self.slow_step
-            || step.as_secs_f64() * longer >= self.projected_slow_step.as_secs_f64()
+        let growth = plan.before / plan.after.max(f64::MIN_POSITIVE);
+        step_time >= self.slow_step
+            || step_time.as_secs_f64() * growth >= self.projected_slow_step.as_secs_f64()
     }
 }
--- a/crates/expert/src/switch_timing.rs
+++ b/crates/expert/src/switch_timing.rs
@@ -1,34 +1,37 @@
-//! Times of a map switch.
+//! Timing parameters of a map switch.
 
 use std::time::Duration;
 
-/// Times of a map switch.
+/// Timing parameters of a map switch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SwitchTiming {
-    /// Before an unanswered message or question is sent again.
+    /// Interval after which an unanswered message or request is sent again.
     pub resend_interval: Duration,
-    /// Time for staging or for holding before the switch is aborted.
+    /// Time limit of staging and of holding, after which the switch is aborted.
     pub phase_timeout: Duration,
-    /// Time without an answer after which an order to an engine is given up.
+    /// Time after which an unanswered command to an engine is considered lost.
     pub command_timeout: Duration,
-    /// How long after that it may still be obeyed. No other order is given
-    /// in the meantime.
+    /// How long after that the engine may still execute the command. Until
+    /// then only reads are sent to the engine.
     pub late_command_window: Duration,
-    /// Steps between the newest that is known to have run and the barrier.
+    /// Maximum number of steps between the newest step known to have run and
+    /// the barrier.
     pub lead_steps: u64,
-    /// Time that these steps may take; with slow steps they are fewer.
+    /// Time that these steps may take; slow steps reduce their number.
+    /// `Duration::MAX` always uses `lead_steps`.
     pub lead_time: Duration,
 }
 
-/// With fewer steps the barrier may be past before all ranks have promised.
-const LEAST_LEAD: u64 = 2;
-/// Steps of a formation that were not timed yet: most likely they are slow, as
-/// it runs on its start map.
-const UNTIMED_LEAD: u64 = 3;
+/// With a shorter lead, ranks could pass the barrier before all have promised
+/// to stop there.
+const MIN_LEAD_STEPS: u64 = 2;
+/// Lead while the step time is unknown. Steps are probably slow then, since a
+/// new formation runs on its initial map.
+const UNKNOWN_STEP_TIME_LEAD_STEPS: u64 = 3;
 
 impl SwitchTiming {
-    /// Steps between the newest that is known to have run and the barrier, where
-    /// a step takes `step`.
+    /// Number of steps between the newest step known to have run and the
+    /// barrier, if a step takes `step_time`.
     ///
     /// ```
     /// use expert::SwitchTiming;
@@ -43,15 +46,15 @@
     /// assert_eq!(timing.barrier_lead(Some(Duration::from_millis(140))), 2);
     /// ```
     #[must_use]
-    pub fn barrier_lead(&self, step: Option<Duration>) -> u64 {
+    pub fn barrier_lead(&self, step_time: Option<Duration>) -> u64 {
         if self.lead_time == Duration::MAX {
             return self.lead_steps;
         }
-        let fits = step.map_or(UNTIMED_LEAD, |step| {
-            let steps = self.lead_time.as_micros() / step.as_micros().max(1);
+        let fits = step_time.map_or(UNKNOWN_STEP_TIME_LEAD_STEPS, |step_time| {
+            let steps = self.lead_time.as_micros() / step_time.as_micros().max(1);
             u64::try_from(steps).unwrap_or(self.lead_steps)
         });
-        fits.max(LEAST_LEAD).min(self.lead_steps)
+        fits.max(MIN_LEAD_STEPS).min(self.lead_steps)
     }
 }
 
