--- a/crates/expert/src/coordinator_message.rs
+++ b/crates/expert/src/coordinator_message.rs
@@ -1,12 +1,12 @@
-//! What a coordinator tells the participants.
+//! Messages from a coordinator to the participants.
 
 use crate::Verdict;
 use bytes::Bytes;
 
-/// What a coordinator tells the participants.
+/// Message from a coordinator to a participant.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CoordinatorMessage {
-    /// Load a map without using it.
+    /// Load a map without using it yet.
     Stage {
         /// Fencing number of the coordinator.
         fencing: u64,
@@ -15,26 +15,26 @@
         /// The encoded map.
         map: Bytes,
     },
-    /// Promise not to pass `barrier_step` without the outcome.
+    /// Promise not to run `barrier_step` before the outcome is known.
     Hold {
         /// Fencing number of the coordinator.
         fencing: u64,
         /// Version of the staged map.
         version: u64,
-        /// The step.
+        /// First step that uses the map, if committed.
         barrier_step: u64,
-        /// Formation of the engines that promise.
+        /// Formation that the engines must be in.
         formation: u64,
     },
-    /// What was decided.
+    /// The outcome of a switch.
     Outcome {
         /// Fencing number of the decision.
         fencing: u64,
         /// Version of the map.
         version: u64,
-        /// The first step that uses it, if committed.
+        /// First step that uses the map, if committed.
         barrier_step: u64,
-        /// Whether it comes into force.
+        /// Whether the map comes into force.
         verdict: Verdict,
     },
 }
--- a/crates/expert/src/coordinator_output.rs
+++ b/crates/expert/src/coordinator_output.rs
@@ -1,21 +1,23 @@
-//! What a coordinator wants done.
+//! Actions requested by a coordinator.
 
 use crate::{CoordinatorMessage, Decision};
 
-/// What a coordinator wants done.
+/// An action requested by a coordinator.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CoordinatorOutput {
-    /// Open a coordinator in the durable state.
+    /// Open a coordinator in the durable state; the result goes to
+    /// [`Coordinator::on_opened`](crate::Coordinator::on_opened).
     OpenCoordinator,
-    /// Have a decision committed in the durable state.
+    /// Propose a decision to the durable state; the result goes to
+    /// [`Coordinator::on_decided`](crate::Coordinator::on_decided).
     Decide(Decision),
     /// Send a message to a participant.
     Send {
-        /// Name of its agent.
+        /// Name of the participant's agent.
         to: String,
-        /// What to send.
+        /// The message.
         message: CoordinatorMessage,
     },
-    /// Another coordinator has taken over; this one does nothing any more.
+    /// Another coordinator has taken over; this one takes no further action.
     Deposed,
 }
--- a/crates/expert/src/decide_outcome.rs
+++ b/crates/expert/src/decide_outcome.rs
@@ -1,23 +1,23 @@
-//! The answer to a decision.
+//! Result of a proposed decision.
 
 use crate::{Decision, Refusal};
 
-/// The answer to a decision.
+/// Result of a proposed decision.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum DecideOutcome {
-    /// The decision stands, now or since it was first asked for.
+    /// The decision is in effect, as of now or of an earlier proposal.
     Accepted(Decision),
-    /// Nothing changed.
+    /// The decision was refused and nothing changed.
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         refusal: Refusal,
-        /// The latest decision, which stands.
+        /// The latest decision of the group, if any.
         current: Option<Decision>,
     },
 }
 
 impl DecideOutcome {
-    /// Whether the decision that was asked for stands.
+    /// Whether the proposed decision is in effect.
     ///
     /// ```
     /// use expert::{DecideOutcome, Refusal};
--- a/crates/expert/src/decisions.rs
+++ b/crates/expert/src/decisions.rs
@@ -1,4 +1,4 @@
-//! The durable record of which expert map each group runs on.
+//! Durable record of the expert maps that groups run on.
 
 use crate::error::Code;
 use crate::record::{DecisionsRecord, GroupStateRecord};
@@ -7,13 +7,13 @@
 use prost::Message;
 use std::collections::BTreeMap;
 
-/// Format of the snapshot that this version writes and reads.
+/// Version of the snapshot encoding that is written and read.
 const FORMAT: u32 = 1;
 
-/// The durable record of which expert map each group runs on.
+/// Durable record of the expert maps that groups run on.
 ///
-/// Replicated: all methods are deterministic, so the replicas that apply the
-/// same commands hold the same state.
+/// This is a replicated state machine: all methods are deterministic, so that
+/// replicas that apply the same commands hold the same state.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Decisions {
     groups: BTreeMap<String, GroupState>,
@@ -30,11 +30,11 @@
         Decisions::default()
     }
 
-    /// Opens a coordinator for `group` under a new fencing number, higher
-    /// than any before it, and returns what stands.
+    /// Opens a coordinator for `group` under a new fencing number, higher than
+    /// all previous ones, and returns the state of the group.
     ///
-    /// From here on no decision under an older number is taken. Opening
-    /// twice, as after a lost answer, costs only a number.
+    /// From then on, new decisions under an older number are refused. Opening
+    /// again, for instance after a lost reply, only uses up another number.
     ///
     /// ```
     /// let mut decisions = expert::Decisions::new();
@@ -43,18 +43,18 @@
     /// assert!(second.fencing > first.fencing);
     /// ```
     pub fn open_coordinator(&mut self, group: &str, agent: &str, incarnation: u64) -> GroupState {
-        let standing = self.groups.entry(group.to_owned()).or_default();
-        standing.fencing += 1;
-        agent.clone_into(&mut standing.agent);
-        standing.incarnation = incarnation;
-        standing.clone()
+        let state = self.groups.entry(group.to_owned()).or_default();
+        state.fencing += 1;
+        agent.clone_into(&mut state.agent);
+        state.incarnation = incarnation;
+        state.clone()
     }
 
-    /// Decides the switch to the next version of the group's map.
+    /// Decides on the switch to the next version of the group's map.
     ///
-    /// A decision that already stands is accepted again, also from a
-    /// coordinator that has been superseded in the meantime: its answer was
-    /// lost, and what it asks for is what holds.
+    /// Proposing the latest decision again is accepted, even from a coordinator
+    /// that has been superseded in the meantime: the reply was lost, and the
+    /// proposed decision is in effect.
     ///
     /// ```
     /// use expert::{Decision, Decisions, Verdict};
@@ -72,26 +72,26 @@
     /// assert!(decisions.decide("g", abort).is_accepted());
     /// ```
     pub fn decide(&mut self, group: &str, decision: Decision) -> DecideOutcome {
-        let Some(standing) = self.groups.get_mut(group) else {
+        let Some(state) = self.groups.get_mut(group) else {
             return DecideOutcome::Refused {
                 refusal: Refusal::Fencing,
                 current: None,
             };
         };
-        if standing.current.as_ref() == Some(&decision) {
+        if state.current.as_ref() == Some(&decision) {
             return DecideOutcome::Accepted(decision);
         }
-        if let Some(refusal) = refuse(standing, &decision) {
+        if let Some(refusal) = check(state, &decision) {
             return DecideOutcome::Refused {
                 refusal,
-                current: standing.current.clone(),
+                current: state.current.clone(),
             };
         }
-        standing.record(decision.clone());
+        state.record(decision.clone());
         DecideOutcome::Accepted(decision)
     }
 
-    /// What stands for `group`, if a coordinator was ever opened for it.
+    /// The state of `group`, if a coordinator was ever opened for it.
     ///
     /// ```
     /// assert!(expert::Decisions::new().group_state("g").is_none());
@@ -101,7 +101,7 @@
         self.groups.get(group)
     }
 
-    /// All groups with what stands for them, in order of name.
+    /// All groups with their state, in the order of their names.
     ///
     /// ```
     /// let mut decisions = expert::Decisions::new();
@@ -111,10 +111,10 @@
     pub fn groups(&self) -> impl Iterator<Item = (&str, &GroupState)> {
         self.groups
             .iter()
-            .map(|(group, standing)| (group.as_str(), standing))
+            .map(|(group, state)| (group.as_str(), state))
     }
 
-    /// The snapshot, the same bytes for the same state.
+    /// Encodes a snapshot; equal states have the same encoding.
     ///
     /// ```
     /// use expert::Decisions;
@@ -129,7 +129,7 @@
         let groups = self
             .groups
             .iter()
-            .map(|(group, standing)| GroupStateRecord::new(group, standing))
+            .map(|(group, state)| GroupStateRecord::new(group, state))
             .collect();
         let record = DecisionsRecord {
             format: FORMAT,
@@ -138,11 +138,11 @@
         record.encode_to_vec().into()
     }
 
-    /// Restores a snapshot.
+    /// Decodes a snapshot.
     ///
     /// # Errors
     ///
-    /// Fails on bytes that aren't a snapshot of this format.
+    /// Fails if the bytes aren't a snapshot in this format.
     ///
     /// ```
     /// assert!(expert::Decisions::from_bytes(&b"\xff"[..]).is_err());
@@ -161,15 +161,15 @@
     }
 }
 
-/// Why `decision` can't follow what stands, if it can't.
-fn refuse(standing: &GroupState, decision: &Decision) -> Option<Refusal> {
-    // A coordinator that was cut off still believes that it leads. Its ranks
-    // may have been released by the next one, so a late decision of it would
-    // switch some ranks to a map that the others never staged.
-    if decision.fencing != standing.fencing {
+/// The reason to refuse `decision` in the state of its group, if any.
+fn check(state: &GroupState, decision: &Decision) -> Option<Refusal> {
+    // A partitioned coordinator may be unaware that it has been superseded. The
+    // next coordinator may have released the ranks that it held, so a late
+    // decision would switch some ranks to a map that others haven't staged.
+    if decision.fencing != state.fencing {
         return Some(Refusal::Fencing);
     }
-    if decision.version != standing.next_version() {
+    if decision.version != state.next_version() {
         return Some(Refusal::Version);
     }
     if decision.verdict == Verdict::Abort {
@@ -178,9 +178,9 @@
     if decision.map.is_empty() {
         return Some(Refusal::NoMap);
     }
-    // Steps that ran on one map would be told, after a restart, to have run
-    // on another.
-    let last = standing.committed.first();
+    // Otherwise steps that have run on one map would be assigned to another
+    // map, which a restarted rank would learn.
+    let last = state.committed.first();
     if last.is_some_and(|last| decision.barrier_step <= last.barrier_step) {
         return Some(Refusal::Barrier);
     }
--- a/crates/expert/src/engine_command.rs
+++ b/crates/expert/src/engine_command.rs
@@ -1,14 +1,15 @@
-//! What an agent asks of its engine during a switch.
+//! Commands from an agent to its engine during a switch.
 
 use crate::{Decision, Verdict};
 use bytes::Bytes;
 
-/// What an agent asks of its engine during a switch, one at a time.
+/// Command from an agent to its engine during a switch. Only one is in flight
+/// at a time.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum EngineCommand {
-    /// Tell the state.
+    /// Report the state.
     Read,
-    /// Load a map without using it.
+    /// Load a map without using it yet.
     Stage {
         /// Fencing number of the coordinator.
         fencing: u64,
@@ -17,23 +18,23 @@
         /// The encoded map.
         map: Bytes,
     },
-    /// Don't run `barrier_step` until the outcome is known.
+    /// Don't run `barrier_step` before the outcome is known.
     Hold {
         /// Fencing number of the coordinator.
         fencing: u64,
         /// Version of the staged map.
         version: u64,
-        /// The step.
+        /// First step that uses the map, if committed.
         barrier_step: u64,
     },
-    /// Take over the maps in force and begin to run steps; nothing if it
-    /// doesn't wait for that, or steps in another formation.
+    /// Adopt the committed maps and start to run steps. The engine ignores it
+    /// unless it is awaiting the join and is in this formation.
     Join {
-        /// Fencing number under which the maps were learnt.
+        /// Fencing number under which the maps were read.
         fencing: u64,
-        /// Formation that it steps in.
+        /// Formation to join.
         formation: u64,
-        /// The newest committed decisions, oldest first.
+        /// The latest committed decisions, oldest first.
         maps: Vec<Decision>,
     },
     /// Use the staged map from `barrier_step` on, or drop it.
@@ -42,9 +43,9 @@
         fencing: u64,
         /// Version of the staged map.
         version: u64,
-        /// The step.
+        /// First step that uses the map, if committed.
         barrier_step: u64,
-        /// What was decided.
+        /// Whether the map comes into force.
         verdict: Verdict,
     },
 }
--- a/crates/expert/src/error.rs
+++ b/crates/expert/src/error.rs
@@ -1,11 +1,11 @@
-//! When bytes can't be read.
+//! Errors of this crate.
 
 use std::fmt::{self, Debug, Display};
 
-/// A `Result` whose error is this crate's.
+/// A `Result` with the [`Error`] of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Bytes or values that this crate can't take.
+/// Encoded bytes that can't be decoded.
 #[derive(Clone, Eq, PartialEq)]
 pub struct Error {
     code: Code,
--- a/crates/expert/src/expert_id.rs
+++ b/crates/expert/src/expert_id.rs
@@ -9,7 +9,7 @@
         usize::from(self.0)
     }
 
-    /// The id of an index below the number of experts, which is a `u16`.
+    /// The id for an index below the number of experts, which is a `u16`.
     pub(crate) fn from_index(index: usize) -> ExpertId {
         ExpertId(u16::try_from(index).unwrap_or(u16::MAX))
     }
--- a/crates/expert/src/group_state.rs
+++ b/crates/expert/src/group_state.rs
@@ -1,30 +1,30 @@
-//! What the durable state holds for one group.
+//! Durable state of one group.
 
 use crate::{Decision, Verdict};
 
-/// Committed decisions that are kept for each group.
+/// Number of committed decisions kept for each group.
 ///
 /// A rank that restarts between a decision and its barrier step still needs
-/// the map before it, so the newest one alone would not do.
-const COMMITTED_KEPT: usize = 2;
+/// the previous map, so the newest one alone is not sufficient.
+const MAX_COMMITTED: usize = 2;
 
-/// What the durable state holds for one group.
+/// Durable state of one group.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct GroupState {
     /// The current fencing number; 0 before the first coordinator.
     pub fencing: u64,
-    /// Agent that holds the fencing number.
+    /// Agent that opened the coordinator with this number.
     pub agent: String,
     /// Incarnation of that agent.
     pub incarnation: u64,
-    /// The latest decision, commit or abort.
+    /// The latest decision, whether commit or abort.
     pub current: Option<Decision>,
-    /// The newest committed decisions, newest first, at most two.
+    /// The latest committed decisions, newest first, at most two.
     pub committed: Vec<Decision>,
 }
 
 impl GroupState {
-    /// Version that the next decision must have.
+    /// Version required of the next decision.
     ///
     /// ```
     /// assert_eq!(expert::GroupState::default().next_version(), 1);
@@ -36,10 +36,10 @@
             .map_or(1, |decision| decision.version + 1)
     }
 
-    /// The committed decision that holds in `step`.
+    /// The committed decision whose map is in force in `step`.
     ///
-    /// `None` means that no map has been decided for that step, so the one
-    /// that the group was started with holds.
+    /// `None` means that no map has been committed for that step, so that the
+    /// group's initial map is in force.
     ///
     /// ```
     /// assert!(expert::GroupState::default().in_force(0).is_none());
@@ -51,11 +51,11 @@
             .find(|decision| decision.barrier_step <= step)
     }
 
-    /// Takes `decision` in as the latest.
+    /// Records `decision` as the latest.
     pub(crate) fn record(&mut self, decision: Decision) {
         if decision.verdict == Verdict::Commit {
             self.committed.insert(0, decision.clone());
-            self.committed.truncate(COMMITTED_KEPT);
+            self.committed.truncate(MAX_COMMITTED);
         }
         self.current = Some(decision);
     }
--- a/crates/expert/src/lib.rs
+++ b/crates/expert/src/lib.rs
@@ -1,22 +1,23 @@
-//! Expert maps: load estimate, planner, switch protocol.
+//! Expert maps: load estimation, planning and the switch protocol.
 //!
-//! A model group runs in lock-step on an expert map. This crate decides which
-//! map is worth switching to and how the ranks of a group switch together. It
-//! is pure: it reads no clock, opens no socket and has no randomness of its
-//! own; the present time and every message are arguments.
+//! The ranks of a model group run their steps in lock-step on an expert map,
+//! which assigns copies of experts to ranks. This crate decides when another
+//! map is worth switching to and coordinates the switch across the ranks of a
+//! group. It performs no I/O, reads no clock and uses no randomness: the
+//! current time and all messages are passed in as arguments.
 //!
-//! [`Decisions`] is the part of the durable state that says which map is in
+//! [`Decisions`] is the part of the durable state that records which map is in
 //! force from which step:
 //!
 //! ```
 //! use expert::{Decision, Decisions, Verdict};
 //!
 //! let mut decisions = Decisions::new();
-//! let standing = decisions.open_coordinator("blank-advisor", "advisor-01", 7);
+//! let state = decisions.open_coordinator("blank-advisor", "advisor-01", 7);
 //! let outcome = decisions.decide(
 //!     "blank-advisor",
 //!     Decision {
-//!         fencing: standing.fencing,
+//!         fencing: state.fencing,
 //!         version: 1,
 //!         barrier_step: 400,
 //!         verdict: Verdict::Commit,
--- a/crates/expert/src/load.rs
+++ b/crates/expert/src/load.rs
@@ -1,6 +1,6 @@
-//! Tokens by layer and expert.
+//! Token counts by layer and expert.
 
-/// Tokens by layer and expert, as counted or forecast for one window.
+/// Tokens by layer and expert, counted or forecast for one window.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Load {
     experts: usize,
@@ -8,7 +8,7 @@
 }
 
 impl Load {
-    /// A load of nothing.
+    /// A load of zero tokens.
     ///
     /// ```
     /// assert_eq!(expert::Load::new(2, 3).layer(1), &[0.0, 0.0, 0.0]);
@@ -27,7 +27,7 @@
         self.values.len().checked_div(self.experts).unwrap_or(0)
     }
 
-    /// Number of experts a layer.
+    /// Number of experts per layer.
     #[must_use]
     pub fn experts(&self) -> usize {
         self.experts
@@ -43,7 +43,7 @@
         &self.values[layer * self.experts..(layer + 1) * self.experts]
     }
 
-    /// Tokens of one layer by expert, to be changed.
+    /// Mutable tokens of one layer by expert.
     ///
     /// # Panics
     ///
@@ -58,8 +58,8 @@
         &mut self.values[layer * self.experts..(layer + 1) * self.experts]
     }
 
-    /// Adds the counts of one rank, by layer and then expert. Counts beyond
-    /// the dimensions are left out, as a report may be malformed.
+    /// Adds the counts of one rank, ordered by layer and then expert. Excess
+    /// counts are ignored, since a report may be malformed.
     ///
     /// ```
     /// let mut load = expert::Load::new(1, 2);
--- a/crates/expert/src/map.rs
+++ b/crates/expert/src/map.rs
@@ -7,7 +7,7 @@
 use prost::Message;
 use std::collections::BTreeSet;
 
-/// Format of the encoding that this version writes and reads.
+/// Version of the encoding that is written and read.
 const FORMAT: u32 = 1;
 
 /// Which expert each slot of a group holds.
@@ -35,8 +35,9 @@
         Map { shape, slots }
     }
 
-    /// The map that groups start on before any load is known: experts in
-    /// order, spare slots with copies from the far end of the ranks.
+    /// The default map for a group whose load is unknown: experts in order,
+    /// with further copies in the spare slots, half a group away from the
+    /// first copies.
     ///
     /// ```
     /// use expert::{Map, Shape};
@@ -50,21 +51,21 @@
         let (ranks, experts) = (map.shape.ranks(), map.shape.experts());
         for layer in 0..map.shape.layers() {
             for place in 0..map.shape.slots_per_layer() {
-                let (round, turn) = (place / ranks, place % ranks);
-                // Each round begins half a group further on, so that the
-                // copies of an expert land on different hosts.
-                let rank = (turn + round * (ranks / 2)) % ranks;
+                let (slot, offset) = (place / ranks, place % ranks);
+                // Each pass over the ranks starts half a group further on, so
+                // that the copies of an expert land on different hosts.
+                let rank = (offset + slot * (ranks / 2)) % ranks;
                 let expert = ExpertId::from_index(place % experts.max(1));
                 if experts > 0 && !map.rank_slots(layer, rank).contains(&Some(expert)) {
-                    map.rank_slots_mut(layer, rank)[round] = Some(expert);
+                    map.rank_slots_mut(layer, rank)[slot] = Some(expert);
                 }
             }
         }
         map
     }
 
-    /// The map with one copy of each expert, given to the ranks in turn, and
-    /// all spare slots empty.
+    /// The map with one copy of each expert, distributed to the ranks round
+    /// robin, and all spare slots empty.
     ///
     /// ```
     /// use expert::{Map, Shape};
@@ -79,10 +80,10 @@
         let ranks = map.shape.ranks().max(1);
         for layer in 0..map.shape.layers() {
             for place in 0..map.shape.experts() {
-                let (round, rank) = (place / ranks, place % ranks);
-                if round < map.shape.slots_per_rank() {
+                let (slot, rank) = (place / ranks, place % ranks);
+                if slot < map.shape.slots_per_rank() {
                     let expert = ExpertId::from_index(place);
-                    map.rank_slots_mut(layer, rank)[round] = Some(expert);
+                    map.rank_slots_mut(layer, rank)[slot] = Some(expert);
                 }
             }
         }
@@ -95,8 +96,8 @@
         &self.shape
     }
 
-    /// The same slots with the ranks on other hosts; `None` for another number
-    /// of ranks.
+    /// The same slots with the ranks on other hosts; `None` if the number of
+    /// hosts is not the number of ranks.
     ///
     /// ```
     /// use expert::{Map, Shape};
@@ -163,8 +164,8 @@
         }
     }
 
-    /// Everything that is wrong with the map while the ranks marked in
-    /// `live` run; empty for a map that can be used.
+    /// All faults of the map if only the ranks marked in `live` run; empty for
+    /// a usable map.
     ///
     /// ```
     /// use expert::{Map, Shape};
@@ -187,12 +188,12 @@
     }
 
     fn check_layer(&self, layer: usize, live: &[bool], faults: &mut Vec<MapFault>) {
-        let mut held = vec![false; self.shape.experts()];
+        let mut has_copy = vec![false; self.shape.experts()];
         for rank in 0..self.shape.ranks() {
             let mut seen = BTreeSet::new();
             for expert in self.rank_slots(layer, rank).iter().flatten().copied() {
                 let id = Rank::from_index(rank);
-                if expert.index() >= held.len() {
+                if expert.index() >= has_copy.len() {
                     faults.push(MapFault::UnknownExpert {
                         layer,
                         rank: id,
@@ -207,17 +208,17 @@
                         expert,
                     });
                 }
-                held[expert.index()] |= live.get(rank).copied().unwrap_or(false);
+                has_copy[expert.index()] |= live.get(rank).copied().unwrap_or(false);
             }
         }
-        let missing = (0..held.len()).filter(|&expert| !held[expert]);
+        let missing = (0..has_copy.len()).filter(|&expert| !has_copy[expert]);
         faults.extend(missing.map(|expert| MapFault::Missing {
             layer,
             expert: ExpertId::from_index(expert),
         }));
     }
 
-    /// Tokens that each rank computes of `load`, all layers together.
+    /// Tokens of `load` that each rank computes, summed over all layers.
     ///
     /// ```
     /// use expert::{Load, Map, Shape};
@@ -249,8 +250,8 @@
         tokens
     }
 
-    /// How many experts the ranks have to load that `previous` did not give
-    /// them.
+    /// Number of experts that the ranks have to load when they switch from
+    /// `previous` to this map.
     ///
     /// ```
     /// use expert::{Map, Shape};
@@ -271,7 +272,7 @@
             .sum()
     }
 
-    /// The compact encoding, about a byte for each slot.
+    /// The compact encoding, about one byte per slot.
     ///
     /// ```
     /// use expert::{Map, Shape};
@@ -286,13 +287,13 @@
             .into()
     }
 
-    /// Reads the compact encoding. The map's content still has to be
+    /// Decodes the compact encoding. The contents of the map still have to be
     /// [checked](Map::check).
     ///
     /// # Errors
     ///
-    /// Fails on bytes that aren't a map of this format, or whose number of
-    /// slots isn't that of their shape.
+    /// Fails if the bytes aren't a map in this format, if the number of slots
+    /// doesn't match the shape, or if the shape has fewer slots than experts.
     ///
     /// ```
     /// assert!(expert::Map::from_bytes(&b"\xff"[..]).is_err());
@@ -305,8 +306,8 @@
         let (shape, slots) = record.into_parts()?;
         let map = Map { shape, slots };
         let expected = map.shape.layers() * map.shape.slots_per_layer();
-        let room = map.shape.slots_per_layer() >= map.shape.experts();
-        if map.slots.len() == expected && room {
+        let has_room = map.shape.slots_per_layer() >= map.shape.experts();
+        if map.slots.len() == expected && has_room {
             Ok(map)
         } else {
             Err(Error::new(Code::Slots(map.slots.len(), expected)))
--- a/crates/expert/src/map_fault.rs
+++ b/crates/expert/src/map_fault.rs
@@ -1,12 +1,12 @@
-//! What is wrong with a map.
+//! Faults of a map.
 
 use crate::{ExpertId, Rank};
 use std::fmt::{self, Display};
 
-/// What is wrong with a map.
+/// A fault that makes a map unusable or wasteful.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MapFault {
-    /// The number of slots is not that of the shape.
+    /// The number of slots doesn't match the shape.
     Size {
         /// Slots that the shape has.
         expected: usize,
@@ -19,7 +19,7 @@
         layer: usize,
         /// Rank of the slot.
         rank: Rank,
-        /// What the slot names.
+        /// The unknown expert.
         expert: ExpertId,
     },
     /// A rank holds the same expert twice, which wastes a slot.
@@ -28,10 +28,10 @@
         layer: usize,
         /// Rank of the slots.
         rank: Rank,
-        /// What both slots name.
+        /// The duplicate expert.
         expert: ExpertId,
     },
-    /// No live rank holds the expert: its tokens could not be computed.
+    /// No live rank holds the expert, so that its tokens can't be computed.
     Missing {
         /// Layer without the expert.
         layer: usize,
--- a/crates/expert/src/participant_message.rs
+++ b/crates/expert/src/participant_message.rs
@@ -1,33 +1,34 @@
-//! What a participant answers to the coordinator.
+//! Messages from a participant to the coordinator.
 
-/// What a participant answers to the coordinator.
+/// Message from a participant to the coordinator.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ParticipantMessage {
     /// The map is loaded.
     Staged {
         /// Version of the map.
         version: u64,
-        /// The last step that ran.
+        /// The last step that the engine has run.
         step: u64,
     },
-    /// The engine will not pass the barrier without the outcome.
+    /// The engine won't run the barrier step before the outcome is known.
     Held {
         /// Version of the staged map.
         version: u64,
     },
-    /// The outcome has reached the engine.
+    /// The engine has received the outcome.
     Applied {
         /// Version of the map.
         version: u64,
     },
-    /// The request can't be met: the barrier is passed or the map not loaded.
+    /// The request can't be met, for instance because the barrier step has
+    /// already run or the map isn't loaded.
     Refused {
-        /// Version that was asked for.
+        /// Version of the request.
         version: u64,
     },
-    /// A coordinator with a higher fencing number is known.
+    /// The participant has seen a higher fencing number than the coordinator's.
     Fenced {
-        /// The highest number seen.
+        /// The highest fencing number seen.
         fencing: u64,
     },
 }
--- a/crates/expert/src/participant_output.rs
+++ b/crates/expert/src/participant_output.rs
@@ -1,28 +1,28 @@
-//! What a participant wants done.
+//! Actions requested by a participant.
 
 use crate::{EngineCommand, ParticipantMessage};
 
-/// What a participant wants done.
+/// An action requested by a participant.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ParticipantOutput {
-    /// Give the engine an order; the answer goes to
+    /// Send a command to the engine; the result goes to
     /// [`Participant::on_engine_state`](crate::Participant::on_engine_state).
     Command(EngineCommand),
-    /// Read what stands for the group from the durable state, linearizably;
-    /// the answer goes to
+    /// Read the state of the group from the durable state, linearizably; the
+    /// result goes to
     /// [`Participant::on_group_state`](crate::Participant::on_group_state).
     ReadGroupState,
-    /// Open a new fencing number in the durable state; the answer goes to
+    /// Open a new fencing number in the durable state; the result goes to
     /// [`Participant::on_opened`](crate::Participant::on_opened).
     OpenFencing {
-        /// Formation in which the engine is to join.
+        /// Formation that the engine is to join.
         formation: u64,
     },
-    /// Answer the coordinator.
+    /// Send a message to the coordinator.
     Send {
-        /// Name of its agent.
+        /// Name of the coordinator's agent.
         to: String,
-        /// What to answer.
+        /// The message.
         message: ParticipantMessage,
     },
 }
--- a/crates/expert/src/participant_steps.rs
+++ b/crates/expert/src/participant_steps.rs
@@ -177,7 +177,7 @@
             self.tell(attempt, ParticipantMessage::Refused { version }, outputs);
             return None;
         }
-        if engine.promises(version, barrier_step) {
+        if engine.has_promised(version, barrier_step) {
             self.tell(attempt, ParticipantMessage::Held { version }, outputs);
             return None;
         }
--- a/crates/expert/src/rank.rs
+++ b/crates/expert/src/rank.rs
@@ -9,7 +9,7 @@
         usize::from(self.0)
     }
 
-    /// The rank of an index below the number of ranks.
+    /// The rank for an index below the number of ranks.
     pub(crate) fn from_index(index: usize) -> Rank {
         Rank(u16::try_from(index).unwrap_or(u16::MAX))
     }
--- a/crates/expert/src/record/group_state_record.rs
+++ b/crates/expert/src/record/group_state_record.rs
@@ -1,9 +1,9 @@
-//! Encoded form of one group's standing.
+//! Encoded form of the durable state of one group.
 
 use crate::record::DecisionRecord;
 use crate::{Decision, GroupState};
 
-/// Encoded form of [`GroupState`] with the name of its group.
+/// Encoded form of a [`GroupState`] and the name of its group.
 #[derive(Clone, Eq, PartialEq, prost::Message)]
 pub(crate) struct GroupStateRecord {
     #[prost(string, tag = "1")]
@@ -21,18 +21,14 @@
 }
 
 impl GroupStateRecord {
-    pub(crate) fn new(group: &str, standing: &GroupState) -> GroupStateRecord {
+    pub(crate) fn new(group: &str, state: &GroupState) -> GroupStateRecord {
         GroupStateRecord {
             group: group.to_owned(),
-            fencing: standing.fencing,
-            agent: standing.agent.clone(),
-            incarnation: standing.incarnation,
-            current: standing.current.as_ref().map(DecisionRecord::from),
-            committed: standing
-                .committed
-                .iter()
-                .map(DecisionRecord::from)
-                .collect(),
+            fencing: state.fencing,
+            agent: state.agent.clone(),
+            incarnation: state.incarnation,
+            current: state.current.as_ref().map(DecisionRecord::from),
+            committed: state.committed.iter().map(DecisionRecord::from).collect(),
         }
     }
 
--- a/crates/expert/src/record/map_record.rs
+++ b/crates/expert/src/record/map_record.rs
@@ -16,19 +16,19 @@
     slots_per_rank: u32,
     #[prost(uint32, repeated, tag = "5")]
     hosts: Vec<u32>,
-    /// 0 for an empty slot, else the expert's number and 1.
+    /// 0 for an empty slot, otherwise the expert number plus 1.
     #[prost(uint32, repeated, tag = "6")]
     slots: Vec<u32>,
 }
 
 impl MapRecord {
     pub(crate) fn new(format: u32, shape: &Shape, slots: &[Option<ExpertId>]) -> MapRecord {
-        let narrow = |value: usize| u32::try_from(value).unwrap_or(u32::MAX);
+        let to_u32 = |value: usize| u32::try_from(value).unwrap_or(u32::MAX);
         MapRecord {
             format,
-            layers: narrow(shape.layers()),
-            experts: narrow(shape.experts()),
-            slots_per_rank: narrow(shape.slots_per_rank()),
+            layers: to_u32(shape.layers()),
+            experts: to_u32(shape.experts()),
+            slots_per_rank: to_u32(shape.slots_per_rank()),
             hosts: shape.hosts().iter().map(|&host| u32::from(host)).collect(),
             slots: slots
                 .iter()
@@ -38,11 +38,11 @@
     }
 
     pub(crate) fn into_parts(self) -> Result<(Shape, Vec<Option<ExpertId>>)> {
-        let hosts = self.hosts.into_iter().map(narrow);
+        let hosts = self.hosts.into_iter().map(to_u16);
         let shape = Shape::new(
-            narrow(self.layers)?,
-            narrow(self.experts)?,
-            narrow(self.slots_per_rank)?,
+            to_u16(self.layers)?,
+            to_u16(self.experts)?,
+            to_u16(self.slots_per_rank)?,
             hosts.collect::<Result<_>>()?,
         );
         let slots = self
@@ -50,12 +50,12 @@
             .into_iter()
             .map(|slot| match slot.checked_sub(1) {
                 None => Ok(None),
-                Some(expert) => Ok(Some(ExpertId(narrow(expert)?))),
+                Some(expert) => Ok(Some(ExpertId(to_u16(expert)?))),
             });
         Ok((shape, slots.collect::<Result<_>>()?))
     }
 }
 
-fn narrow(value: u32) -> Result<u16> {
+fn to_u16(value: u32) -> Result<u16> {
     u16::try_from(value).map_err(|_| Error::new(Code::Range(value)))
 }
--- a/crates/expert/src/refusal.rs
+++ b/crates/expert/src/refusal.rs
@@ -1,15 +1,15 @@
-//! Why a decision was refused.
+//! Reasons for refusing a decision.
 
 use std::fmt::{self, Display};
 
-/// Why a decision was refused.
+/// Reason for refusing a decision.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Refusal {
-    /// Another coordinator has been opened since, or none ever was.
+    /// Another coordinator has been opened since, or none was ever opened.
     Fencing,
     /// The version isn't the next one.
     Version,
-    /// The barrier isn't beyond the one of the last committed map.
+    /// The barrier step isn't after that of the last committed map.
     Barrier,
     /// A commit without a map.
     NoMap,
--- a/crates/expert/src/shape.rs
+++ b/crates/expert/src/shape.rs
@@ -10,8 +10,8 @@
 }
 
 impl Shape {
-    /// A group of `hosts.len()` ranks, each with `slots` slots a layer;
-    /// `hosts` says on which host each rank runs.
+    /// A group of `hosts.len()` ranks, each with `slots_per_rank` slots per
+    /// layer; `hosts` holds the host of each rank.
     ///
     /// ```
     /// let shape = expert::Shape::new(4, 8, 3, vec![0, 0, 1, 1]);
@@ -27,8 +27,8 @@
         }
     }
 
-    /// A group with as many slots as its experts need and `spare` more on
-    /// each rank, `ranks_per_host` ranks to a host.
+    /// A group with as many slots as its experts need plus `spare` more on
+    /// each rank, with `ranks_per_host` ranks on each host.
     ///
     /// ```
     /// let shape = expert::Shape::with_spare(4, 128, 16, 1, 8);
@@ -42,9 +42,9 @@
         spare: u16,
         ranks_per_host: u16,
     ) -> Shape {
-        let slots = experts.div_ceil(ranks.max(1)) + spare;
+        let slots_per_rank = experts.div_ceil(ranks.max(1)) + spare;
         let hosts = (0..ranks).map(|rank| rank / ranks_per_host.max(1));
-        Shape::new(layers, experts, slots, hosts.collect())
+        Shape::new(layers, experts, slots_per_rank, hosts.collect())
     }
 
     /// The same dimensions on other hosts.
@@ -58,13 +58,13 @@
         usize::from(self.layers)
     }
 
-    /// Number of experts a layer.
+    /// Number of experts per layer.
     #[must_use]
     pub fn experts(&self) -> usize {
         usize::from(self.experts)
     }
 
-    /// Number of slots a layer on each rank.
+    /// Number of slots per layer on each rank.
     #[must_use]
     pub fn slots_per_rank(&self) -> usize {
         usize::from(self.slots_per_rank)
