--- a/crates/expert/src/coordinator.rs
+++ b/crates/expert/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! Drives the participants of a group through map switches.
+//! Coordinator of the map switches of a group.
 
 use crate::{
     CoordinatorMessage, CoordinatorOutput, DecideOutcome, Decision, GroupState, ParticipantMessage,
@@ -10,11 +10,11 @@
 
 /// Drives the participants of a group through map switches.
 ///
-/// Two-phase commit whose decision is kept in the durable state: all stage,
-/// all promise to stop before a barrier step, the decision is committed, all
-/// are told. Several coordinators may be at work at once, for instance on
-/// both sides of a network partition: only the one with the current fencing
-/// number gets decisions through.
+/// This is two-phase commit with the decision kept in the durable state: all
+/// participants stage the map, all promise to stop before a barrier step, the
+/// decision is committed, and all participants get the outcome. Several
+/// coordinators may be active at once, for instance on both sides of a network
+/// partition, but only decisions with the current fencing number are accepted.
 #[derive(Clone, Debug)]
 pub struct Coordinator {
     timing: SwitchTiming,
@@ -23,12 +23,14 @@
     fencing: u64,
     next_version: u64,
     phase: Phase,
-    /// Usual time of a step, if it is known.
+    /// Current time of a step, if known.
     step_time: Option<Duration>,
-    /// When what the phase waits for is sent again.
+    /// When the outstanding requests of the phase are sent again.
     resend_at: Instant,
 }
 
+/// Phase of a coordinator. `waiting` holds the agents whose replies are
+/// outstanding.
 #[derive(Clone, Debug)]
 enum Phase {
     Opening,
@@ -36,14 +38,15 @@
     Staging {
         map: Bytes,
         waiting: BTreeSet<String>,
-        step: u64,
-        until: Instant,
+        /// Newest step that a participant has reported.
+        last_step: u64,
+        deadline: Instant,
     },
     Holding {
         map: Bytes,
         barrier_step: u64,
         waiting: BTreeSet<String>,
-        until: Instant,
+        deadline: Instant,
     },
     Deciding(Decision),
     Telling {
@@ -54,9 +57,9 @@
 }
 
 impl Coordinator {
-    /// A coordinator for the agents `members`, which must be all whose
-    /// engines run the group's steps in `formation`. It does nothing until
-    /// [`tick`](Coordinator::tick).
+    /// A coordinator for the agents `members`, which must be all agents whose
+    /// engines run the steps of the group in `formation`. It takes no action
+    /// before [`tick`](Coordinator::tick).
     ///
     /// ```
     /// use expert::{Coordinator, CoordinatorOutput, SwitchTiming};
@@ -98,19 +101,19 @@
         matches!(self.phase, Phase::Deposed)
     }
 
-    /// Formation in which the engines of the members step.
+    /// Formation in which the engines of the members run steps.
     #[must_use]
     pub fn formation(&self) -> u64 {
         self.formation
     }
 
-    /// Its fencing number; 0 before it is opened.
+    /// Fencing number of the coordinator; 0 before it is opened.
     #[must_use]
     pub fn fencing(&self) -> u64 {
         self.fencing
     }
 
-    /// What it is at, and the agents that it waits for.
+    /// Name of the current phase, and the agents whose replies are outstanding.
     #[must_use]
     pub fn status(&self) -> (&'static str, Vec<&str>) {
         let (phase, waiting) = match &self.phase {
@@ -126,25 +129,26 @@
         (phase, waiting.collect())
     }
 
-    /// Agents that take part.
+    /// Agents that take part in the switches.
     #[must_use]
     pub fn members(&self) -> &BTreeSet<String> {
         &self.members
     }
 
-    /// Takes in how long a step takes at present. On a start map steps may take
-    /// four times as long as on a good one; a barrier as many of them ahead as
-    /// usual would put relief off by a second.
-    pub fn set_step_time(&mut self, step: Option<Duration>) {
-        self.step_time = step;
+    /// Sets the current time of a step, from which the lead of the barrier is
+    /// derived. Steps may take four times as long on an initial map as on a good
+    /// one. With the usual number of steps ahead of the barrier, the switch to a
+    /// better map would then come a second later.
+    pub fn set_step_time(&mut self, step_time: Option<Duration>) {
+        self.step_time = step_time;
     }
 
-    /// Begins a switch to `map`, which takes `loading` to load at the rate of
-    /// the weight store; does nothing unless idle.
+    /// Begins a switch to `map`, which takes `load_time` to load at the rate of
+    /// the weight store. Does nothing unless idle, or if the map is empty.
     pub fn begin_switch(
         &mut self,
         map: Bytes,
-        loading: Duration,
+        load_time: Duration,
         now: Instant,
     ) -> Vec<CoordinatorOutput> {
         if !self.is_idle() || map.is_empty() {
@@ -153,41 +157,41 @@
         self.phase = Phase::Staging {
             map,
             waiting: self.members.clone(),
-            step: 0,
-            until: now + self.timing.phase_timeout + loading,
+            last_step: 0,
+            deadline: now + self.timing.phase_timeout + load_time,
         };
-        self.send(now)
+        self.send_outstanding(now)
     }
 
-    /// Takes in that the coordinator was opened.
+    /// Handles the result of [`CoordinatorOutput::OpenCoordinator`].
     ///
-    /// A former coordinator may have got ranks to stage the next version and
-    /// to wait for its outcome. That version is aborted first, so that they
-    /// go on, and so that a version never has two contents.
-    pub fn on_opened(&mut self, standing: &GroupState, now: Instant) -> Vec<CoordinatorOutput> {
+    /// Ranks may have staged the next version for a previous coordinator and may
+    /// wait for its outcome. That version is aborted first, so that they
+    /// continue, and so that no version has two different maps.
+    pub fn on_opened(&mut self, group_state: &GroupState, now: Instant) -> Vec<CoordinatorOutput> {
         if !matches!(self.phase, Phase::Opening) {
             return Vec::new();
         }
-        self.fencing = standing.fencing;
-        self.next_version = standing.next_version();
-        self.phase = Phase::Deciding(self.abort());
-        self.send(now)
+        self.fencing = group_state.fencing;
+        self.next_version = group_state.next_version();
+        self.phase = Phase::Deciding(self.abort_decision());
+        self.send_outstanding(now)
     }
 
-    /// Takes in the answer to a decision.
+    /// Handles the result of [`CoordinatorOutput::Decide`].
     pub fn on_decided(&mut self, outcome: DecideOutcome, now: Instant) -> Vec<CoordinatorOutput> {
-        let Phase::Deciding(asked) = &self.phase else {
+        let Phase::Deciding(proposed) = &self.phase else {
             return Vec::new();
         };
         let decision = match outcome {
-            DecideOutcome::Accepted(decision) if decision == *asked => decision,
+            DecideOutcome::Accepted(decision) if decision == *proposed => decision,
             DecideOutcome::Accepted(_) => return Vec::new(),
             DecideOutcome::Refused {
                 refusal: Refusal::Barrier,
                 ..
             } => {
-                self.phase = Phase::Deciding(self.abort());
-                return self.send(now);
+                self.phase = Phase::Deciding(self.abort_decision());
+                return self.send_outstanding(now);
             }
             DecideOutcome::Refused { .. } => return self.depose(),
         };
@@ -196,10 +200,10 @@
             decision,
             waiting: self.members.clone(),
         };
-        self.send(now)
+        self.send_outstanding(now)
     }
 
-    /// Takes in an answer of the participant `from`.
+    /// Handles a message from the participant `from`.
     pub fn on_message(
         &mut self,
         from: &str,
@@ -209,9 +213,11 @@
         match message {
             ParticipantMessage::Fenced { fencing } if fencing > self.fencing => self.depose(),
             ParticipantMessage::Fenced { .. } => Vec::new(),
-            ParticipantMessage::Refused { version } => self.refused(version, now),
-            ParticipantMessage::Staged { version, step } => self.staged(from, version, step, now),
-            ParticipantMessage::Held { version } => self.held(from, version, now),
+            ParticipantMessage::Refused { version } => self.on_refused(version, now),
+            ParticipantMessage::Staged { version, step } => {
+                self.on_staged(from, version, step, now)
+            }
+            ParticipantMessage::Held { version } => self.on_held(from, version, now),
             ParticipantMessage::Applied { version } => {
                 if let Phase::Telling { decision, waiting } = &mut self.phase
                     && decision.version == version
@@ -226,32 +232,32 @@
         }
     }
 
-    /// Sends again what is unanswered, and gives up a switch that takes too
-    /// long. Called from time to time.
+    /// Repeats outstanding requests, and aborts a switch that takes too long. To
+    /// be called periodically.
     pub fn tick(&mut self, now: Instant) -> Vec<CoordinatorOutput> {
         if now < self.resend_at {
             return Vec::new();
         }
-        if let Phase::Staging { until, .. } | Phase::Holding { until, .. } = self.phase
-            && now >= until
+        if let Phase::Staging { deadline, .. } | Phase::Holding { deadline, .. } = self.phase
+            && now >= deadline
         {
-            self.phase = Phase::Deciding(self.abort());
+            self.phase = Phase::Deciding(self.abort_decision());
         }
-        self.send(now)
+        self.send_outstanding(now)
     }
 
-    fn staged(
+    fn on_staged(
         &mut self,
         from: &str,
         version: u64,
-        ran: u64,
+        step: u64,
         now: Instant,
     ) -> Vec<CoordinatorOutput> {
         let Phase::Staging {
             map,
             waiting,
-            step,
-            until,
+            last_step,
+            deadline,
         } = &mut self.phase
         else {
             return Vec::new();
@@ -260,20 +266,20 @@
             return Vec::new();
         }
         waiting.remove(from);
-        *step = ran.max(*step);
+        *last_step = step.max(*last_step);
         if !waiting.is_empty() {
             return Vec::new();
         }
         self.phase = Phase::Holding {
             map: std::mem::take(map),
-            barrier_step: *step + self.timing.barrier_lead(self.step_time),
+            barrier_step: *last_step + self.timing.barrier_lead(self.step_time),
             waiting: self.members.clone(),
-            until: *until + self.timing.phase_timeout,
+            deadline: *deadline + self.timing.phase_timeout,
         };
-        self.send(now)
+        self.send_outstanding(now)
     }
 
-    fn held(&mut self, from: &str, version: u64, now: Instant) -> Vec<CoordinatorOutput> {
+    fn on_held(&mut self, from: &str, version: u64, now: Instant) -> Vec<CoordinatorOutput> {
         let Phase::Holding {
             map,
             barrier_step,
@@ -288,7 +294,7 @@
         }
         waiting.remove(from);
         // A rank that hasn't promised could run the barrier step on the
-        // former map while the others run it on the new one.
+        // previous map while the others run it on the new one.
         if !waiting.is_empty() {
             return Vec::new();
         }
@@ -299,17 +305,17 @@
             verdict: Verdict::Commit,
             map: std::mem::take(map),
         });
-        self.send(now)
+        self.send_outstanding(now)
     }
 
-    /// One participant can't go along: nobody switches.
-    fn refused(&mut self, version: u64, now: Instant) -> Vec<CoordinatorOutput> {
+    /// One participant can't switch, so the switch is aborted for all.
+    fn on_refused(&mut self, version: u64, now: Instant) -> Vec<CoordinatorOutput> {
         let undecided = matches!(self.phase, Phase::Staging { .. } | Phase::Holding { .. });
         if !undecided || version != self.next_version {
             return Vec::new();
         }
-        self.phase = Phase::Deciding(self.abort());
-        self.send(now)
+        self.phase = Phase::Deciding(self.abort_decision());
+        self.send_outstanding(now)
     }
 
     fn depose(&mut self) -> Vec<CoordinatorOutput> {
@@ -320,7 +326,8 @@
         vec![CoordinatorOutput::Deposed]
     }
 
-    fn abort(&self) -> Decision {
+    /// The decision to abort the next version.
+    fn abort_decision(&self) -> Decision {
         Decision {
             fencing: self.fencing,
             version: self.next_version,
@@ -330,8 +337,8 @@
         }
     }
 
-    /// What the phase waits for, sent for the first time or again.
-    fn send(&mut self, now: Instant) -> Vec<CoordinatorOutput> {
+    /// The requests of the current phase that are outstanding.
+    fn send_outstanding(&mut self, now: Instant) -> Vec<CoordinatorOutput> {
         self.resend_at = now + self.timing.resend_interval;
         let (fencing, version) = (self.fencing, self.next_version);
         match &self.phase {
@@ -372,6 +379,7 @@
     }
 }
 
+/// Sends `message` to all agents in `waiting`.
 fn to_all(waiting: &BTreeSet<String>, message: &CoordinatorMessage) -> Vec<CoordinatorOutput> {
     let send = |to: &String| CoordinatorOutput::Send {
         to: to.clone(),
