--- a/crates/expert/src/goal.rs
+++ b/crates/expert/src/goal.rs
@@ -1,54 +1,56 @@
-//! What a participant is working towards.
+//! Goal of a participant.
 
 use crate::{GroupState, Verdict};
 use bytes::Bytes;
 
-/// What a participant is working towards.
+/// Goal of a participant.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum Goal {
-    /// To learn from engine and durable state where a former life of this
-    /// agent left off.
-    Learn,
-    /// The engine, which was started, on the maps that the others use.
+    /// Recover the progress of this agent before its restart from the engine
+    /// and the durable state.
+    Recover,
+    /// Bring a restarted engine onto the maps that the other engines use.
     Join {
-        /// What stood once no promise of its former life counted any more.
-        standing: Option<GroupState>,
+        /// The state of the group once promises that the engine gave before
+        /// its restart no longer count; `None` until it is known.
+        group_state: Option<GroupState>,
     },
-    /// Nothing is to be done.
-    Rest,
-    /// The map loaded.
-    Stage { attempt: Attempt },
-    /// The engine stopped before the barrier.
+    /// Nothing to do.
+    Idle,
+    /// Have the engine load the map.
+    Stage { attempt: SwitchAttempt },
+    /// Have the engine promise to stop before the barrier step.
     Hold {
-        attempt: Attempt,
+        attempt: SwitchAttempt,
         barrier_step: u64,
-        /// Formation that the coordinator counts on, if it has asked.
+        /// Formation that the coordinator expects, if it has sent a hold.
         formation: Option<u64>,
     },
-    /// The engine told the outcome.
-    Finish {
-        attempt: Attempt,
+    /// Deliver the outcome to the engine.
+    ApplyOutcome {
+        attempt: SwitchAttempt,
         barrier_step: u64,
         verdict: Verdict,
     },
 }
 
-/// One attempt at a switch, as a participant knows it.
+/// What a participant knows of an attempted switch.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) struct Attempt {
+pub(crate) struct SwitchAttempt {
+    /// Agent of the coordinator that expects replies, if any.
     pub(crate) coordinator: Option<String>,
     pub(crate) fencing: u64,
     pub(crate) version: u64,
-    /// Empty if only the durable state has it.
+    /// The encoded map; empty if only the durable state holds it.
     pub(crate) map: Bytes,
 }
 
 impl Goal {
-    /// Version of the attempt that isn't decided, as far as is known here.
-    pub(crate) fn undecided(&self) -> Option<u64> {
+    /// Version of the attempt whose decision this participant doesn't know.
+    pub(crate) fn undecided_version(&self) -> Option<u64> {
         match self {
             Goal::Stage { attempt } | Goal::Hold { attempt, .. } => Some(attempt.version),
-            Goal::Learn | Goal::Join { .. } | Goal::Rest | Goal::Finish { .. } => None,
+            Goal::Recover | Goal::Join { .. } | Goal::Idle | Goal::ApplyOutcome { .. } => None,
         }
     }
 }
--- a/crates/expert/src/participant.rs
+++ b/crates/expert/src/participant.rs
@@ -1,6 +1,6 @@
-//! Takes one engine through the map switches of its group.
+//! Participant in the map switches of a group.
 
-use crate::goal::{Attempt, Goal};
+use crate::goal::{Goal, SwitchAttempt};
 use crate::{
     CoordinatorMessage, EngineState, GroupState, ParticipantMessage, ParticipantOutput,
     SwitchTiming, Verdict,
@@ -9,47 +9,47 @@
 
 /// Takes one engine through the map switches of its group.
 ///
-/// Orders to the engine are given one at a time, and what an order did is
-/// read back before anything is said to the coordinator: an answer may be
-/// lost, and an engine that ignores fencing numbers obeys whatever arrives.
-/// The agent is the only way to its engine, so what is refused here never
+/// Commands are sent to the engine one at a time, and their effect is read back
+/// before the coordinator gets a reply: an answer may be lost, and an engine
+/// that ignores fencing numbers executes whatever arrives. The engine is
+/// reachable through its agent only, so that a request refused here never
 /// reaches it.
 #[derive(Clone, Debug)]
 pub struct Participant {
     pub(crate) timing: SwitchTiming,
     /// Highest fencing number seen.
     pub(crate) fencing: u64,
-    /// Highest version that is known to be decided and done with here.
-    pub(crate) resolved: u64,
+    /// Highest version that is known to be decided and completed here.
+    pub(crate) resolved_version: u64,
     pub(crate) goal: Goal,
-    /// As last read; `None` if an order was given since.
+    /// State of the engine as last read; `None` if a command was sent since.
     pub(crate) engine: Option<EngineState>,
-    /// Whether the goal was reached with the state last read.
-    pub(crate) told: bool,
-    /// When the order in flight is given up.
-    pub(crate) order_until: Option<Instant>,
-    /// Whether it only reads.
-    pub(crate) is_read: bool,
-    /// Until when an order that was given up may still be obeyed.
-    pub(crate) quiet_until: Option<Instant>,
-    /// When the durable state is asked, if it is to be asked.
-    pub(crate) ask_at: Option<Instant>,
-    /// When the engine is read again.
-    pub(crate) read_at: Instant,
-    /// Formation of the engine when a new fencing number was asked for.
-    pub(crate) join_in: Option<u64>,
-    /// When it is asked for again.
-    pub(crate) open_at: Instant,
-    /// The last order, reads apart, got no answer.
-    pub(crate) unanswered: bool,
-    /// Formation of the engine when it was asked for a promise, or when a
-    /// promise of a former life was found.
-    pub(crate) promised_in: Option<u64>,
+    /// Whether the coordinator has been sent the reply for the current goal.
+    pub(crate) has_replied: bool,
+    /// When the command in flight is considered lost; `None` if there is none.
+    pub(crate) command_deadline: Option<Instant>,
+    /// Whether the last command was a read.
+    pub(crate) last_command_is_read: bool,
+    /// Until when the engine may still execute a command considered lost.
+    pub(crate) late_command_until: Option<Instant>,
+    /// When the group state is to be read, if at all.
+    pub(crate) group_read_at: Option<Instant>,
+    /// Earliest time of the next read of the engine.
+    pub(crate) engine_read_at: Instant,
+    /// Formation of the engine when a new fencing number was requested.
+    pub(crate) join_formation: Option<u64>,
+    /// When the request is repeated.
+    pub(crate) reopen_at: Instant,
+    /// Whether the last command other than a read got no answer.
+    pub(crate) last_command_unanswered: bool,
+    /// Formation of the engine when it was asked for a promise, or when the
+    /// state before a restart of the agent was recovered.
+    pub(crate) promise_formation: Option<u64>,
 }
 
 impl Participant {
-    /// A participant that knows nothing yet: it reads the engine and the
-    /// durable state before it gives an order.
+    /// A participant without any knowledge: it reads the engine and the durable
+    /// state before it sends another command.
     ///
     /// ```
     /// use expert::{EngineCommand, Participant, ParticipantOutput, SwitchTiming};
@@ -64,20 +64,21 @@
         Participant {
             timing,
             fencing: 0,
-            resolved: 0,
-            goal: Goal::Learn,
+            resolved_version: 0,
+            goal: Goal::Recover,
             engine: None,
-            told: false,
-            order_until: None,
-            is_read: false,
-            // An order of a former life may still be on its way.
-            quiet_until: Some(now + timing.late_command_window),
-            ask_at: None,
-            read_at: now,
-            join_in: None,
-            open_at: now,
-            unanswered: false,
-            promised_in: None,
+            has_replied: false,
+            command_deadline: None,
+            last_command_is_read: false,
+            // A command sent before a restart of the agent may still be in
+            // flight.
+            late_command_until: Some(now + timing.late_command_window),
+            group_read_at: None,
+            engine_read_at: now,
+            join_formation: None,
+            reopen_at: now,
+            last_command_unanswered: false,
+            promise_formation: None,
         }
     }
 
@@ -87,13 +88,13 @@
         self.fencing
     }
 
-    /// The engine as last read.
+    /// The state of the engine as last read; `None` if a command was sent since.
     #[must_use]
     pub fn engine(&self) -> Option<EngineState> {
         self.engine
     }
 
-    /// Takes in a message of the coordinator `from`.
+    /// Handles a message from the coordinator `from`.
     pub fn on_message(
         &mut self,
         from: &str,
@@ -106,16 +107,16 @@
                 version,
                 map,
             } => {
-                if let Some(refusal) = self.refuse(from, fencing) {
+                if let Some(refusal) = self.check_fencing(from, fencing) {
                     return vec![refusal];
                 }
-                let attempt = Attempt {
+                let attempt = SwitchAttempt {
                     coordinator: Some(from.to_owned()),
                     fencing,
                     version,
                     map,
                 };
-                self.stage(attempt, now);
+                self.on_stage(attempt, now);
             }
             CoordinatorMessage::Hold {
                 fencing,
@@ -123,10 +124,10 @@
                 barrier_step,
                 formation,
             } => {
-                if let Some(refusal) = self.refuse(from, fencing) {
+                if let Some(refusal) = self.check_fencing(from, fencing) {
                     return vec![refusal];
                 }
-                if !self.hold(from, version, barrier_step, formation) {
+                if !self.on_hold(from, version, barrier_step, formation) {
                     let message = ParticipantMessage::Refused { version };
                     return vec![send(from, message)];
                 }
@@ -137,24 +138,24 @@
                 barrier_step,
                 verdict,
             } => {
-                // The next coordinator's first message is the abort of what
-                // hangs. If its number weren't heeded here, the engine would
-                // be let go under the former one, and what the superseded
-                // coordinator still sends would pass for current.
+                // The first message of a new coordinator is the abort of a
+                // pending switch. If its fencing number were ignored here, the
+                // engine would be released under the previous number, and
+                // messages of the superseded coordinator would be accepted.
                 self.fencing = self.fencing.max(fencing);
-                if version <= self.resolved {
+                if version <= self.resolved_version {
                     return vec![send(from, ParticipantMessage::Applied { version })];
                 }
-                self.outcome(from, version, barrier_step, verdict, now);
+                self.on_outcome(from, version, barrier_step, verdict, now);
             }
         }
         self.tick(now)
     }
 
-    /// A coordinator that has been superseded still believes that it leads:
-    /// its orders would undo those of the next one, at least with an engine
-    /// that ignores the number.
-    fn refuse(&mut self, from: &str, fencing: u64) -> Option<ParticipantOutput> {
+    /// The refusal to a superseded coordinator, if `fencing` is outdated. Such a
+    /// coordinator may be unaware of the next one, and its commands would undo
+    /// those of the next one on an engine that ignores fencing numbers.
+    fn check_fencing(&mut self, from: &str, fencing: u64) -> Option<ParticipantOutput> {
         if fencing < self.fencing {
             let fencing = self.fencing;
             return Some(send(from, ParticipantMessage::Fenced { fencing }));
@@ -163,34 +164,41 @@
         None
     }
 
-    fn stage(&mut self, attempt: Attempt, now: Instant) {
+    fn on_stage(&mut self, attempt: SwitchAttempt, now: Instant) {
         match &mut self.goal {
-            // Asked again, as the answer was lost or isn't due yet.
+            // A repeated request: the reply was lost or isn't due yet.
             Goal::Stage { attempt: known } if known.version == attempt.version => {
                 known.coordinator = attempt.coordinator;
-                self.told = false;
+                self.has_replied = false;
             }
-            // Without a promise the former attempt binds nobody.
-            Goal::Rest | Goal::Stage { .. } if attempt.version > self.resolved => {
+            // The previous attempt isn't binding without a promise.
+            Goal::Idle | Goal::Stage { .. } if attempt.version > self.resolved_version => {
                 self.goal = Goal::Stage { attempt };
-                self.told = false;
+                self.has_replied = false;
             }
-            // The promise for the former version holds until its outcome is
-            // known, which the coordinator of the next one must have seen.
-            Goal::Hold { .. } | Goal::Learn => self.ask(now),
-            Goal::Rest | Goal::Join { .. } | Goal::Stage { .. } | Goal::Finish { .. } => {}
+            // The promise for the previous version is binding until its
+            // outcome is known. The coordinator of the next version must know
+            // it, so it is in the durable state.
+            Goal::Hold { .. } | Goal::Recover => self.request_group_read(now),
+            Goal::Idle | Goal::Join { .. } | Goal::Stage { .. } | Goal::ApplyOutcome { .. } => {}
         }
     }
 
-    /// Whether the hold is taken up.
-    fn hold(&mut self, from: &str, version: u64, barrier_step: u64, counted: u64) -> bool {
+    /// Handles a hold; returns whether it is accepted.
+    fn on_hold(
+        &mut self,
+        from: &str,
+        version: u64,
+        barrier_step: u64,
+        expected_formation: u64,
+    ) -> bool {
         match &mut self.goal {
             Goal::Stage { attempt } if attempt.version == version => {
                 let attempt = attempt.clone();
                 self.goal = Goal::Hold {
                     attempt,
                     barrier_step,
-                    formation: Some(counted),
+                    formation: Some(expected_formation),
                 };
             }
             Goal::Hold {
@@ -198,16 +206,16 @@
                 barrier_step: held,
                 formation,
             } if attempt.version == version && *held == barrier_step => {
-                *formation = Some(counted);
+                *formation = Some(expected_formation);
                 attempt.coordinator = Some(from.to_owned());
             }
             _ => return false,
         }
-        self.told = false;
+        self.has_replied = false;
         true
     }
 
-    fn outcome(
+    fn on_outcome(
         &mut self,
         from: &str,
         version: u64,
@@ -219,127 +227,133 @@
             Goal::Stage { attempt } | Goal::Hold { attempt, .. } if attempt.version == version => {
                 let mut attempt = attempt.clone();
                 attempt.coordinator = Some(from.to_owned());
-                self.finish(attempt, barrier_step, verdict);
+                self.apply_outcome(attempt, barrier_step, verdict);
             }
-            // An order of a former life of this agent may have come to the
-            // engine after it was read, so it is read again.
-            Goal::Rest => {
-                self.goal = Goal::Learn;
+            // A command sent before a restart of this agent may have reached
+            // the engine after it was read, so it is read again.
+            Goal::Idle => {
+                self.goal = Goal::Recover;
                 self.engine = None;
             }
-            Goal::Join { .. } | Goal::Finish { .. } => {}
-            // Something was missed: the durable state has all of it.
-            Goal::Learn | Goal::Stage { .. } | Goal::Hold { .. } => self.ask(now),
+            Goal::Join { .. } | Goal::ApplyOutcome { .. } => {}
+            // A message was missed: the durable state holds the decision.
+            Goal::Recover | Goal::Stage { .. } | Goal::Hold { .. } => self.request_group_read(now),
         }
     }
 
-    pub(crate) fn finish(&mut self, attempt: Attempt, barrier_step: u64, verdict: Verdict) {
-        self.told = false;
-        self.goal = Goal::Finish {
+    pub(crate) fn apply_outcome(
+        &mut self,
+        attempt: SwitchAttempt,
+        barrier_step: u64,
+        verdict: Verdict,
+    ) {
+        self.has_replied = false;
+        self.goal = Goal::ApplyOutcome {
             attempt,
             barrier_step,
             verdict,
         };
     }
 
-    pub(crate) fn ask(&mut self, now: Instant) {
-        self.ask_at = Some(self.ask_at.unwrap_or(now));
+    pub(crate) fn request_group_read(&mut self, now: Instant) {
+        self.group_read_at = Some(self.group_read_at.unwrap_or(now));
     }
 
-    /// Takes in that a new fencing number was opened for this agent, whose
-    /// engine was to join in `formation`.
+    /// Handles the result of [`ParticipantOutput::OpenFencing`] for
+    /// `formation`: the state of the group under the new fencing number.
     pub fn on_opened(
         &mut self,
         formation: u64,
-        standing: &GroupState,
+        group_state: &GroupState,
         now: Instant,
     ) -> Vec<ParticipantOutput> {
-        self.fencing = self.fencing.max(standing.fencing);
+        self.fencing = self.fencing.max(group_state.fencing);
         if let Goal::Join {
-            standing: known @ None,
+            group_state: known @ None,
         } = &mut self.goal
-            && self.join_in == Some(formation)
+            && self.join_formation == Some(formation)
         {
-            *known = Some(standing.clone());
+            *known = Some(group_state.clone());
         }
         self.tick(now)
     }
 
-    /// Takes in what the durable state holds for the group; the default if it
-    /// holds nothing.
+    /// Handles the result of [`ParticipantOutput::ReadGroupState`]; the default
+    /// if the durable state holds nothing for the group.
     pub fn on_group_state(
         &mut self,
-        standing: &GroupState,
+        group_state: &GroupState,
         now: Instant,
     ) -> Vec<ParticipantOutput> {
-        self.fencing = self.fencing.max(standing.fencing);
-        let latest = standing.current.as_ref().map_or(0, |last| last.version);
+        self.fencing = self.fencing.max(group_state.fencing);
+        let latest = group_state.current.as_ref().map_or(0, |last| last.version);
         match &self.goal {
-            Goal::Learn => self.learn(standing, latest),
-            Goal::Join { .. } | Goal::Finish { .. } => {}
-            goal => match goal.undecided() {
-                Some(version) if version <= latest => self.decided(version, standing),
+            Goal::Recover => self.recover(group_state, latest),
+            Goal::Join { .. } | Goal::ApplyOutcome { .. } => {}
+            goal => match goal.undecided_version() {
+                Some(version) if version <= latest => self.on_decided(version, group_state),
                 Some(_) => {}
-                None => self.catch_up(standing, latest),
+                None => self.catch_up(group_state, latest),
             },
         }
-        if self.goal.undecided().is_none() && self.goal != Goal::Learn {
-            self.ask_at = None;
+        if self.goal.undecided_version().is_none() && self.goal != Goal::Recover {
+            self.group_read_at = None;
         }
         self.tick(now)
     }
 
-    /// Takes in the engine's answer to an order: its state after it, or
-    /// `None` if the answer was lost or the order refused.
+    /// Handles the result of [`ParticipantOutput::Command`]: the state of the
+    /// engine after the command, or `None` if the answer was lost or the
+    /// command refused.
     pub fn on_engine_state(
         &mut self,
         state: Option<EngineState>,
         now: Instant,
     ) -> Vec<ParticipantOutput> {
-        if self.order_until.take().is_none() {
-            // The order was given up before.
+        if self.command_deadline.take().is_none() {
+            // The command was already considered lost.
             return Vec::new();
         }
         self.engine = state;
         match state {
-            None => self.lost(now),
-            Some(_) if !self.is_read => self.unanswered = false,
+            None => self.on_command_lost(now),
+            Some(_) if !self.last_command_is_read => self.last_command_unanswered = false,
             Some(_) => {}
         }
         self.tick(now)
     }
 
-    /// An order that was given up may still be on its way. Another one given
-    /// now could overtake it, and the engine would end with what the former
-    /// asked for; so only reads go out until it must have come or gone.
-    fn lost(&mut self, now: Instant) {
+    /// Handles the loss of a command or of its answer. The command may still be
+    /// in flight and be executed after one sent now, whose effect it would
+    /// replace. So only reads are sent until it can no longer arrive.
+    fn on_command_lost(&mut self, now: Instant) {
         self.engine = None;
-        self.read_at = now + self.timing.resend_interval;
-        if self.is_read {
+        self.engine_read_at = now + self.timing.resend_interval;
+        if self.last_command_is_read {
             return;
         }
-        self.unanswered = true;
-        self.quiet_until = Some(now + self.timing.late_command_window);
-        // It may have been refused for a number that is higher than any seen
-        // here; the durable state knows it.
-        self.ask(now);
+        self.last_command_unanswered = true;
+        self.late_command_until = Some(now + self.timing.late_command_window);
+        // The engine may have refused it because of a higher fencing number,
+        // which the durable state holds.
+        self.request_group_read(now);
     }
 
-    /// Does what is due. Called from time to time.
+    /// Performs the actions that are due. To be called periodically.
     pub fn tick(&mut self, now: Instant) -> Vec<ParticipantOutput> {
         let mut outputs = Vec::new();
-        if self.order_until.is_some_and(|until| now >= until) {
-            self.order_until = None;
-            self.lost(now);
+        if self.command_deadline.is_some_and(|until| now >= until) {
+            self.command_deadline = None;
+            self.on_command_lost(now);
         }
-        if self.quiet_until.is_some_and(|until| now >= until) {
-            self.quiet_until = None;
+        if self.late_command_until.is_some_and(|until| now >= until) {
+            self.late_command_until = None;
         }
-        if self.order_until.is_none() {
+        if self.command_deadline.is_none() {
             self.advance(now, &mut outputs);
         }
-        if self.ask_at.is_some_and(|at| now >= at) {
-            self.ask_at = Some(now + self.timing.resend_interval);
+        if self.group_read_at.is_some_and(|at| now >= at) {
+            self.group_read_at = Some(now + self.timing.resend_interval);
             outputs.push(ParticipantOutput::ReadGroupState);
         }
         outputs
--- a/crates/expert/src/participant_steps.rs
+++ b/crates/expert/src/participant_steps.rs
@@ -1,6 +1,6 @@
-//! The orders that bring a participant to its goal.
+//! Steps of a participant towards its goal.
 
-use crate::goal::{Attempt, Goal};
+use crate::goal::{Goal, SwitchAttempt};
 use crate::participant::send;
 use crate::{
     EngineCommand, EngineState, GroupState, Participant, ParticipantMessage, ParticipantOutput,
@@ -9,183 +9,195 @@
 use std::time::Instant;
 
 impl Participant {
-    /// Gives the next order, or tells the coordinator that there is none.
+    /// Sends the next command to the engine or, if none is needed, the reply to
+    /// the coordinator.
     pub(crate) fn advance(&mut self, now: Instant, outputs: &mut Vec<ParticipantOutput>) {
         let Some(engine) = self.engine else {
-            let settled = self.quiet_until.is_none() || self.goal != Goal::Learn;
-            if settled && now >= self.read_at {
-                self.order(EngineCommand::Read, now, outputs);
+            let may_read = self.late_command_until.is_none() || self.goal != Goal::Recover;
+            if may_read && now >= self.engine_read_at {
+                self.send_command(EngineCommand::Read, now, outputs);
             }
             return;
         };
-        self.heed_start(engine);
+        self.detect_restart(engine);
         let next = match self.goal.clone() {
-            Goal::Join { standing } => self.advance_join(standing, engine, now, outputs),
-            Goal::Learn => {
-                self.ask(now);
+            Goal::Join { group_state } => self.advance_join(group_state, engine, now, outputs),
+            Goal::Recover => {
+                self.request_group_read(now);
                 None
             }
-            Goal::Rest => None,
+            Goal::Idle => None,
             Goal::Stage { attempt } => self.advance_stage(&attempt, engine, outputs),
             Goal::Hold {
                 attempt,
                 barrier_step,
                 formation,
             } => self.advance_hold(&attempt, barrier_step, formation, engine, now, outputs),
-            Goal::Finish {
+            Goal::ApplyOutcome {
                 attempt,
                 barrier_step,
                 verdict,
             } => self.advance_finish(&attempt, barrier_step, verdict, engine, now, outputs),
         };
-        if let Some(order) = next
-            && self.quiet_until.is_none()
+        if let Some(command) = next
+            && self.late_command_until.is_none()
         {
-            self.order(order, now, outputs);
-        } else if self.engine.is_some() && now >= self.read_at + self.timing.resend_interval {
-            // The engine may restart at any time, whatever was asked of it.
-            self.order(EngineCommand::Read, now, outputs);
+            self.send_command(command, now, outputs);
+        } else if self.engine.is_some() && now >= self.engine_read_at + self.timing.resend_interval
+        {
+            // The engine may restart at any time.
+            self.send_command(EngineCommand::Read, now, outputs);
         }
     }
 
-    /// Whether the engine has begun another formation since it promised, with
-    /// which it went back to its start map.
+    /// Whether the engine has entered another formation since its promise and
+    /// has thereby returned to its initial map.
     fn has_reset(&self, engine: EngineState) -> bool {
-        engine.arming.is_some() && engine.formation != self.promised_in
+        engine.arming.is_some() && engine.formation != self.promise_formation
     }
 
-    fn unsettled(&self, engine: EngineState) -> bool {
-        engine.arming.is_some() && self.unanswered
+    /// Whether the engine may still execute an unanswered command without its
+    /// state showing it.
+    fn may_run_late_command(&self, engine: EngineState) -> bool {
+        engine.arming.is_some() && self.last_command_unanswered
     }
 
-    fn order(&mut self, order: EngineCommand, now: Instant, outputs: &mut Vec<ParticipantOutput>) {
+    fn send_command(
+        &mut self,
+        command: EngineCommand,
+        now: Instant,
+        outputs: &mut Vec<ParticipantOutput>,
+    ) {
         self.engine = None;
-        self.is_read = order == EngineCommand::Read;
-        self.order_until = Some(now + self.timing.command_timeout);
-        self.read_at = now;
-        outputs.push(ParticipantOutput::Command(order));
+        self.last_command_is_read = command == EngineCommand::Read;
+        self.command_deadline = Some(now + self.timing.command_timeout);
+        self.engine_read_at = now;
+        outputs.push(ParticipantOutput::Command(command));
     }
 
-    /// Notices that the engine was started since it was last read: it has
-    /// lost its maps and whatever it promised.
-    fn heed_start(&mut self, engine: EngineState) {
+    /// Detects that the engine has restarted since it was last read and has lost
+    /// its maps and promises.
+    fn detect_restart(&mut self, engine: EngineState) {
         if engine.awaiting_join && !matches!(self.goal, Goal::Join { .. }) {
-            self.goal = Goal::Join { standing: None };
+            self.goal = Goal::Join { group_state: None };
         }
-        // An order of before may have reached the engine after its start, and
-        // it would keep a promise that nobody here knows of.
-        if !engine.awaiting_join && engine.held_step.is_some() && self.goal == Goal::Rest {
-            self.goal = Goal::Learn;
+        // A command sent before the restart may have reached the engine after
+        // it. The engine would then keep a promise unknown to this participant.
+        if !engine.awaiting_join && engine.held_step.is_some() && self.goal == Goal::Idle {
+            self.goal = Goal::Recover;
         }
     }
 
-    /// Brings an engine that was started onto the maps of the others.
+    /// Brings a restarted engine onto the maps of the other engines.
     ///
-    /// A coordinator may count on a promise that the engine gave before its
-    /// start, and commit a switch at any moment. So a new fencing number is
-    /// opened first: from then on that commit is refused, or stands already
-    /// in what the durable state answers. Whatever comes after needs the
-    /// promise of an engine in the present formation, and so this one's.
+    /// A coordinator may rely on a promise that the engine gave before its
+    /// restart, and commit a switch at any time. So a new fencing number is
+    /// opened first: from then on that commit is refused, or is already part of
+    /// the group state that is returned. All later switches need the promises
+    /// of the engines in the current formation, which include this one.
     fn advance_join(
         &mut self,
-        standing: Option<GroupState>,
+        group_state: Option<GroupState>,
         engine: EngineState,
         now: Instant,
         outputs: &mut Vec<ParticipantOutput>,
     ) -> Option<EngineCommand> {
         if !engine.awaiting_join {
-            self.joined(standing);
+            self.on_joined(group_state);
             return None;
         }
-        // Before it is in a formation a switch may be decided without it.
+        // A switch may be decided without an engine outside a formation.
         let formation = engine.formation?;
-        if let Some(standing) = standing.filter(|_| self.join_in == Some(formation)) {
-            let maps = standing.committed.into_iter().rev().collect();
+        if let Some(group_state) = group_state.filter(|_| self.join_formation == Some(formation)) {
+            let maps = group_state.committed.into_iter().rev().collect();
             return Some(EngineCommand::Join {
-                fencing: self.fencing.max(standing.fencing),
+                fencing: self.fencing.max(group_state.fencing),
                 formation,
                 maps,
             });
         }
-        if self.join_in != Some(formation) || now >= self.open_at {
-            self.join_in = Some(formation);
-            self.goal = Goal::Join { standing: None };
-            self.open_at = now + self.timing.resend_interval;
+        if self.join_formation != Some(formation) || now >= self.reopen_at {
+            self.join_formation = Some(formation);
+            self.goal = Goal::Join { group_state: None };
+            self.reopen_at = now + self.timing.resend_interval;
             outputs.push(ParticipantOutput::OpenFencing { formation });
         }
         None
     }
 
-    /// The engine runs steps on the maps in force.
-    fn joined(&mut self, standing: Option<GroupState>) {
-        self.join_in = None;
-        let Some(standing) = standing else {
-            self.goal = Goal::Learn;
+    /// Handles that the engine runs steps on the maps in force.
+    fn on_joined(&mut self, group_state: Option<GroupState>) {
+        self.join_formation = None;
+        let Some(group_state) = group_state else {
+            self.goal = Goal::Recover;
             return;
         };
-        let latest = standing.current.as_ref().map_or(0, |last| last.version);
-        self.resolved = self.resolved.max(latest);
-        self.goal = Goal::Rest;
-        if let Some(newest) = standing.committed.first() {
-            // It comes into use at a later step, perhaps.
-            self.commit(newest);
+        let latest = group_state.current.as_ref().map_or(0, |last| last.version);
+        self.resolved_version = self.resolved_version.max(latest);
+        self.goal = Goal::Idle;
+        if let Some(newest) = group_state.committed.first() {
+            // It may come into use only at a later step.
+            self.apply_commit(newest);
         }
     }
 
     fn advance_stage(
         &mut self,
-        attempt: &Attempt,
+        attempt: &SwitchAttempt,
         engine: EngineState,
         outputs: &mut Vec<ParticipantOutput>,
     ) -> Option<EngineCommand> {
         let version = attempt.version;
         if !engine.requires_join {
-            // After a restart it would join on its start map while the others
-            // run on this one.
-            self.tell(attempt, ParticipantMessage::Refused { version }, outputs);
+            // After a restart it would run steps on its initial map while the
+            // others run on the switched one.
+            self.reply(attempt, ParticipantMessage::Refused { version }, outputs);
             return None;
         }
         if engine.loading == Some(version) {
             return None;
         }
         if engine.staged != Some(version) {
-            return Some(stage_order(attempt));
+            return Some(stage_command(attempt));
         }
         let message = ParticipantMessage::Staged {
             version,
             step: engine.step,
         };
-        self.tell(attempt, message, outputs);
+        self.reply(attempt, message, outputs);
         None
     }
 
     fn advance_hold(
         &mut self,
-        attempt: &Attempt,
+        attempt: &SwitchAttempt,
         barrier_step: u64,
         formation: Option<u64>,
         engine: EngineState,
         now: Instant,
         outputs: &mut Vec<ParticipantOutput>,
     ) -> Option<EngineCommand> {
-        // From here on the outcome may be committed at any time, and the
-        // message that tells it may be lost: the durable state is asked.
-        self.ask_at = Some(self.ask_at.unwrap_or(now + self.timing.resend_interval));
+        // From now on the switch may be decided at any time, and the message
+        // with the outcome may be lost, so the group state is read.
+        self.group_read_at = Some(
+            self.group_read_at
+                .unwrap_or(now + self.timing.resend_interval),
+        );
         let version = attempt.version;
-        if formation.is_some_and(|counted| engine.formation != Some(counted)) {
-            // Engines that the coordinator doesn't know of step along.
-            self.tell(attempt, ParticipantMessage::Refused { version }, outputs);
+        if formation.is_some_and(|expected| engine.formation != Some(expected)) {
+            // Engines unknown to the coordinator take part in the steps.
+            self.reply(attempt, ParticipantMessage::Refused { version }, outputs);
             return None;
         }
         if engine.has_promised(version, barrier_step) {
-            self.tell(attempt, ParticipantMessage::Held { version }, outputs);
+            self.reply(attempt, ParticipantMessage::Held { version }, outputs);
             return None;
         }
         if engine.step >= barrier_step || engine.staged != Some(version) {
-            self.tell(attempt, ParticipantMessage::Refused { version }, outputs);
+            self.reply(attempt, ParticipantMessage::Refused { version }, outputs);
             return None;
         }
-        self.promised_in = engine.formation;
+        self.promise_formation = engine.formation;
         Some(EngineCommand::Hold {
             fencing: attempt.fencing,
             version,
@@ -195,7 +207,7 @@
 
     fn advance_finish(
         &mut self,
-        attempt: &Attempt,
+        attempt: &SwitchAttempt,
         barrier_step: u64,
         verdict: Verdict,
         engine: EngineState,
@@ -205,38 +217,38 @@
         let version = attempt.version;
         let done = match verdict {
             Verdict::Commit => engine.version >= version || self.has_reset(engine),
-            // An order whose answer was lost may still be obeyed, until a
-            // later one has been answered.
-            Verdict::Abort => engine.has_dropped(version) && !self.unsettled(engine),
+            // The engine may still execute an unanswered command until it has
+            // answered a later one.
+            Verdict::Abort => engine.has_dropped(version) && !self.may_run_late_command(engine),
         };
         if done {
-            self.tell(attempt, ParticipantMessage::Applied { version }, outputs);
-            self.resolved = self.resolved.max(version);
-            self.goal = Goal::Rest;
-            self.ask_at = None;
+            self.reply(attempt, ParticipantMessage::Applied { version }, outputs);
+            self.resolved_version = self.resolved_version.max(version);
+            self.goal = Goal::Idle;
+            self.group_read_at = None;
             return None;
         }
         if verdict == Verdict::Commit && engine.next == Some(version) {
-            // An engine holds one map that is to come into use. If the next
-            // switch began now, its outcome would displace this one before
-            // the barrier, and this rank alone would skip this map.
+            // An engine holds only one map that is to come into use. If the
+            // next switch began now, its outcome would replace this map before
+            // the barrier, and only this rank would skip the map.
             self.engine = None;
-            self.read_at = now + self.timing.resend_interval;
+            self.engine_read_at = now + self.timing.resend_interval;
             return None;
         }
-        // What is decided holds under any later number too. Under its own it
-        // would be refused where a higher one has been seen, by this agent or
-        // by an engine that checks, and the rank would wait for ever.
-        let attempt = Attempt {
+        // A decision is valid under any later fencing number too. Under its own
+        // number it would be refused by an agent or engine that has seen a
+        // higher one, and the rank would wait forever.
+        let attempt = SwitchAttempt {
             fencing: self.fencing.max(attempt.fencing),
             ..attempt.clone()
         };
         if verdict == Verdict::Commit && engine.loading == Some(version) {
             return None;
         }
-        let is_there = [engine.staged, engine.loading].contains(&Some(version));
-        if !is_there && engine.arming.is_none() {
-            return Some(stage_order(&attempt));
+        let is_present = [engine.staged, engine.loading].contains(&Some(version));
+        if !is_present && engine.arming.is_none() {
+            return Some(stage_command(&attempt));
         }
         Some(EngineCommand::Outcome {
             fencing: attempt.fencing,
@@ -246,21 +258,22 @@
         })
     }
 
-    /// Tells the coordinator once; it asks again if the answer is lost.
-    fn tell(
+    /// Replies to the coordinator once; it repeats the request if the reply is
+    /// lost.
+    fn reply(
         &mut self,
-        attempt: &Attempt,
+        attempt: &SwitchAttempt,
         message: ParticipantMessage,
         outputs: &mut Vec<ParticipantOutput>,
     ) {
-        if let Some(to) = attempt.coordinator.as_deref().filter(|_| !self.told) {
+        if let Some(to) = attempt.coordinator.as_deref().filter(|_| !self.has_replied) {
             outputs.push(send(to, message));
         }
-        self.told = true;
+        self.has_replied = true;
     }
 }
 
-fn stage_order(attempt: &Attempt) -> EngineCommand {
+fn stage_command(attempt: &SwitchAttempt) -> EngineCommand {
     EngineCommand::Stage {
         fencing: attempt.fencing,
         version: attempt.version,
