--- a/crates/expert/tests/switch/engine.rs
+++ b/crates/expert/tests/switch/engine.rs
@@ -1,31 +1,31 @@
-//! An engine that may or may not check fencing numbers.
+//! Simulated engine.
 
 use bytes::Bytes;
 use expert::{Decision, EngineCommand, EngineState, Verdict};
 
-/// What an engine does with an old fencing number.
+/// What an engine does with a command under an outdated fencing number.
 #[derive(Clone, Copy, PartialEq)]
-pub enum FencingCheck {
+pub enum FencingPolicy {
     Ignore,
     Refuse,
 }
 
-/// An engine that may or may not check fencing numbers.
+/// A simulated engine, which may or may not check fencing numbers.
 pub struct Engine {
     pub state: EngineState,
-    pub check: FencingCheck,
+    pub fencing_policy: FencingPolicy,
     fencing: u64,
     staged: Bytes,
     next: Option<(u64, Bytes)>,
-    /// Content of the map in use.
-    pub content: Bytes,
-    /// Whether it answers.
+    /// The encoded map in use.
+    pub map: Bytes,
+    /// Whether the engine runs and answers.
     pub alive: bool,
 }
 
 impl Engine {
-    /// An engine that was just started at the step where the others are.
-    pub fn start(check: FencingCheck, step: u64) -> Engine {
+    /// An engine that has just started while the others are at `step`.
+    pub fn start(fencing_policy: FencingPolicy, step: u64) -> Engine {
         Engine {
             state: EngineState {
                 step,
@@ -33,23 +33,23 @@
                 awaiting_join: true,
                 ..EngineState::default()
             },
-            check,
+            fencing_policy,
             fencing: 0,
             staged: Bytes::new(),
             next: None,
-            content: Bytes::new(),
+            map: Bytes::new(),
             alive: true,
         }
     }
 
-    /// The state after the order, or `None` if it was refused.
-    pub fn obey(&mut self, order: &EngineCommand) -> Option<EngineState> {
-        let fencing = fencing(order).unwrap_or(self.fencing);
-        if self.check == FencingCheck::Refuse && fencing < self.fencing {
+    /// Executes a command. Returns the state after it, or `None` if it was refused.
+    pub fn execute(&mut self, command: &EngineCommand) -> Option<EngineState> {
+        let fencing = fencing(command).unwrap_or(self.fencing);
+        if self.fencing_policy == FencingPolicy::Refuse && fencing < self.fencing {
             return None;
         }
         self.fencing = self.fencing.max(fencing);
-        match order {
+        match command {
             EngineCommand::Read => {}
             EngineCommand::Stage { version, map, .. } => {
                 self.state.staged = Some(*version);
@@ -81,15 +81,15 @@
         Some(self.state)
     }
 
-    fn join(&mut self, maps: &[Decision]) {
+    fn join(&mut self, decisions: &[Decision]) {
         self.state.awaiting_join = false;
-        for map in maps {
-            if map.barrier_step <= self.state.step + 1 {
-                self.content = map.map.clone();
-                self.state.version = map.version;
+        for decision in decisions {
+            if decision.barrier_step <= self.state.step + 1 {
+                self.map = decision.map.clone();
+                self.state.version = decision.version;
             } else {
-                self.state.next = Some(map.version);
-                self.next = Some((map.barrier_step, map.map.clone()));
+                self.state.next = Some(decision.version);
+                self.next = Some((decision.barrier_step, decision.map.clone()));
             }
         }
     }
@@ -113,17 +113,17 @@
     /// Runs the next step and returns it.
     pub fn run(&mut self) -> u64 {
         self.state.step += 1;
-        if let Some((_, content)) = self.next.take_if(|next| next.0 <= self.state.step) {
-            self.content = content;
+        if let Some((_, map)) = self.next.take_if(|next| next.0 <= self.state.step) {
+            self.map = map;
             self.state.version = self.state.next.take().unwrap_or_default();
         }
         self.state.step
     }
 }
 
-/// Fencing number of an order; a read has none.
-pub fn fencing(order: &EngineCommand) -> Option<u64> {
-    match order {
+/// Fencing number of a command; a read has none.
+pub fn fencing(command: &EngineCommand) -> Option<u64> {
+    match command {
         EngineCommand::Read => None,
         EngineCommand::Stage { fencing, .. }
         | EngineCommand::Hold { fencing, .. }
--- a/crates/expert/tests/switch/event.rs
+++ b/crates/expert/tests/switch/event.rs
@@ -1,12 +1,12 @@
-//! Something on its way.
+//! Events in flight.
 
 use expert::{
     CoordinatorMessage, DecideOutcome, Decision, EngineCommand, EngineState, GroupState,
     ParticipantMessage,
 };
 
-/// Something on its way. Numbers of lives tell apart who asked from who runs
-/// under the same name since.
+/// A message, call or reply in flight. The incarnation distinguishes the process
+/// that sent a request from a later one with the same name.
 #[derive(Clone)]
 pub enum Event {
     ToParticipant {
@@ -15,55 +15,55 @@
         message: CoordinatorMessage,
     },
     ToCoordinator {
-        life: usize,
+        incarnation: usize,
         from: usize,
         message: ParticipantMessage,
     },
-    Open {
-        life: usize,
+    OpenCoordinator {
+        incarnation: usize,
     },
-    Opened {
-        life: usize,
-        standing: GroupState,
+    CoordinatorOpened {
+        incarnation: usize,
+        group_state: GroupState,
     },
-    OpenJoin {
+    OpenFencing {
         rank: usize,
-        life: usize,
+        incarnation: usize,
         formation: u64,
     },
-    JoinOpened {
+    FencingOpened {
         rank: usize,
-        life: usize,
+        incarnation: usize,
         formation: u64,
-        standing: GroupState,
+        group_state: GroupState,
     },
     Decide {
-        life: usize,
+        incarnation: usize,
         decision: Decision,
     },
     Decided {
-        life: usize,
+        incarnation: usize,
         outcome: DecideOutcome,
     },
-    Ask {
+    ReadGroupState {
         rank: usize,
-        life: usize,
+        incarnation: usize,
     },
-    Answer {
+    GroupStateRead {
         rank: usize,
-        life: usize,
-        standing: GroupState,
+        incarnation: usize,
+        group_state: GroupState,
     },
-    Order {
+    Command {
         rank: usize,
-        life: usize,
-        serial: u64,
-        order: EngineCommand,
+        incarnation: usize,
+        command_id: u64,
+        command: EngineCommand,
     },
-    Obeyed {
+    CommandDone {
         rank: usize,
-        life: usize,
-        serial: u64,
+        incarnation: usize,
+        command_id: u64,
         state: Option<EngineState>,
     },
 }
--- a/crates/expert/tests/switch/main.rs
+++ b/crates/expert/tests/switch/main.rs
@@ -1,17 +1,17 @@
-//! Map switches over seeded random schedules.
+//! Map switches under seeded random schedules.
 
 mod engine;
 mod event;
-mod world;
+mod simulation;
 
 use quickcheck::{Gen, QuickCheck};
+use simulation::{Conditions, Simulation};
 use std::collections::BTreeSet;
 use std::env;
-use world::{Weather, World};
 
-/// Schedules in a usual run; `EXPERT_SCHEDULES` sets another number, and
-/// `EXPERT_SEED` another seed.
-const SCHEDULES: u64 = 2500;
+/// Default number of schedules. `EXPERT_SCHEDULES` overrides it, and
+/// `EXPERT_SEED` overrides the seed.
+const DEFAULT_SCHEDULES: u64 = 2500;
 
 fn setting(name: &str, default: u64) -> u64 {
     let value = env::var(name).ok();
@@ -22,78 +22,79 @@
 
 fn check(property: fn(u64) -> bool) {
     QuickCheck::new()
-        .tests(setting("EXPERT_SCHEDULES", SCHEDULES))
+        .tests(setting("EXPERT_SCHEDULES", DEFAULT_SCHEDULES))
         .rng(Gen::from_size_and_seed(100, setting("EXPERT_SEED", 7)))
         .quickcheck(property);
 }
 
 #[test]
-fn switch_one_map_in_every_step() {
-    // Messages between the agents are lost, doubled, late and out of order,
-    // coordinators and agents are lost at any moment, several coordinators
-    // are at work at once, and the engines obey whatever order arrives, its
-    // answer lost or not. If two ranks ever ran the same step on different
-    // maps, tokens would go to experts that aren't there, and callers would
-    // get nonsense.
+fn switch_one_map_per_step() {
+    // Messages are lost, duplicated, delayed and reordered, coordinators and
+    // agents crash at any time, several coordinators are active at once, and
+    // engines execute every command that arrives, whether or not the answer
+    // is lost. If two ranks ran the same step on different maps, tokens would
+    // be sent to ranks that don't hold their experts, and callers would get
+    // wrong answers.
     fn property(seed: u64) -> bool {
-        let mut world = World::new(seed);
+        let mut simulation = Simulation::new(seed);
         for _ in 0..1500 {
-            world.step();
+            simulation.advance();
         }
-        world.ran.values().all(|contents| contents.len() == 1)
+        simulation.maps_by_step.values().all(|maps| maps.len() == 1)
     }
     check(property);
 }
 
 #[test]
-fn switch_goes_on_after_trouble() {
-    // Whatever happened, once the network is well again a coordinator gets
-    // its switch through and no rank is left waiting at a barrier: a group
-    // that stands still answers nobody.
+fn switch_completes_after_faults() {
+    // Once the faults end, a coordinator completes a switch and no rank is
+    // left waiting at a barrier, whatever happened before. Otherwise the group
+    // would stop answering.
     fn property(seed: u64) -> bool {
-        let mut world = World::new(seed);
+        let mut simulation = Simulation::new(seed);
         for _ in 0..800 {
-            world.step();
+            simulation.advance();
         }
-        world.remove_coordinators();
-        world.set_weather(Weather::Fair);
+        simulation.remove_coordinators();
+        simulation.set_conditions(Conditions::Healthy);
         for _ in 0..200 {
-            world.step();
+            simulation.advance();
         }
-        world.add_coordinator();
-        let before = newest(&world);
+        simulation.add_coordinator();
+        let before = newest_version(&simulation);
         for _ in 0..1000 {
-            world.step();
+            simulation.advance();
         }
-        let versions = world.formed.iter();
-        let versions = versions.map(|rank| world.engines[*rank].state.version);
-        newest(&world) > before && versions.min().is_some_and(|version| version > before)
+        let versions = simulation.formed.iter();
+        let versions = versions.map(|rank| simulation.engines[*rank].state.version);
+        newest_version(&simulation) > before
+            && versions.min().is_some_and(|version| version > before)
     }
     check(property);
 }
 
 #[test]
-fn switch_schedules_decide() {
-    // The schedules above would show nothing if no switch ever got through
-    // in foul weather, or none was ever aborted.
+fn schedules_commit_and_abort() {
+    // The properties above would hold trivially if no switch was ever
+    // committed under faults, or none was ever aborted.
     let (mut commits, mut aborts) = (0, 0);
     for seed in 0..100 {
-        let mut world = World::new(seed);
+        let mut simulation = Simulation::new(seed);
         for _ in 0..1500 {
-            world.step();
+            simulation.advance();
         }
-        let contents: BTreeSet<_> = world.ran.values().flatten().collect();
-        commits += contents.len().saturating_sub(1);
-        let standing = world.decisions.group_state("blank-advisor").unwrap();
-        aborts += usize::try_from(standing.next_version()).unwrap() - contents.len();
+        let maps: BTreeSet<_> = simulation.maps_by_step.values().flatten().collect();
+        commits += maps.len().saturating_sub(1);
+        let group_state = simulation.decisions.group_state("blank-advisor").unwrap();
+        aborts += usize::try_from(group_state.next_version()).unwrap() - maps.len();
     }
     println!("{commits} maps came into use, {aborts} versions did not");
     assert!(commits > 100 && aborts > 100, "{commits} {aborts}");
 }
 
 /// Version of the newest committed map.
-fn newest(world: &World) -> u64 {
-    let standing = world.decisions.group_state("blank-advisor");
-    let committed = standing.and_then(|standing| standing.committed.first());
+fn newest_version(simulation: &Simulation) -> u64 {
+    let group_state = simulation.decisions.group_state("blank-advisor");
+    let committed = group_state.and_then(|group_state| group_state.committed.first());
     committed.map_or(0, |decision| decision.version)
 }
--- a/crates/expert/tests/switch/world/misfortune.rs
+++ b/crates/expert/tests/switch/simulation/faults.rs
@@ -1,29 +1,30 @@
-//! What befalls coordinators, agents and engines.
+//! Fault injection for coordinators, agents and engines.
 
-use super::{RANKS, World, timing};
-use crate::engine::{Engine, FencingCheck};
+use super::{RANKS, Simulation, timing};
+use crate::engine::{Engine, FencingPolicy};
 use expert::Participant;
 use rand::RngExt;
 use std::time::Duration;
 
-/// Some engines check fencing numbers and some don't.
+/// An engine that has just started. Some engines check fencing numbers, others
+/// don't.
 pub(super) fn engine(seed: u64, rank: usize, step: u64) -> Engine {
-    let check = if seed >> rank & 1 == 0 {
-        FencingCheck::Ignore
+    let fencing_policy = if seed >> rank & 1 == 0 {
+        FencingPolicy::Ignore
     } else {
-        FencingCheck::Refuse
+        FencingPolicy::Refuse
     };
-    Engine::start(check, step)
+    Engine::start(fencing_policy, step)
 }
 
-impl World {
-    pub(super) fn misfortune(&mut self) {
+impl Simulation {
+    pub(super) fn inject_faults(&mut self) {
         if self.coordinators.is_empty() || self.rng.random_range(0..400) == 0 {
             self.add_coordinator();
         }
         if self.rng.random_range(0..300) == 0 {
-            let lives: Vec<usize> = self.coordinators.keys().copied().collect();
-            let lost = lives[self.rng.random_range(0..lives.len())];
+            let incarnations: Vec<usize> = self.coordinators.keys().copied().collect();
+            let lost = incarnations[self.rng.random_range(0..incarnations.len())];
             self.coordinators.remove(&lost);
         }
         if self.rng.random_range(0..1200) == 0 {
@@ -35,32 +36,32 @@
         if self.rng.random_range(0..300) == 0 {
             let rank = self.rng.random_range(0..RANKS);
             let agent = &mut self.agents[rank];
-            agent.life += 1;
-            agent.fence = None;
+            agent.incarnation += 1;
+            agent.max_fencing = None;
             let now = self.start + Duration::from_millis(self.tick);
             agent.participant = Participant::new(timing(), now);
         }
     }
 
-    /// All engines leave the former formation and enter the next one.
-    pub(super) fn form(&mut self) {
+    /// All live engines leave the current formation and enter the next one.
+    pub(super) fn enter_formation(&mut self) {
         self.formation += 1;
         for (rank, engine) in self.engines.iter_mut().enumerate() {
-            let is_in = self.formed.contains(&rank);
-            engine.state.formation = is_in.then_some(self.formation);
+            let is_member = self.formed.contains(&rank);
+            engine.state.formation = is_member.then_some(self.formation);
         }
     }
 
-    /// An engine dies, and the others go on without it.
+    /// An engine is lost, and the others continue without it.
     fn lose_engine(&mut self) {
         let rank = self.rng.random_range(0..RANKS);
         if self.formed.len() > 1 && self.formed.remove(&rank) {
             self.engines[rank].alive = false;
-            self.form();
+            self.enter_formation();
         }
     }
 
-    /// An engine is started again, after a loss or with nobody noticing one.
+    /// An engine is started again, whether or not its loss was noticed.
     fn restart_engine(&mut self) {
         let rank = self.rng.random_range(0..RANKS);
         let others = self.formed.iter().filter(|other| **other != rank);
@@ -68,6 +69,6 @@
         let Some(step) = step else { return };
         self.engines[rank] = engine(self.seed, rank, step);
         self.formed.insert(rank);
-        self.form();
+        self.enter_formation();
     }
 }
