--- a/crates/expert/tests/decisions.rs
+++ b/crates/expert/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! The durable record of map decisions.
+//! Durable record of map decisions.
 
 use bytes::Bytes;
 use expert::{DecideOutcome, Decision, Decisions, Refusal, Verdict};
@@ -24,10 +24,10 @@
 }
 
 #[test]
-fn decide_old_fencing() {
-    // A coordinator is cut off after its ranks are held, another one is
-    // opened and aborts the switch. The first comes back and commits: half of
-    // the ranks would answer with the weights of one map, half with another.
+fn decide_outdated_fencing() {
+    // A coordinator is partitioned after its ranks have promised to hold, and
+    // another one is opened and aborts the switch. If the commit of the first
+    // one were accepted later, the ranks would run on different maps.
     let mut decisions = Decisions::new();
     let old = decisions.open_coordinator(GROUP, "a", 1).fencing;
     let new = decisions.open_coordinator(GROUP, "b", 1).fencing;
@@ -37,10 +37,11 @@
 }
 
 #[test]
-fn decide_answer_lost() {
-    // The answer to a commit is lost and a new coordinator is opened before
-    // the first one asks again. It must learn that its commit stands, or it
-    // would tell its ranks to go on with the former map.
+fn decide_reply_lost() {
+    // The reply to a commit is lost, and a new coordinator is opened before
+    // the first one proposes the commit again. The first one must learn that
+    // its commit is in effect, or it would tell its ranks to continue on the
+    // previous map.
     let mut decisions = Decisions::new();
     let fencing = decisions.open_coordinator(GROUP, "a", 1).fencing;
     let first = decisions.decide(GROUP, commit(fencing, 1, 10));
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn decide_not_next() {
+fn decide_invalid() {
     let mut decisions = Decisions::new();
     let fencing = decisions.open_coordinator(GROUP, "a", 1).fencing;
     let gap = decisions.decide(GROUP, commit(fencing, 2, 10));
@@ -62,8 +63,8 @@
             .decide(GROUP, commit(fencing, 1, 10))
             .is_accepted()
     );
-    let back = decisions.decide(GROUP, commit(fencing, 2, 10));
-    assert_eq!(refusal(&back), Some(Refusal::Barrier));
+    let not_after = decisions.decide(GROUP, commit(fencing, 2, 10));
+    assert_eq!(refusal(&not_after), Some(Refusal::Barrier));
     let mut empty = commit(fencing, 2, 11);
     empty.map = Bytes::new();
     let empty = decisions.decide(GROUP, empty);
@@ -86,12 +87,12 @@
     abort.map = Bytes::new();
     assert!(decisions.decide(GROUP, abort).is_accepted());
     decisions.decide(GROUP, commit(fencing, 3, 30));
-    let standing = decisions.group_state(GROUP).unwrap();
-    let version = |step| standing.in_force(step).map(|decision| decision.version);
+    let group_state = decisions.group_state(GROUP).unwrap();
+    let version = |step| group_state.in_force(step).map(|decision| decision.version);
     assert_eq!(version(9), None);
     assert_eq!(version(29), Some(1));
     assert_eq!(version(30), Some(3));
-    assert_eq!(standing.next_version(), 4);
+    assert_eq!(group_state.next_version(), 4);
 }
 
 /// Applies one arbitrary command.
@@ -118,7 +119,7 @@
         let mut decisions = Decisions::new();
         for command in commands {
             apply(&mut decisions, command);
-            // A replica that restarts from a snapshot goes on as the others.
+            // A replica that restarts from a snapshot continues like the others.
             let restored = Decisions::from_bytes(decisions.to_bytes()).unwrap();
             if restored != decisions {
                 return false;
@@ -135,7 +136,7 @@
 
 #[test]
 fn from_bytes_any_bytes() {
-    // A damaged snapshot reaches a replica: it must say so and stay up.
+    // A replica must report a corrupt snapshot without a panic.
     fn property(bytes: Vec<u8>) -> bool {
         let _ = Decisions::from_bytes(bytes);
         true
--- a/crates/expert/tests/participant.rs
+++ b/crates/expert/tests/participant.rs
@@ -1,4 +1,4 @@
-//! Single guards of a participant that random schedules seldom need.
+//! Individual safeguards of a participant that random schedules rarely exercise.
 
 use bytes::Bytes;
 use expert::{
@@ -16,7 +16,7 @@
     lead_time: Duration::MAX,
 };
 
-/// An engine that runs steps.
+/// State of an engine that runs steps.
 fn running() -> EngineState {
     EngineState {
         requires_join: true,
@@ -42,26 +42,26 @@
     }
 }
 
-fn orders(outputs: &[ParticipantOutput]) -> Vec<&EngineCommand> {
-    let mut orders = Vec::new();
+fn commands(outputs: &[ParticipantOutput]) -> Vec<&EngineCommand> {
+    let mut commands = Vec::new();
     for output in outputs {
-        if let ParticipantOutput::Command(order) = output {
-            orders.push(order);
+        if let ParticipantOutput::Command(command) = output {
+            commands.push(command);
         }
     }
-    orders
+    commands
 }
 
-fn answers(outputs: &[ParticipantOutput]) -> Vec<ParticipantMessage> {
-    let answer = |output: &ParticipantOutput| match output {
+fn replies(outputs: &[ParticipantOutput]) -> Vec<ParticipantMessage> {
+    let reply = |output: &ParticipantOutput| match output {
         ParticipantOutput::Send { message, .. } => Some(*message),
         _ => None,
     };
-    outputs.iter().filter_map(answer).collect()
+    outputs.iter().filter_map(reply).collect()
 }
 
-/// A participant that has read its engine and the durable state.
-fn ready(start: Instant) -> (Participant, Instant) {
+/// An idle participant that has read its engine and the group state.
+fn idle(start: Instant) -> (Participant, Instant) {
     let mut participant = Participant::new(TIMING, start);
     let now = start + TIMING.late_command_window;
     participant.tick(now);
@@ -72,7 +72,7 @@
 
 /// A participant that has promised to stop before step 20.
 fn holding(start: Instant) -> (Participant, Instant) {
-    let (mut participant, now) = ready(start);
+    let (mut participant, now) = idle(start);
     participant.on_message("a", stage(1, 1), now);
     let mut state = EngineState {
         staged: Some(1),
@@ -87,36 +87,37 @@
 
 #[test]
 fn on_message_stage_while_promised() {
-    // A new coordinator stages the next version while this rank has not
-    // heard the outcome of the last one. Were the promise dropped, the rank
-    // would run the barrier step on the former map although the switch was
+    // A new coordinator stages the next version before this rank knows the
+    // outcome of the previous one. If the promise were dropped, the rank could
+    // run the barrier step on the previous map although the switch was
     // committed.
     let (mut participant, now) = holding(Instant::now());
     let outputs = participant.on_message("b", stage(2, 2), now);
-    assert!(orders(&outputs).is_empty());
+    assert!(commands(&outputs).is_empty());
     let outputs = participant.tick(now + TIMING.resend_interval);
     assert!(outputs.contains(&ParticipantOutput::ReadGroupState));
 }
 
 #[test]
-fn on_message_old_fencing() {
-    // A coordinator that was cut off comes back and goes on as if it led.
-    // The engine ignores fencing numbers, so the order must end here.
-    let (mut participant, now) = ready(Instant::now());
+fn on_message_outdated_fencing() {
+    // A partitioned coordinator returns, unaware that it was superseded. The
+    // engine ignores fencing numbers, so the participant must refuse.
+    let (mut participant, now) = idle(Instant::now());
     participant.on_message("b", stage(2, 2), now);
     let outputs = participant.on_message("a", stage(1, 3), now);
     assert_eq!(
-        answers(&outputs),
+        replies(&outputs),
         [ParticipantMessage::Fenced { fencing: 2 }]
     );
 }
 
 #[test]
-fn on_message_old_fencing_after_outcome() {
-    // All that was heard of the next coordinator is the abort of what hung.
-    // The former one thaws and goes on as if it led: the engine ignores
-    // fencing numbers, so the order must end here.
-    let (mut participant, now) = ready(Instant::now());
+fn on_message_outdated_fencing_after_outcome() {
+    // The only message of the new coordinator so far is the abort of a pending
+    // switch. The previous coordinator resumes after a pause, unaware that it
+    // was superseded. The engine ignores fencing numbers, so the participant
+    // must refuse.
+    let (mut participant, now) = idle(Instant::now());
     participant.on_message("a", stage(1, 1), now);
     let abort = CoordinatorMessage::Outcome {
         fencing: 2,
@@ -127,15 +128,15 @@
     participant.on_message("b", abort, now);
     let outputs = participant.on_message("a", stage(1, 3), now);
     assert_eq!(
-        answers(&outputs),
+        replies(&outputs),
         [ParticipantMessage::Fenced { fencing: 2 }]
     );
 }
 
 #[test]
 fn on_message_late_stage() {
-    // A message of a switch that is over arrives late.
-    let (mut participant, now) = ready(Instant::now());
+    // A message of a completed switch arrives late.
+    let (mut participant, now) = idle(Instant::now());
     let decision = Decision {
         fencing: 1,
         version: 4,
@@ -143,46 +144,46 @@
         verdict: Verdict::Abort,
         map: Bytes::new(),
     };
-    let standing = GroupState {
+    let group_state = GroupState {
         fencing: 1,
         current: Some(decision),
         ..GroupState::default()
     };
-    participant.on_group_state(&standing, now);
+    participant.on_group_state(&group_state, now);
     let outputs = participant.on_message("a", stage(1, 4), now);
-    assert!(orders(&outputs).is_empty());
+    assert!(commands(&outputs).is_empty());
 }
 
 #[test]
-fn on_engine_answer_lost() {
-    // The answer to an order is lost, and the engine may obey it only now.
-    // Another order could overtake it, so the engine is only read until the
-    // first must have come or gone, and what it did is told from that.
-    let (mut participant, now) = ready(Instant::now());
+fn on_engine_state_answer_lost() {
+    // The answer to a command is lost, and the engine may execute the command
+    // late. Another command could overtake it, so the engine is only read until
+    // the first one can no longer arrive, and its effect is taken from the read.
+    let (mut participant, now) = idle(Instant::now());
     let outputs = participant.on_message("a", stage(1, 1), now);
     assert!(matches!(
-        orders(&outputs)[..],
+        commands(&outputs)[..],
         [EngineCommand::Stage { .. }]
     ));
     participant.on_engine_state(None, now);
     let later = now + TIMING.resend_interval;
     let outputs = participant.tick(later);
-    assert_eq!(orders(&outputs), [&EngineCommand::Read]);
+    assert_eq!(commands(&outputs), [&EngineCommand::Read]);
     let outputs = participant.on_engine_state(Some(running()), later);
-    assert!(orders(&outputs).is_empty());
+    assert!(commands(&outputs).is_empty());
     let outputs = participant.tick(later + TIMING.late_command_window);
     assert!(matches!(
-        orders(&outputs)[..],
+        commands(&outputs)[..],
         [EngineCommand::Stage { .. }]
     ));
-    assert!(answers(&outputs).is_empty());
+    assert!(replies(&outputs).is_empty());
 }
 
 #[test]
-fn on_message_barrier_passed() {
-    // The group was faster than expected and is past the barrier when the
-    // hold arrives: the switch must be given up.
-    let (mut participant, now) = ready(Instant::now());
+fn on_message_hold_after_barrier() {
+    // The group is faster than expected and has passed the barrier when the
+    // hold arrives. The participant must refuse, so that the switch is aborted.
+    let (mut participant, now) = idle(Instant::now());
     participant.on_message("a", stage(1, 1), now);
     let state = EngineState {
         staged: Some(1),
@@ -192,14 +193,14 @@
     participant.on_engine_state(Some(state), now);
     let outputs = participant.on_message("a", hold(1, 1), now);
     assert_eq!(
-        answers(&outputs),
+        replies(&outputs),
         [ParticipantMessage::Refused { version: 1 }]
     );
-    assert!(orders(&outputs).is_empty());
+    assert!(commands(&outputs).is_empty());
 }
 
-/// An engine that was started and waits to join.
-fn started(formation: Option<u64>) -> EngineState {
+/// State of an engine that has restarted and waits to join.
+fn restarted(formation: Option<u64>) -> EngineState {
     EngineState {
         awaiting_join: true,
         formation,
@@ -217,8 +218,8 @@
     }
 }
 
-/// What stands once this agent has opened a number of its own.
-fn opened() -> GroupState {
+/// State of the group once this agent has opened a fencing number.
+fn opened_state() -> GroupState {
     GroupState {
         fencing: 7,
         current: Some(committed(2, 90)),
@@ -227,32 +228,36 @@
     }
 }
 
-/// What a participant does at its next look, at which it finds this engine.
-fn look(participant: &mut Participant, state: EngineState, now: Instant) -> Vec<ParticipantOutput> {
+/// Outputs of a participant whose next read of the engine returns `state`.
+fn read_engine(
+    participant: &mut Participant,
+    state: EngineState,
+    now: Instant,
+) -> Vec<ParticipantOutput> {
     let outputs = participant.tick(now);
-    assert_eq!(orders(&outputs), [&EngineCommand::Read]);
+    assert_eq!(commands(&outputs), [&EngineCommand::Read]);
     participant.on_engine_state(Some(state), now)
 }
 
 #[test]
-fn on_engine_started_while_promised() {
+fn on_engine_state_restart_while_promised() {
     // An engine restarts on its own after it has promised to stop before a
-    // barrier. It would join on the map that it was started with, and knows
-    // nothing of its promise. The switch may be committed at any moment, so a
-    // number is opened first that shuts the commit out.
+    // barrier. It would run on its initial map, unaware of its promise. The
+    // switch may be committed at any time, so a new fencing number is opened
+    // first, under which the commit is refused.
     let (mut participant, now) = holding(Instant::now());
     let now = now + TIMING.resend_interval;
-    let outputs = look(&mut participant, started(Some(4)), now);
+    let outputs = read_engine(&mut participant, restarted(Some(4)), now);
     assert_eq!(outputs, [ParticipantOutput::OpenFencing { formation: 4 }]);
-    let outputs = participant.on_opened(4, &opened(), now);
+    let outputs = participant.on_opened(4, &opened_state(), now);
     let join = EngineCommand::Join {
         fencing: 7,
         formation: 4,
         maps: vec![committed(1, 40), committed(2, 90)],
     };
-    assert_eq!(orders(&outputs), [&join]);
-    // The second map is yet to come into use: another switch must not
-    // displace it.
+    assert_eq!(commands(&outputs), [&join]);
+    // The second map has yet to come into use. Another switch must not replace
+    // it.
     let state = EngineState {
         formation: Some(4),
         version: 1,
@@ -261,48 +266,48 @@
     };
     participant.on_engine_state(Some(state), now);
     let outputs = participant.on_message("b", stage(8, 3), now + TIMING.resend_interval);
-    assert!(answers(&outputs).is_empty());
+    assert!(replies(&outputs).is_empty());
     assert!(
-        !orders(&outputs)
+        !commands(&outputs)
             .iter()
             .any(|order| matches!(order, EngineCommand::Stage { .. }))
     );
 }
 
 #[test]
-fn on_engine_started_between_formations() {
-    // The group has not taken the engine in yet: a switch may still be
-    // decided without it, so what stands now may not be the last word.
-    let (mut participant, now) = ready(Instant::now());
+fn on_engine_state_restart_between_formations() {
+    // The engine isn't in a formation yet. A switch may still be decided
+    // without it, so that the current group state may become outdated.
+    let (mut participant, now) = idle(Instant::now());
     let now = now + TIMING.resend_interval;
-    assert!(look(&mut participant, started(None), now).is_empty());
+    assert!(read_engine(&mut participant, restarted(None), now).is_empty());
     let now = now + TIMING.resend_interval;
-    let outputs = look(&mut participant, started(Some(4)), now);
+    let outputs = read_engine(&mut participant, restarted(Some(4)), now);
     assert_eq!(outputs, [ParticipantOutput::OpenFencing { formation: 4 }]);
 }
 
 #[test]
-fn on_opened_late() {
-    // The engine restarts once more before the answer comes. A switch may
-    // have been decided without it in between, so the answer is too old.
-    let (mut participant, now) = ready(Instant::now());
+fn on_opened_other_formation() {
+    // The engine restarts again before the result arrives. A switch may have
+    // been decided without it in between, so the result is outdated.
+    let (mut participant, now) = idle(Instant::now());
     let now = now + TIMING.resend_interval;
-    look(&mut participant, started(Some(4)), now);
+    read_engine(&mut participant, restarted(Some(4)), now);
     let now = now + TIMING.resend_interval;
-    look(&mut participant, started(Some(6)), now);
-    assert!(participant.on_opened(4, &opened(), now).is_empty());
-    let outputs = participant.on_opened(6, &opened(), now);
+    read_engine(&mut participant, restarted(Some(6)), now);
+    assert!(participant.on_opened(4, &opened_state(), now).is_empty());
+    let outputs = participant.on_opened(6, &opened_state(), now);
     assert!(matches!(
-        orders(&outputs)[..],
+        commands(&outputs)[..],
         [EngineCommand::Join { formation: 6, .. }]
     ));
 }
 
 #[test]
 fn on_message_hold_other_formation() {
-    // An engine that the coordinator doesn't know of has joined the group.
-    // Were the promise given, the switch could be committed without it.
-    let (mut participant, now) = ready(Instant::now());
+    // An engine unknown to the coordinator has joined the group. If the promise
+    // were given, the switch could be committed without that engine.
+    let (mut participant, now) = idle(Instant::now());
     participant.on_message("a", stage(1, 1), now);
     let state = EngineState {
         staged: Some(1),
@@ -312,34 +317,34 @@
     participant.on_engine_state(Some(state), now);
     let outputs = participant.on_message("a", hold(1, 1), now);
     assert_eq!(
-        answers(&outputs),
+        replies(&outputs),
         [ParticipantMessage::Refused { version: 1 }]
     );
 }
 
 #[test]
-fn on_message_stage_engine_does_not_wait() {
-    // An engine that runs steps at once after a start would run them on its
-    // start map. Only a group that stays on that map is safe with it.
-    let (mut participant, now) = ready(Instant::now());
+fn on_message_stage_without_required_join() {
+    // An engine that runs steps right after a start runs them on its initial
+    // map. This is only safe in a group that stays on that map.
+    let (mut participant, now) = idle(Instant::now());
     let state = EngineState {
         requires_join: false,
         ..running()
     };
     let now = now + TIMING.resend_interval;
-    look(&mut participant, state, now);
+    read_engine(&mut participant, state, now);
     let outputs = participant.on_message("a", stage(1, 1), now);
     assert_eq!(
-        answers(&outputs),
+        replies(&outputs),
         [ParticipantMessage::Refused { version: 1 }]
     );
 }
 
 #[test]
 fn on_message_stage_while_loading() {
-    // Loading takes long. Asked again, the engine would begin anew each time
-    // and never be done.
-    let (mut participant, now) = ready(Instant::now());
+    // Loading takes long. If the command were repeated, the engine would start
+    // over each time and never finish.
+    let (mut participant, now) = idle(Instant::now());
     participant.on_message("a", stage(1, 1), now);
     let state = EngineState {
         loading: Some(1),
@@ -352,9 +357,9 @@
         staged: Some(1),
         ..running()
     };
-    let outputs = look(&mut participant, state, now);
+    let outputs = read_engine(&mut participant, state, now);
     assert_eq!(
-        answers(&outputs),
+        replies(&outputs),
         [ParticipantMessage::Staged {
             version: 1,
             step: 0
@@ -362,9 +367,9 @@
     );
 }
 
-/// A rank that is armed by an order of its own and uses version 3, which it
-/// therefore still holds loaded.
-fn armed_before() -> EngineState {
+/// State of an engine with a separate command for arming that uses version 3,
+/// which it therefore still has loaded.
+fn using_loaded_map() -> EngineState {
     EngineState {
         version: 3,
         staged: Some(3),
@@ -382,8 +387,8 @@
     }
 }
 
-/// What stands once version 3 was committed and version 4 given up.
-fn given_up_since() -> GroupState {
+/// State of the group once version 3 is committed and version 4 aborted.
+fn aborted_after_commit() -> GroupState {
     let committed = committed(3, 20);
     GroupState {
         fencing: 4,
@@ -399,30 +404,31 @@
     }
 }
 
-/// A coordinator is killed, and the next one first gives up the next version.
-/// A rank keeps what it has loaded also when that is in use; taken for an open
-/// attempt, it would be learnt of again and again, the new coordinator would
-/// wait for ever, and the group would never switch again.
+/// Guards against a group that never switches again. A coordinator crashes, and
+/// its successor first aborts the next version. An engine keeps its loaded map
+/// while that is in use. If it were mistaken for an undecided attempt, the
+/// participant would recover again and again and never reply to the coordinator.
 #[test]
 fn on_message_abort_with_map_in_use_loaded() {
     let start = Instant::now();
-    let (mut participant, now) = ready(start);
+    let (mut participant, now) = idle(start);
     participant.on_message("b", outcome(4, Verdict::Abort), now);
-    participant.on_engine_state(Some(armed_before()), now);
-    let told = participant.on_group_state(&given_up_since(), now);
-    assert_eq!(answers(&told), []);
-    let told = participant.on_message("b", outcome(4, Verdict::Abort), now);
+    participant.on_engine_state(Some(using_loaded_map()), now);
+    let outputs = participant.on_group_state(&aborted_after_commit(), now);
+    assert_eq!(replies(&outputs), []);
+    let outputs = participant.on_message("b", outcome(4, Verdict::Abort), now);
     let applied = ParticipantMessage::Applied { version: 4 };
-    assert_eq!(answers(&told), [applied]);
+    assert_eq!(replies(&outputs), [applied]);
 }
 
-/// An order to arm got no answer, and the switch is given up. The rank shows
-/// nothing of it and may obey it all the same, later than the others are let
-/// go: only once an order after it is answered is it out of force.
+/// Guards against a late command after an abort. A command to arm gets no answer,
+/// and the switch is aborted. The state of the engine doesn't show the command,
+/// but the engine may still execute it after the other ranks are released. It is
+/// ruled out only once a later command is answered.
 #[test]
 fn on_message_abort_after_answer_lost() {
     let start = Instant::now();
-    let (mut participant, now) = ready(start);
+    let (mut participant, now) = idle(start);
     participant.on_message("a", stage(1, 1), now);
     let state = EngineState {
         staged: Some(1),
@@ -433,28 +439,31 @@
     participant.on_message("a", hold(1, 1), now);
     participant.on_engine_state(None, now);
     let now = now + TIMING.late_command_window;
-    let asked = participant.on_message("a", outcome(1, Verdict::Abort), now);
-    assert_eq!(orders(&asked), [&EngineCommand::Read]);
-    let told = participant.on_engine_state(Some(state), now);
-    assert_eq!(answers(&told), []);
+    let outputs = participant.on_message("a", outcome(1, Verdict::Abort), now);
+    assert_eq!(commands(&outputs), [&EngineCommand::Read]);
+    let outputs = participant.on_engine_state(Some(state), now);
+    assert_eq!(replies(&outputs), []);
     let abort = EngineCommand::Outcome {
         fencing: 4,
         version: 1,
         barrier_step: 0,
         verdict: Verdict::Abort,
     };
-    assert_eq!(orders(&told), [&abort]);
-    let told = participant.on_engine_state(Some(state), now);
-    assert_eq!(answers(&told), [ParticipantMessage::Applied { version: 1 }]);
+    assert_eq!(commands(&outputs), [&abort]);
+    let outputs = participant.on_engine_state(Some(state), now);
+    assert_eq!(
+        replies(&outputs),
+        [ParticipantMessage::Applied { version: 1 }]
+    );
 }
 
-/// A rank crashes while a decided switch is to come, and its group forms anew
-/// on the start map. Ordered again, the decided map would be in use at this
-/// rank alone.
+/// Guards against a rank on a map of its own. Some rank crashes before the
+/// barrier of a committed switch, and the group forms again on its initial map.
+/// If the outcome were sent again, only this rank would use the committed map.
 #[test]
-fn on_engine_formed_anew_before_barrier() {
+fn on_engine_state_new_formation_before_barrier() {
     let start = Instant::now();
-    let (mut participant, now) = ready(start);
+    let (mut participant, now) = idle(start);
     participant.on_message("a", stage(1, 1), now);
     let mut state = EngineState {
         staged: Some(1),
@@ -467,14 +476,17 @@
     state.arming = Some(Arming::Armed);
     participant.on_engine_state(Some(state), now);
     participant.on_message("a", outcome(1, Verdict::Commit), now);
-    let anew = EngineState {
+    let reformed = EngineState {
         arming: Some(Arming::Unarmed),
         formation: Some(4),
         ..running()
     };
-    let told = participant.on_engine_state(Some(anew), now);
-    assert_eq!(answers(&told), [ParticipantMessage::Applied { version: 1 }]);
+    let outputs = participant.on_engine_state(Some(reformed), now);
+    assert_eq!(
+        replies(&outputs),
+        [ParticipantMessage::Applied { version: 1 }]
+    );
     let later = now + TIMING.resend_interval * 3;
-    let told = participant.tick(later);
-    assert_eq!(orders(&told), [&EngineCommand::Read]);
+    let outputs = participant.tick(later);
+    assert_eq!(commands(&outputs), [&EngineCommand::Read]);
 }
--- a/crates/expert/tests/planner.rs
+++ b/crates/expert/tests/planner.rs
@@ -1,7 +1,7 @@
-//! Maps, the estimate and the planner.
+//! Maps, load estimator and planner.
 #![allow(
     clippy::needless_pass_by_value,
-    reason = "quickcheck hands its arguments over by value"
+    reason = "quickcheck passes arguments by value"
 )]
 
 use expert::{
@@ -26,7 +26,7 @@
     }
 }
 
-/// A group, its load and which of its ranks are lost or slow.
+/// A group with its map, its load and the speeds of its ranks.
 #[derive(Clone, Debug)]
 struct Case {
     map: Map,
@@ -66,7 +66,7 @@
 
 impl Case {
     /// Whether the live ranks have a slot for each expert.
-    fn fits(&self) -> bool {
+    fn has_enough_slots(&self) -> bool {
         let live = self.speeds.live().iter().filter(|live| **live).count();
         live * self.map.shape().slots_per_rank() >= self.map.shape().experts()
     }
@@ -81,8 +81,8 @@
 
 #[test]
 fn plan_every_expert_has_a_copy() {
-    // A plan that gives up the last copy of an expert stops the group, or
-    // answers tokens with the wrong weights.
+    // A plan without a copy of some expert would stop the group or make it
+    // compute tokens with the wrong weights.
     fn property(case: Case) -> bool {
         let plan = planner(4.0, 1.0).plan(&case.map, &case.load, &case.speeds);
         let faults = plan.map.check(case.speeds.live());
@@ -90,17 +90,19 @@
             .iter()
             .filter(|fault| matches!(fault, MapFault::Missing { .. }))
             .count();
-        faults.len() == missing && missing as u64 == plan.unplaced && (missing == 0 || !case.fits())
+        faults.len() == missing
+            && missing as u64 == plan.unplaced
+            && (missing == 0 || !case.has_enough_slots())
     }
     check(property, 1);
 }
 
 #[test]
-fn plan_never_worse_than_staying() {
+fn plan_never_worse_than_unchanged() {
     fn property(case: Case) -> bool {
         let plan = planner(4.0, 1.0).plan(&case.map, &case.load, &case.speeds);
         let slack = 1e-9 * plan.before;
-        // Without a slot for each expert, some of the load is nowhere.
+        // Without a slot for each expert, part of the load is assigned to no rank.
         let bounded = plan.unplaced > 0 || plan.ideal <= plan.after + slack;
         plan.after <= plan.before + slack && bounded
     }
@@ -108,26 +110,26 @@
 }
 
 #[test]
-fn plan_pays_by_its_own_prediction() {
+fn plan_pays_off_as_predicted() {
     fn property(case: Case) -> bool {
         let planner = planner(1.0, 4.0);
         let plan = planner.plan(&case.map, &case.load, &case.speeds);
         let gain = planner.weights.skew * planner.horizon_windows * (plan.before - plan.after);
-        let chosen = u32::try_from(plan.loads.saturating_sub(plan.repairs)).unwrap();
-        let price = planner.weights.moves * COST.seconds() * f64::from(chosen);
+        let paid_loads = u32::try_from(plan.loads.saturating_sub(plan.repairs)).unwrap();
+        let price = planner.weights.moves * COST.seconds() * f64::from(paid_loads);
         gain >= price - 1e-6 * plan.before
     }
     check(property, 3);
 }
 
 #[test]
-fn plan_moves_weigh_more() {
-    // From the same map and load, whoever weighs moves more gives up some
-    // of the others' step time.
+fn plan_larger_weight_of_moves() {
+    // With the same map and load, a larger weight of moves must not lead to a
+    // shorter step time than a larger weight of skew.
     fn property(case: Case) -> bool {
-        let hotline = planner(4.0, 1.0).plan(&case.map, &case.load, &case.speeds);
-        let association = planner(1.0, 4.0).plan(&case.map, &case.load, &case.speeds);
-        association.after >= hotline.after - 1e-9 * hotline.before
+        let skew_first = planner(4.0, 1.0).plan(&case.map, &case.load, &case.speeds);
+        let moves_first = planner(1.0, 4.0).plan(&case.map, &case.load, &case.speeds);
+        moves_first.after >= skew_first.after - 1e-9 * skew_first.before
     }
     check(property, 4);
 }
@@ -145,8 +147,8 @@
 
 #[test]
 fn plan_other_dimensions() {
-    // A report of another model's dimensions reaches the coordinator: the
-    // group stays on its map.
+    // The coordinator gets a report with the dimensions of another model. The
+    // group must stay on its map.
     let map = Map::uniform(Shape::with_spare(2, 8, 4, 1, 2));
     let plan = planner(4.0, 1.0).plan(&map, &Load::new(3, 8), &Speeds::new(4, 1e-4));
     assert_eq!(plan.map, map);
@@ -155,8 +157,8 @@
 
 #[test]
 fn plan_rank_lost() {
-    // A host is lost with the only copies of some experts: no step can run
-    // until another rank holds them, so they come first, whatever moves cost.
+    // A host with the only copies of some experts is lost. No step can run
+    // until another rank holds them, so they are placed at any cost.
     let mut map = Map::uniform(Shape::with_spare(2, 16, 4, 1, 1));
     let mut load = Load::new(2, 16);
     load.add(&[100; 32]);
@@ -169,9 +171,9 @@
 }
 
 #[test]
-fn plan_without_weight_of_skew() {
-    // Experts that only lost ranks held are missing, and the weight store
-    // gives out so much and no more: nothing else may be loaded before them.
+fn plan_zero_weight_of_skew() {
+    // While experts are missing that only lost ranks held, no other expert may
+    // compete with them for the limited bandwidth of the weight store.
     fn property(case: Case) -> bool {
         let plan = planner(0.0, 1.0).plan(&case.map, &case.load, &case.speeds);
         plan.loads == plan.repairs
@@ -180,8 +182,8 @@
 }
 
 #[test]
-fn plan_straggler_given_less() {
-    // One rank slows down and all wait for it in every step.
+fn plan_relieves_straggler() {
+    // One rank slows down, and all others wait for it in every step.
     let mut load = Load::new(1, 32);
     load.add(&[100; 32]);
     let mut speeds = Speeds::new(4, 1e-3);
@@ -191,10 +193,10 @@
     assert!(plan.after < 0.8 * plan.before);
 }
 
-/// Guards against a rank twelve times slower that keeps its experts, for which
-/// all others wait in every step.
+/// Guards against a rank that is twelve times slower and keeps its experts, so
+/// that all others wait for it in every step.
 #[test]
-fn plan_slow_rank_relieved() {
+fn plan_relieves_very_slow_rank() {
     let mut load = Load::new(1, 96);
     load.add(&[10_000; 96]);
     let mut speeds = Speeds::new(12, 1e-6);
@@ -205,10 +207,9 @@
 }
 
 #[test]
-fn observe_same_time_for_all() {
-    // An engine tells the time of the slowest rank for all. The rank with
-    // few tokens must not pass for a slow one, or it would never be given
-    // more.
+fn observe_equal_times() {
+    // Some engines report the time of the slowest rank for all ranks. A rank
+    // with few tokens must not be considered slow, or it would never get more.
     let mut speeds = Speeds::new(3, 1e-4);
     for _ in 0..10 {
         speeds.observe(&[900.0, 100.0, 100.0], &[0.1, 0.1, 0.1]);
@@ -233,7 +234,7 @@
 
 #[test]
 fn from_bytes_any_bytes() {
-    // A damaged map reaches a rank: it must refuse it and go on.
+    // A rank must refuse a corrupt map without a panic.
     fn property(mut bytes: Vec<u8>, position: usize, value: u8) -> bool {
         let _ = Map::from_bytes(bytes.clone());
         bytes = Map::uniform(Shape::with_spare(2, 8, 4, 1, 2))
@@ -265,9 +266,10 @@
 }
 
 #[test]
-fn forecast_after_flip() {
-    // Popularity flips at once, as with a new client account's traffic: an
-    // estimate that eases over keeps the group skewed for an hour.
+fn forecast_after_popularity_flip() {
+    // Popularity flips abruptly, for instance with the traffic of a new client
+    // account. An estimate that adapts slowly would keep the group skewed for
+    // an hour.
     let mut estimate = LoadEstimator::new(1, 2, LoadEstimatorSettings::default());
     for _ in 0..10 {
         let mut load = Load::new(1, 2);
--- a/crates/expert/tests/switch_need.rs
+++ b/crates/expert/tests/switch_need.rs
@@ -1,15 +1,16 @@
-//! Loads under which a switch of the map is worth its price.
+//! Plans for which a switch of the map is worthwhile.
 
 use expert::{Load, Map, Plan, Shape, SwitchCriteria};
 use std::time::Duration;
 
-const NEED: SwitchCriteria = SwitchCriteria {
+const CRITERIA: SwitchCriteria = SwitchCriteria {
     slow_step: Duration::from_millis(66),
     projected_slow_step: Duration::from_millis(90),
     min_gain: 0.08,
 };
 
-/// A plan that takes the experts' work of a window from `before` to `after`.
+/// A plan that changes the step time of a window from `before` to `after`, in
+/// seconds.
 fn plan(before: f64, after: f64) -> Plan {
     let map = Map::balanced(
         Shape::with_spare(1, 4, 2, 1, 1),
@@ -29,31 +30,33 @@
     }
 }
 
-/// Guards against a switch that comes a window late, since the steps measured
-/// right after a change of popularity are still those of before.
+/// Guards against a switch that is one window late because the steps measured
+/// right after a change of popularity still include those before it.
 #[test]
-fn is_met_popularity_changed() {
+fn should_switch_popularity_changed() {
     let step = Some(Duration::from_millis(62));
-    assert!(NEED.should_switch(&plan(0.219, 0.109), step));
+    assert!(CRITERIA.should_switch(&plan(0.219, 0.109), step));
 }
 
-/// Guards against moving experts while nobody notices that steps differ.
+/// Guards against moving experts while steps are too fast for clients to notice
+/// a difference.
 #[test]
-fn is_met_quiet_group() {
+fn should_switch_fast_steps() {
     let step = Some(Duration::from_millis(35));
-    assert!(!NEED.should_switch(&plan(0.219, 0.109), step));
+    assert!(!CRITERIA.should_switch(&plan(0.219, 0.109), step));
 }
 
 /// Guards against switches that save less than they cost.
 #[test]
-fn is_met_little_gain() {
+fn should_switch_small_gain() {
     let step = Some(Duration::from_millis(200));
-    assert!(!NEED.should_switch(&plan(0.100, 0.095), step));
-    assert!(!NEED.should_switch(&plan(0.0, 0.0), None));
+    assert!(!CRITERIA.should_switch(&plan(0.100, 0.095), step));
+    assert!(!CRITERIA.should_switch(&plan(0.0, 0.0), None));
 }
 
-/// Guards against a group on its start map that waits for measured steps.
+/// Guards against a group that stays on its initial map until steps have been
+/// measured.
 #[test]
-fn is_met_unknown_step() {
-    assert!(NEED.should_switch(&plan(1.2, 0.4), None));
+fn should_switch_unknown_step_time() {
+    assert!(CRITERIA.should_switch(&plan(1.2, 0.4), None));
 }
