--- a/crates/expert/benches/maps/main.rs
+++ b/crates/expert/benches/maps/main.rs
@@ -1,13 +1,14 @@
-//! Compares policies for expert maps over the same seeded days and prints a
-//! Markdown table. Run with `cargo bench -p lovageramp-expert --bench maps`.
-//! Everything but the planner times is the same on every run. A size as
-//! argument (`-- 128x60`) runs only that one.
+//! Compares policies for expert maps on the same seeded load traces of one day
+//! and prints a Markdown table. Run with
+//! `cargo bench -p lovageramp-expert --bench maps`. All results except the
+//! planner times are deterministic. A size as argument (`-- 128x60`) restricts
+//! the run to that size.
 #![allow(
     missing_docs,
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a program of its own; its counts are small"
+    reason = "a stand-alone program with small counts"
 )]
 
 mod policy;
@@ -23,44 +24,45 @@
 use std::thread;
 
 fn main() {
-    let only: Option<String> = std::env::args().find(|arg| arg.contains('x') && !arg.contains('/'));
+    let selected: Option<String> =
+        std::env::args().find(|arg| arg.contains('x') && !arg.contains('/'));
     println!(
         "| trace | ranks x layers | policy | skew mean | p95 | p99 | over even | moved GB | of full | moving s | plan mean ms | max ms |"
     );
     println!("|---|---|---|---|---|---|---|---|---|---|---|---|");
     for (ranks, layers) in [(16, 4), (16, 60), (128, 4), (128, 60)] {
         let size = format!("{ranks}x{layers}");
-        if only.as_ref().is_some_and(|only| *only != size) {
+        if selected.as_ref().is_some_and(|selected| *selected != size) {
             continue;
         }
         for scenario in Scenario::ALL {
-            let scores = play_all(scenario, ranks, layers);
+            let scores = run_all(scenario, ranks, layers);
             for (policy, score) in Policy::ALL.iter().zip(&scores) {
-                row(scenario.name(), &size, *policy, score, &scores[1]);
+                print_row(scenario.name(), &size, *policy, score, &scores[1]);
             }
         }
     }
 }
 
-/// The policies side by side, each on a thread of its own.
-fn play_all(scenario: Scenario, ranks: u16, layers: u16) -> Vec<Score> {
+/// Runs all policies in parallel, each on its own thread.
+fn run_all(scenario: Scenario, ranks: u16, layers: u16) -> Vec<Score> {
     thread::scope(|scope| {
-        let play = |policy| scope.spawn(move || Run::play(policy, scenario, ranks, layers));
-        let runs = Policy::ALL.map(play);
+        let spawn = |policy| scope.spawn(move || Run::run_day(policy, scenario, ranks, layers));
+        let runs = Policy::ALL.map(spawn);
         let score = |run: thread::ScopedJoinHandle<'_, Score>| run.join();
         runs.into_iter().map(score).collect::<Result<_, _>>()
     })
     .expect("a policy failed")
 }
 
-fn row(scenario: &str, size: &str, policy: Policy, score: &Score, full: &Score) {
+fn print_row(scenario: &str, size: &str, policy: Policy, score: &Score, full: &Score) {
     println!(
         "| {scenario} | {size} | {} | {:.3} | {:.3} | {:.3} | {:.3} | {:.0} | {:.4} | {:.1} | {:.1} | {:.1} |",
         policy.name(),
         score.mean_skew(),
-        score.skew_at(0.95),
-        score.skew_at(0.99),
-        score.over_even(),
+        score.skew_quantile(0.95),
+        score.skew_quantile(0.99),
+        score.over_ideal(),
         score.bytes() / 1e9,
         score.bytes() / full.bytes(),
         score.moving_seconds(),
--- a/crates/expert/benches/maps/policy.rs
+++ b/crates/expert/benches/maps/policy.rs
@@ -1,49 +1,49 @@
-//! The policies compared.
+//! Policies compared by the benchmark.
 
 use expert::Weights;
 
-/// The policies compared.
+/// A policy for choosing expert maps.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Policy {
-    /// The map of the first window; repaired when a rank is lost.
+    /// The map planned for the first window; repaired when a rank is lost.
     Static,
-    /// Made anew in each window, without regard to the former map.
+    /// A map built from scratch in each window.
     Full,
-    /// The planner with the hotline's weights.
-    Hotline,
-    /// The planner with the association's weights.
-    Association,
+    /// The planner with more weight on skew.
+    SkewFirst,
+    /// The planner with more weight on moves.
+    MovesFirst,
 }
 
 impl Policy {
     pub const ALL: [Policy; 4] = [
         Policy::Static,
         Policy::Full,
-        Policy::Hotline,
-        Policy::Association,
+        Policy::SkewFirst,
+        Policy::MovesFirst,
     ];
 
     pub fn name(self) -> &'static str {
         match self {
             Policy::Static => "static",
             Policy::Full => "full replan",
-            Policy::Hotline => "ours, hotline",
-            Policy::Association => "ours, association",
+            Policy::SkewFirst => "planner, skew 4 : moves 1",
+            Policy::MovesFirst => "planner, skew 1 : moves 4",
         }
     }
 
-    /// Weights of the planner; without a weight of skew it only repairs.
+    /// Weights of the planner. With a zero weight of skew it only repairs.
     pub fn weights(self) -> Weights {
         match self {
             Policy::Static | Policy::Full => Weights {
                 skew: 0.0,
                 moves: 1.0,
             },
-            Policy::Hotline => Weights {
+            Policy::SkewFirst => Weights {
                 skew: 4.0,
                 moves: 1.0,
             },
-            Policy::Association => Weights {
+            Policy::MovesFirst => Weights {
                 skew: 1.0,
                 moves: 4.0,
             },
--- a/crates/expert/benches/maps/run.rs
+++ b/crates/expert/benches/maps/run.rs
@@ -1,4 +1,4 @@
-//! One policy through one day.
+//! Run of one policy over one day.
 
 use crate::policy::Policy;
 use crate::scenario::Scenario;
@@ -7,16 +7,16 @@
 use expert::{Load, LoadEstimator, LoadEstimatorSettings, Map, MoveCost, Planner, Shape, Speeds};
 use std::time::Instant;
 
-/// Experts of each layer.
+/// Number of experts per layer.
 const EXPERTS: u16 = 128;
 
-/// Seconds that the experts' work takes of a usual window of 300.
+/// Seconds that the experts compute in an average window of 300 s.
 const BUSY_SECONDS: f64 = 150.0;
 
 /// Seed of every trace.
 const SEED: u64 = 20_261_203;
 
-/// Loading an expert of 44 MB through 1 GB/s.
+/// Cost of loading an expert of 44 MB at 1 GB/s.
 const COST: MoveCost = MoveCost {
     expert_bytes: 44_000_000,
     store_bytes_per_s: 1e9,
@@ -25,10 +25,10 @@
     max_plan_bytes: 300_000_000_000,
 };
 
-/// Windows over which a move is expected to pay: one hour.
-const HORIZON: f64 = 12.0;
+/// Number of windows over which a move is expected to save step time: one hour.
+const HORIZON_WINDOWS: f64 = 12.0;
 
-/// One policy through one day.
+/// Run of one policy over one day.
 pub struct Run {
     policy: Policy,
     scenario: Scenario,
@@ -41,20 +41,20 @@
 }
 
 impl Run {
-    /// Plays the whole day.
-    pub fn play(policy: Policy, scenario: Scenario, ranks: u16, layers: u16) -> Score {
+    /// Runs the whole day.
+    pub fn run_day(policy: Policy, scenario: Scenario, ranks: u16, layers: u16) -> Score {
         let mut trace = Trace::new(scenario, layers.into(), EXPERTS.into(), SEED);
         let first = trace.next(0);
         let mut run = Run::new(policy, scenario, ranks, layers, &first);
         let mut score = Score::new(COST);
         run.measure(0, &first, &mut score);
-        for t in 1..WINDOWS {
+        for window in 1..WINDOWS {
             let start = Instant::now();
-            let next = run.plan(t);
-            score.planned(start.elapsed());
+            let next = run.plan(window);
+            score.add_plan(start.elapsed());
             run.switch(next, &mut score);
-            let load = trace.next(t);
-            run.measure(t, &load, &mut score);
+            let load = trace.next(window);
+            run.measure(window, &load, &mut score);
         }
         score
     }
@@ -73,7 +73,7 @@
             planner: Planner {
                 weights: policy.weights(),
                 cost: COST,
-                horizon_windows: HORIZON,
+                horizon_windows: HORIZON_WINDOWS,
             },
             estimate: LoadEstimator::new(
                 layers.into(),
@@ -87,23 +87,23 @@
         }
     }
 
-    /// The map for window `t`, from what was counted before it. A rank that
-    /// is lost or comes back with `t` is known at once, as its link tells.
-    fn plan(&mut self, t: usize) -> Map {
-        let mut back = false;
+    /// The map for `window`, planned from the load of earlier windows. Whether a
+    /// rank is live in `window` is known at once from its connection.
+    fn plan(&mut self, window: usize) -> Map {
+        let mut has_returned = false;
         for rank in 0..self.map.shape().ranks() {
-            let was = self.scenario.speed(rank, t - 1).is_some();
-            let is = self.scenario.speed(rank, t).is_some();
-            if was && !is {
+            let was_live = self.scenario.speed(rank, window - 1).is_some();
+            let is_live = self.scenario.speed(rank, window).is_some();
+            if was_live && !is_live {
                 self.speeds.set_lost(rank);
                 self.map.clear_rank(expert::Rank(rank as u16));
             }
-            if is && !was {
+            if is_live && !was_live {
                 self.speeds.set_live(rank);
-                back = true;
+                has_returned = true;
             }
         }
-        if self.policy == Policy::Static && back {
+        if self.policy == Policy::Static && has_returned {
             return self.first_map.clone();
         }
         let forecast = self.estimate.forecast();
@@ -116,17 +116,17 @@
     fn switch(&mut self, next: Map, score: &mut Score) {
         let faults = next.check(self.speeds.live());
         assert!(faults.is_empty(), "{}: {:?}", self.policy.name(), faults[0]);
-        score.loaded(next.loads_from(&self.map));
+        score.add_loads(next.loads_from(&self.map));
         self.map = next;
     }
 
-    /// Runs window `t` and takes in what it shows.
-    fn measure(&mut self, t: usize, load: &Load, score: &mut Score) {
+    /// Runs `window` and updates score, speeds and estimate with the results.
+    fn measure(&mut self, window: usize, load: &Load, score: &mut Score) {
         let ranks = self.map.shape().ranks();
-        let speeds: Vec<Option<f64>> = (0..ranks).map(|r| self.scenario.speed(r, t)).collect();
+        let speeds: Vec<Option<f64>> = (0..ranks).map(|r| self.scenario.speed(r, window)).collect();
         let live = speeds.iter().flatten().count() as f64;
         let speed: f64 = speeds.iter().flatten().sum();
-        let (mut slowest, mut mean, mut even) = (0.0, 0.0, 0.0);
+        let (mut slowest, mut mean, mut ideal) = (0.0, 0.0, 0.0);
         let (mut tokens, mut seconds) = (vec![0.0; ranks], vec![0.0; ranks]);
         for layer in 0..load.layers() {
             let by_rank = self.tokens_by_rank(layer, load);
@@ -135,16 +135,16 @@
             };
             slowest += (0..ranks).map(time).fold(0.0, f64::max);
             mean += (0..ranks).map(time).sum::<f64>() / live;
-            even += by_rank.iter().sum::<f64>() * self.seconds_per_token / speed;
+            ideal += by_rank.iter().sum::<f64>() * self.seconds_per_token / speed;
             for rank in 0..ranks {
                 tokens[rank] += by_rank[rank];
                 seconds[rank] += time(rank);
             }
         }
-        score.window(slowest, mean, even);
+        score.add_window(slowest, mean, ideal);
         self.speeds.observe(&tokens, &seconds);
         if self.policy == Policy::Full {
-            // Made from the newest window alone.
+            // Uses only the newest window.
             let settings = LoadEstimatorSettings {
                 level_weight: 1.0,
                 trend_weight: 0.0,
--- a/crates/expert/benches/maps/scenario.rs
+++ b/crates/expert/benches/maps/scenario.rs
@@ -1,11 +1,11 @@
-//! What happens to the group during the day.
+//! Scenarios for a group over one day.
 
 use crate::trace::WINDOWS;
 
-/// Speed of the straggler.
-const STRAGGLER: f64 = 0.6;
+/// Relative speed of the straggler.
+const STRAGGLER_SPEED: f64 = 0.6;
 
-/// What happens to the group during the day.
+/// What happens to a group over one day.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Scenario {
     DailyDrift,
@@ -31,8 +31,9 @@
         }
     }
 
-    /// Largest swing of an expert's popularity over the day, as a logarithm.
-    pub fn swing(self) -> f64 {
+    /// Maximum amplitude of the daily variation of an expert's popularity, as a
+    /// natural logarithm.
+    pub fn max_amplitude(self) -> f64 {
         match self {
             Scenario::DailyDrift => 1.0,
             Scenario::SuddenFlip => 0.3,
@@ -40,16 +41,17 @@
         }
     }
 
-    pub fn flips_at(self, t: usize) -> bool {
-        self == Scenario::SuddenFlip && (t == WINDOWS / 3 || t == WINDOWS * 2 / 3)
+    /// Whether popularity flips at the start of `window`.
+    pub fn flips_at(self, window: usize) -> bool {
+        self == Scenario::SuddenFlip && (window == WINDOWS / 3 || window == WINDOWS * 2 / 3)
     }
 
-    /// Speed of `rank` in window `t`; `None` while it is lost.
-    pub fn speed(self, rank: usize, t: usize) -> Option<f64> {
-        let hit = rank == 1 && (WINDOWS / 4..WINDOWS * 3 / 4).contains(&t);
+    /// Relative speed of `rank` in `window`; `None` while it is lost.
+    pub fn speed(self, rank: usize, window: usize) -> Option<f64> {
+        let is_affected = rank == 1 && (WINDOWS / 4..WINDOWS * 3 / 4).contains(&window);
         match self {
-            Scenario::Straggler if hit => Some(STRAGGLER),
-            Scenario::LostRank if hit => None,
+            Scenario::Straggler if is_affected => Some(STRAGGLER_SPEED),
+            Scenario::LostRank if is_affected => None,
             _ => Some(1.0),
         }
     }
--- a/crates/expert/benches/maps/score.rs
+++ b/crates/expert/benches/maps/score.rs
@@ -1,14 +1,14 @@
-//! What one run showed.
+//! Results of one run.
 
 use expert::MoveCost;
 use std::time::Duration;
 
-/// What one run showed.
+/// Results of one run.
 pub struct Score {
     cost: MoveCost,
     skews: Vec<f64>,
     step_seconds: f64,
-    even_seconds: f64,
+    ideal_seconds: f64,
     loads: usize,
     plans: Vec<Duration>,
 }
@@ -19,42 +19,42 @@
             cost,
             skews: Vec::new(),
             step_seconds: 0.0,
-            even_seconds: 0.0,
+            ideal_seconds: 0.0,
             loads: 0,
             plans: Vec::new(),
         }
     }
 
-    pub fn planned(&mut self, took: Duration) {
-        self.plans.push(took);
+    pub fn add_plan(&mut self, duration: Duration) {
+        self.plans.push(duration);
     }
 
-    pub fn loaded(&mut self, experts: usize) {
+    pub fn add_loads(&mut self, experts: usize) {
         self.loads += experts;
     }
 
-    /// Takes in a window: the layers' slowest and mean rank and the time of
-    /// a perfectly even split, summed over the layers.
-    pub fn window(&mut self, slowest: f64, mean: f64, even: f64) {
+    /// Adds a window: the times of the slowest rank, of the mean rank and of a
+    /// perfectly even split, each in seconds and summed over the layers.
+    pub fn add_window(&mut self, slowest: f64, mean: f64, ideal: f64) {
         self.skews.push(slowest / mean);
         self.step_seconds += slowest;
-        self.even_seconds += even;
+        self.ideal_seconds += ideal;
     }
 
     pub fn mean_skew(&self) -> f64 {
         self.skews.iter().sum::<f64>() / self.skews.len() as f64
     }
 
-    /// The skew that `share` of the windows don't exceed.
-    pub fn skew_at(&self, share: f64) -> f64 {
+    /// The `share` quantile of the skews of all windows.
+    pub fn skew_quantile(&self, share: f64) -> f64 {
         let mut sorted = self.skews.clone();
         sorted.sort_by(f64::total_cmp);
         sorted[((sorted.len() - 1) as f64 * share).round() as usize]
     }
 
-    /// Step time over that of a perfectly even split.
-    pub fn over_even(&self) -> f64 {
-        self.step_seconds / self.even_seconds
+    /// Ratio of the step time to that of a perfectly even split.
+    pub fn over_ideal(&self) -> f64 {
+        self.step_seconds / self.ideal_seconds
     }
 
     pub fn bytes(&self) -> f64 {
