--- a/crates/expert/benches/maps/run.rs
+++ b/crates/expert/benches/maps/run.rs
@@ -33,7 +33,7 @@
     policy: Policy,
     scenario: Scenario,
     planner: Planner,
-    estimate: LoadEstimator,
+    estimator: LoadEstimator,
     speeds: Speeds,
     map: Map,
     first_map: Map,
@@ -75,7 +75,7 @@
                 cost: COST,
                 horizon_windows: HORIZON_WINDOWS,
             },
-            estimate: LoadEstimator::new(
+            estimator: LoadEstimator::new(
                 layers.into(),
                 EXPERTS.into(),
                 LoadEstimatorSettings::default(),
@@ -106,7 +106,7 @@
         if self.policy == Policy::Static && has_returned {
             return self.first_map.clone();
         }
-        let forecast = self.estimate.forecast();
+        let forecast = self.estimator.forecast();
         if self.policy == Policy::Full {
             return Map::balanced(self.map.shape().clone(), &forecast, &self.speeds);
         }
@@ -150,9 +150,9 @@
                 trend_weight: 0.0,
                 ..LoadEstimatorSettings::default()
             };
-            self.estimate = LoadEstimator::new(load.layers(), load.experts(), settings);
+            self.estimator = LoadEstimator::new(load.layers(), load.experts(), settings);
         }
-        self.estimate.observe(load);
+        self.estimator.observe(load);
     }
 
     fn tokens_by_rank(&self, layer: usize, load: &Load) -> Vec<f64> {
--- a/crates/expert/src/load_estimator.rs
+++ b/crates/expert/src/load_estimator.rs
@@ -36,8 +36,8 @@
     /// ```
     /// use expert::{LoadEstimator, LoadEstimatorSettings};
     ///
-    /// let estimate = LoadEstimator::new(1, 2, LoadEstimatorSettings::default());
-    /// assert_eq!(estimate.windows(), 0);
+    /// let estimator = LoadEstimator::new(1, 2, LoadEstimatorSettings::default());
+    /// assert_eq!(estimator.windows(), 0);
     /// ```
     #[must_use]
     pub fn new(layers: usize, experts: usize, settings: LoadEstimatorSettings) -> LoadEstimator {
@@ -61,13 +61,13 @@
     /// dimensions is ignored.
     ///
     /// ```
-    /// use expert::{LoadEstimator, LoadEstimatorSettings, Load};
+    /// use expert::{Load, LoadEstimator, LoadEstimatorSettings};
     ///
-    /// let mut estimate = LoadEstimator::new(1, 2, LoadEstimatorSettings::default());
+    /// let mut estimator = LoadEstimator::new(1, 2, LoadEstimatorSettings::default());
     /// let mut load = Load::new(1, 2);
     /// load.add(&[30, 10]);
-    /// estimate.observe(&load);
-    /// assert_eq!(estimate.forecast().layer(0), &[30.0, 10.0]);
+    /// estimator.observe(&load);
+    /// assert_eq!(estimator.forecast().layer(0), &[30.0, 10.0]);
     /// ```
     pub fn observe(&mut self, load: &Load) {
         if (load.layers(), load.experts()) != (self.level.layers(), self.level.experts()) {
@@ -135,8 +135,8 @@
     /// ```
     /// use expert::{LoadEstimator, LoadEstimatorSettings};
     ///
-    /// let estimate = LoadEstimator::new(1, 2, LoadEstimatorSettings::default());
-    /// assert_eq!(estimate.forecast().layer(0), &[0.0, 0.0]);
+    /// let estimator = LoadEstimator::new(1, 2, LoadEstimatorSettings::default());
+    /// assert_eq!(estimator.forecast().layer(0), &[0.0, 0.0]);
     /// ```
     #[must_use]
     pub fn forecast(&self) -> Load {
--- a/crates/expert/src/participant_steps.rs
+++ b/crates/expert/src/participant_steps.rs
@@ -37,7 +37,7 @@
                 attempt,
                 barrier_step,
                 verdict,
-            } => self.advance_finish(&attempt, barrier_step, verdict, engine, now, outputs),
+            } => self.advance_outcome(&attempt, barrier_step, verdict, engine, now, outputs),
         };
         if let Some(command) = next
             && self.late_command_until.is_none()
@@ -205,7 +205,7 @@
         })
     }
 
-    fn advance_finish(
+    fn advance_outcome(
         &mut self,
         attempt: &SwitchAttempt,
         barrier_step: u64,
--- a/crates/expert/src/search/layer_state.rs
+++ b/crates/expert/src/search/layer_state.rs
@@ -151,12 +151,12 @@
 
     fn measure_drop(&self, slot: usize, delta: &mut Delta) {
         let rank = self.rank_of(slot);
-        let former = self.slots[slot];
-        if former != NO_EXPERT {
-            let copies = self.copies(former);
-            let share = self.share(usize::from(former), copies);
-            let more = self.share(usize::from(former), copies.saturating_sub(1)) - share;
-            for &holder in &self.holders[usize::from(former)] {
+        let previous = self.slots[slot];
+        if previous != NO_EXPERT {
+            let copies = self.copies(previous);
+            let share = self.share(usize::from(previous), copies);
+            let more = self.share(usize::from(previous), copies.saturating_sub(1)) - share;
+            for &holder in &self.holders[usize::from(previous)] {
                 let change = if holder == rank { -share } else { more };
                 delta.add(holder, change * self.rank_cost(holder));
             }
@@ -202,9 +202,9 @@
 
     fn clear(&mut self, slot: usize) {
         let rank = self.rank_of(slot);
-        let former = std::mem::replace(&mut self.slots[slot], NO_EXPERT);
-        if former != NO_EXPERT {
-            self.holders[usize::from(former)].retain(|&holder| holder != rank);
+        let previous = std::mem::replace(&mut self.slots[slot], NO_EXPERT);
+        if previous != NO_EXPERT {
+            self.holders[usize::from(previous)].retain(|&holder| holder != rank);
         }
     }
 }
--- a/crates/expert/src/search/moves.rs
+++ b/crates/expert/src/search/moves.rs
@@ -71,9 +71,9 @@
     let moved_share = state.share(usize::from(expert), state.copies(expert));
     let copied_share = state.share(usize::from(expert), state.copies(expert) + 1);
     // Whether the receiver would become as slow as the slowest rank is now.
-    let overloads = |former: f64, new: f64| {
-        let change =
-            (new - former) * state.rank_cost(state.rank_of(receiver * state.slots_per_rank));
+    let overloads = |previous_share: f64, new_share: f64| {
+        let change = (new_share - previous_share)
+            * state.rank_cost(state.rank_of(receiver * state.slots_per_rank));
         state.time[receiver] + change >= limit
     };
     if state.holds(state.rank_of(receiver * state.slots_per_rank), expert) {
@@ -81,19 +81,19 @@
     }
     for other in receiver * state.slots_per_rank..(receiver + 1) * state.slots_per_rank {
         let returned = state.slots[other];
-        let former = if returned == NO_EXPERT {
+        let previous_share = if returned == NO_EXPERT {
             0.0
         } else {
             state.share(usize::from(returned), state.copies(returned))
         };
-        if state.is_spare(other) && !overloads(former, copied_share) {
+        if state.is_spare(other) && !overloads(previous_share, copied_share) {
             let put = Candidate::Put {
                 slot: other,
                 expert,
             };
             consider(state, put, limit, delta, best);
         }
-        let relieves = former < moved_share && !overloads(former, moved_share);
+        let relieves = previous_share < moved_share && !overloads(previous_share, moved_share);
         if returned != NO_EXPERT && relieves && !state.holds(rank, returned) {
             let swap = Candidate::Swap { a: slot, b: other };
             consider(state, swap, limit, delta, best);
@@ -111,13 +111,13 @@
     best: &mut Best,
 ) {
     let rank = state.rank_of(slot);
-    let former = state.slots[slot];
-    let former = state.share(usize::from(former), state.copies(former));
+    let previous = state.slots[slot];
+    let previous_share = state.share(usize::from(previous), state.copies(previous));
     for index in 0..state.load.len() {
         let Ok(expert) = u16::try_from(index) else {
             return;
         };
-        let relieves = state.share(index, state.copies(expert) + 1) < former;
+        let relieves = state.share(index, state.copies(expert) + 1) < previous_share;
         if relieves && !state.holds(rank, expert) {
             consider(state, Candidate::Put { slot, expert }, limit, delta, best);
         }
--- a/crates/expert/tests/participant.rs
+++ b/crates/expert/tests/participant.rs
@@ -244,7 +244,7 @@
     // An engine restarts on its own after it has promised to stop before a
     // barrier. It would run on its initial map, unaware of its promise. The
     // switch may be committed at any time, so a new fencing number is opened
-    // first, under which the commit is refused.
+    // first, after which the commit is refused.
     let (mut participant, now) = holding(Instant::now());
     let now = now + TIMING.resend_interval;
     let outputs = read_engine(&mut participant, restarted(Some(4)), now);
@@ -270,7 +270,7 @@
     assert!(
         !commands(&outputs)
             .iter()
-            .any(|order| matches!(order, EngineCommand::Stage { .. }))
+            .any(|command| matches!(command, EngineCommand::Stage { .. }))
     );
 }
 
--- a/crates/expert/tests/planner.rs
+++ b/crates/expert/tests/planner.rs
@@ -255,14 +255,14 @@
 
 #[test]
 fn forecast_follows_drift() {
-    let mut estimate = LoadEstimator::new(1, 2, LoadEstimatorSettings::default());
+    let mut estimator = LoadEstimator::new(1, 2, LoadEstimatorSettings::default());
     let mut load = Load::new(1, 2);
     for window in 0..20_u32 {
         load = Load::new(1, 2);
         load.add(&[1000 + 20 * window, 1000 - 20 * window]);
-        estimate.observe(&load);
+        estimator.observe(&load);
     }
-    assert!(estimate.forecast().layer(0)[0] > load.layer(0)[0]);
+    assert!(estimator.forecast().layer(0)[0] > load.layer(0)[0]);
 }
 
 #[test]
@@ -270,14 +270,14 @@
     // Popularity flips abruptly, for instance with the traffic of a new client
     // account. An estimate that adapts slowly would keep the group skewed for
     // an hour.
-    let mut estimate = LoadEstimator::new(1, 2, LoadEstimatorSettings::default());
+    let mut estimator = LoadEstimator::new(1, 2, LoadEstimatorSettings::default());
     for _ in 0..10 {
         let mut load = Load::new(1, 2);
         load.add(&[900, 100]);
-        estimate.observe(&load);
+        estimator.observe(&load);
     }
     let mut load = Load::new(1, 2);
     load.add(&[100, 900]);
-    estimate.observe(&load);
-    assert!(estimate.forecast().layer(0)[1] > 800.0);
+    estimator.observe(&load);
+    assert!(estimator.forecast().layer(0)[1] > 800.0);
 }
