--- a/crates/agent/src/map/settings.rs
+++ b/crates/agent/src/map/settings.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cfg::Reader;
-use expert::{MoveCost, SwitchNeed, SwitchTiming};
+use expert::{MoveCost, SwitchCriteria, SwitchTiming};
 
 /// When expert maps are planned, and how they are switched.
 #[derive(Clone, Debug)]
@@ -24,7 +24,7 @@
     pub start: StartMap,
     /// When a switch is worth its price beside what moves cost; always, if
     /// none is given.
-    pub need: Option<SwitchNeed>,
+    pub need: Option<SwitchCriteria>,
 }
 
 /// The map that engines start with.
@@ -54,13 +54,13 @@
                 store_bytes_per_s: precise(store),
                 slowdown: precise(r.within("slowdown_permille", 100, 0..=1000)) / 1000.0,
                 store_price: 1.0,
-                plan_bytes: store.saturating_mul(window.as_secs().max(1)),
+                max_plan_bytes: store.saturating_mul(window.as_secs().max(1)),
             },
             timing: SwitchTiming {
-                resend: time(r, "resend_ms", defaults.resend),
-                attempt: time(r, "attempt_ms", defaults.attempt),
-                order: time(r, "order_ms", defaults.order),
-                ghost: time(r, "ghost_ms", defaults.ghost),
+                resend_interval: time(r, "resend_ms", defaults.resend_interval),
+                phase_timeout: time(r, "attempt_ms", defaults.phase_timeout),
+                command_timeout: time(r, "order_ms", defaults.command_timeout),
+                late_command_window: time(r, "ghost_ms", defaults.late_command_window),
                 lead_steps: r.within("lead_steps", defaults.lead_steps, 1..=1_000_000),
                 lead_time: defaults.lead_time,
             },
--- a/crates/agent/src/map/state.rs
+++ b/crates/agent/src/map/state.rs
@@ -5,8 +5,8 @@
 use std::time::Instant;
 
 use expert::{
-    Coordinator, CoordinatorOutput, DecideOutcome, Map, Participant, ParticipantOutput, Standing,
-    StepClock, Verdict,
+    Coordinator, CoordinatorOutput, DecideOutcome, GroupState, Map, Participant, ParticipantOutput,
+    StepTimer, Verdict,
 };
 use note::Group;
 use ractor::ActorRef;
@@ -52,7 +52,7 @@
     /// When it is logged again what the coordinator waits for.
     pub log_at: Instant,
     /// How long steps take.
-    pub steps: StepClock,
+    pub steps: StepTimer,
     /// The coordinator has not asked for counts yet since it began.
     pub begins: bool,
     /// No switch was under way when the ranks were last asked for their counts,
@@ -84,7 +84,7 @@
             serial: 0,
             begins: false,
             asked_idle: false,
-            steps: StepClock::default(),
+            steps: StepTimer::default(),
             log_at: now,
             stand_in: StandIn::default(),
             calls: BTreeSet::new(),
@@ -108,13 +108,13 @@
             // The answer to an order that was given up is not the next one's.
             MapMsg::Engine { serial, .. } if serial != self.serial => {}
             MapMsg::Engine { state, .. } => {
-                let outputs = self.participant.on_engine(state, now);
+                let outputs = self.participant.on_engine_state(state, now);
                 self.participate(outputs);
             }
             MapMsg::Standing(standing) => {
                 self.calls.remove(&ControlCall::Ask);
                 if let Some(standing) = standing {
-                    let outputs = self.participant.on_standing(&standing, now);
+                    let outputs = self.participant.on_group_state(&standing, now);
                     self.participate(outputs);
                 }
             }
@@ -191,7 +191,7 @@
         let Some(coordinator) = &self.coordinator else {
             return;
         };
-        let (phase, waiting) = coordinator.standing();
+        let (phase, waiting) = coordinator.status();
         let telling = phase == "telling";
         if !telling && phase != "idle" {
             return;
@@ -276,7 +276,7 @@
         };
     }
 
-    fn opened(&mut self, standing: Option<Standing>, now: Instant) {
+    fn opened(&mut self, standing: Option<GroupState>, now: Instant) {
         self.calls.remove(&ControlCall::Open);
         let (Some(standing), Some(coordinator)) = (standing, &mut self.coordinator) else {
             return;
@@ -309,8 +309,8 @@
     pub fn coordinate(&mut self, outputs: Vec<CoordinatorOutput>) {
         for output in outputs {
             match output {
-                CoordinatorOutput::Open if self.calls.contains(&ControlCall::Open) => {}
-                CoordinatorOutput::Open => {
+                CoordinatorOutput::OpenCoordinator if self.calls.contains(&ControlCall::Open) => {}
+                CoordinatorOutput::OpenCoordinator => {
                     self.calls.insert(ControlCall::Open);
                     let (cx, inbox) = (Arc::clone(&self.cx), self.inbox.clone());
                     tokio::spawn(control_calls::open(cx, inbox));
@@ -338,19 +338,20 @@
     fn participate(&mut self, outputs: Vec<ParticipantOutput>) {
         for output in outputs {
             match output {
-                ParticipantOutput::Open { .. } if self.calls.contains(&ControlCall::Join) => {}
-                ParticipantOutput::Open { formation } => {
+                ParticipantOutput::OpenFencing { .. }
+                    if self.calls.contains(&ControlCall::Join) => {}
+                ParticipantOutput::OpenFencing { formation } => {
                     self.calls.insert(ControlCall::Join);
                     let (cx, inbox) = (Arc::clone(&self.cx), self.inbox.clone());
                     tokio::spawn(control_calls::open_to_join(cx, formation, inbox));
                 }
-                ParticipantOutput::Ask if self.calls.contains(&ControlCall::Ask) => {}
-                ParticipantOutput::Ask => {
+                ParticipantOutput::ReadGroupState if self.calls.contains(&ControlCall::Ask) => {}
+                ParticipantOutput::ReadGroupState => {
                     self.calls.insert(ControlCall::Ask);
                     let (cx, inbox) = (Arc::clone(&self.cx), self.inbox.clone());
                     tokio::spawn(control_calls::ask(cx, inbox));
                 }
-                ParticipantOutput::Order(order) => {
+                ParticipantOutput::Command(order) => {
                     self.serial += 1;
                     let (cx, inbox) = (Arc::clone(&self.cx), self.inbox.clone());
                     let orders = self.orders.clone();
--- a/crates/control/src/machine/maps.rs
+++ b/crates/control/src/machine/maps.rs
@@ -2,7 +2,7 @@
 
 use super::Machine;
 use bytes::Bytes;
-use expert::{Decision, Standing, Verdict};
+use expert::{Decision, GroupState, Verdict};
 use wire::proto::{CoordinatorOutcome, DecideMap, MapDecision, OpenCoordinator};
 
 impl Machine {
@@ -36,14 +36,14 @@
 
     /// What stands for a group.
     pub(crate) fn map(&self, group: &str) -> CoordinatorOutcome {
-        let standing = self.decisions.current(group);
+        let standing = self.decisions.group_state(group);
         standing.map_or_else(CoordinatorOutcome::default, |standing| {
             coordinator_outcome(group, standing)
         })
     }
 }
 
-fn coordinator_outcome(group: &str, standing: &Standing) -> CoordinatorOutcome {
+fn coordinator_outcome(group: &str, standing: &GroupState) -> CoordinatorOutcome {
     let current = standing.current.as_ref();
     let committed = standing.committed.iter();
     CoordinatorOutcome {
--- a/crates/expert/src/lib.rs
+++ b/crates/expert/src/lib.rs
@@ -1,22 +1,23 @@
-//! Expert maps: load estimate, planner, switch protocol.
+//! Expert maps: load estimation, planning and the switch protocol.
 //!
-//! A model group runs in lock-step on an expert map. This crate decides which
-//! map is worth switching to and how the ranks of a group switch together. It
-//! is pure: it reads no clock, opens no socket and has no randomness of its
-//! own; the present time and every message are arguments.
+//! The ranks of a model group run their steps in lock-step on an expert map,
+//! which assigns copies of experts to ranks. This crate decides when another
+//! map is worth switching to and coordinates the switch across the ranks of a
+//! group. It performs no I/O, reads no clock and uses no randomness: the
+//! current time and all messages are passed in as arguments.
 //!
-//! [`Decisions`] is the part of the durable state that says which map is in
+//! [`Decisions`] is the part of the durable state that records which map is in
 //! force from which step:
 //!
 //! ```
 //! use expert::{Decision, Decisions, Verdict};
 //!
 //! let mut decisions = Decisions::new();
-//! let standing = decisions.open_coordinator("blank-advisor", "advisor-01", 7);
+//! let state = decisions.open_coordinator("blank-advisor", "advisor-01", 7);
 //! let outcome = decisions.decide(
 //!     "blank-advisor",
 //!     Decision {
-//!         fencing: standing.fencing,
+//!         fencing: state.fencing,
 //!         version: 1,
 //!         barrier_step: 400,
 //!         verdict: Verdict::Commit,
@@ -33,21 +34,22 @@
 mod decide_outcome;
 mod decision;
 mod decisions;
-mod engine_order;
+mod engine_command;
 mod engine_state;
 mod error;
-mod estimate;
-mod estimate_settings;
 mod expert_id;
 mod goal;
+mod group_state;
 mod load;
+mod load_estimator;
+mod load_estimator_settings;
 mod map;
 mod map_fault;
 mod move_cost;
 mod participant;
+mod participant_group_state;
 mod participant_message;
 mod participant_output;
-mod participant_standing;
 mod participant_steps;
 mod plan;
 mod planner;
@@ -57,9 +59,8 @@
 mod search;
 mod shape;
 mod speeds;
-mod standing;
-mod step_clock;
-mod switch_need;
+mod step_timer;
+mod switch_criteria;
 mod switch_timing;
 mod verdict;
 mod weights;
@@ -70,13 +71,14 @@
 pub use crate::decide_outcome::DecideOutcome;
 pub use crate::decision::Decision;
 pub use crate::decisions::Decisions;
-pub use crate::engine_order::EngineOrder;
+pub use crate::engine_command::EngineCommand;
 pub use crate::engine_state::{Arming, EngineState};
 pub use crate::error::{Error, Result};
-pub use crate::estimate::Estimate;
-pub use crate::estimate_settings::EstimateSettings;
 pub use crate::expert_id::ExpertId;
+pub use crate::group_state::GroupState;
 pub use crate::load::Load;
+pub use crate::load_estimator::LoadEstimator;
+pub use crate::load_estimator_settings::LoadEstimatorSettings;
 pub use crate::map::Map;
 pub use crate::map_fault::MapFault;
 pub use crate::move_cost::MoveCost;
@@ -89,9 +91,8 @@
 pub use crate::refusal::Refusal;
 pub use crate::shape::Shape;
 pub use crate::speeds::Speeds;
-pub use crate::standing::Standing;
-pub use crate::step_clock::StepClock;
-pub use crate::switch_need::SwitchNeed;
+pub use crate::step_timer::StepTimer;
+pub use crate::switch_criteria::SwitchCriteria;
 pub use crate::switch_timing::SwitchTiming;
 pub use crate::verdict::Verdict;
 pub use crate::weights::Weights;
--- a/crates/expert/src/map.rs
+++ b/crates/expert/src/map.rs
@@ -7,7 +7,7 @@
 use prost::Message;
 use std::collections::BTreeSet;
 
-/// Format of the encoding that this version writes and reads.
+/// Version of the encoding that is written and read.
 const FORMAT: u32 = 1;
 
 /// Which expert each slot of a group holds.
@@ -31,12 +31,13 @@
     /// ```
     #[must_use]
     pub fn empty(shape: Shape) -> Map {
-        let slots = vec![None; shape.layers() * shape.layer_slots()];
+        let slots = vec![None; shape.layers() * shape.slots_per_layer()];
         Map { shape, slots }
     }
 
-    /// The map that groups start on before any load is known: experts in
-    /// order, spare slots with copies from the far end of the ranks.
+    /// The default map for a group whose load is unknown: experts in order,
+    /// with further copies in the spare slots, half a group away from the
+    /// first copies.
     ///
     /// ```
     /// use expert::{Map, Shape};
@@ -49,40 +50,40 @@
         let mut map = Map::empty(shape);
         let (ranks, experts) = (map.shape.ranks(), map.shape.experts());
         for layer in 0..map.shape.layers() {
-            for place in 0..map.shape.layer_slots() {
-                let (round, turn) = (place / ranks, place % ranks);
-                // Each round begins half a group further on, so that the
-                // copies of an expert land on different hosts.
-                let rank = (turn + round * (ranks / 2)) % ranks;
+            for place in 0..map.shape.slots_per_layer() {
+                let (slot, offset) = (place / ranks, place % ranks);
+                // Each pass over the ranks starts half a group further on, so
+                // that the copies of an expert land on different hosts.
+                let rank = (offset + slot * (ranks / 2)) % ranks;
                 let expert = ExpertId::from_index(place % experts.max(1));
                 if experts > 0 && !map.rank_slots(layer, rank).contains(&Some(expert)) {
-                    map.rank_slots_mut(layer, rank)[round] = Some(expert);
+                    map.rank_slots_mut(layer, rank)[slot] = Some(expert);
                 }
             }
         }
         map
     }
 
-    /// The map with one copy of each expert, given to the ranks in turn, and
-    /// all spare slots empty.
+    /// The map with one copy of each expert, distributed to the ranks round
+    /// robin, and all spare slots empty.
     ///
     /// ```
     /// use expert::{Map, Shape};
     ///
-    /// let map = Map::in_turn(Shape::with_spare(1, 4, 2, 1, 1));
+    /// let map = Map::round_robin(Shape::with_spare(1, 4, 2, 1, 1));
     /// let rank: Vec<_> = map.rank_slots(0, 1).iter().flatten().map(|e| e.0).collect();
     /// assert_eq!(rank, [1, 3]);
     /// ```
     #[must_use]
-    pub fn in_turn(shape: Shape) -> Map {
+    pub fn round_robin(shape: Shape) -> Map {
         let mut map = Map::empty(shape);
         let ranks = map.shape.ranks().max(1);
         for layer in 0..map.shape.layers() {
             for place in 0..map.shape.experts() {
-                let (round, rank) = (place / ranks, place % ranks);
-                if round < map.shape.slots() {
+                let (slot, rank) = (place / ranks, place % ranks);
+                if slot < map.shape.slots_per_rank() {
                     let expert = ExpertId::from_index(place);
-                    map.rank_slots_mut(layer, rank)[round] = Some(expert);
+                    map.rank_slots_mut(layer, rank)[slot] = Some(expert);
                 }
             }
         }
@@ -95,21 +96,21 @@
         &self.shape
     }
 
-    /// The same slots with the ranks on other hosts; `None` for another number
-    /// of ranks.
+    /// The same slots with the ranks on other hosts; `None` if the number of
+    /// hosts is not the number of ranks.
     ///
     /// ```
     /// use expert::{Map, Shape};
     ///
     /// let map = Map::uniform(Shape::new(1, 4, 3, vec![0, 0]));
-    /// let moved = map.on_hosts(vec![0, 1]).unwrap();
+    /// let moved = map.with_hosts(vec![0, 1]).unwrap();
     /// assert_eq!(moved.layer(0), map.layer(0));
-    /// assert!(map.on_hosts(vec![0]).is_none());
+    /// assert!(map.with_hosts(vec![0]).is_none());
     /// ```
     #[must_use]
-    pub fn on_hosts(&self, hosts: Vec<u16>) -> Option<Map> {
+    pub fn with_hosts(&self, hosts: Vec<u16>) -> Option<Map> {
         (hosts.len() == self.shape.ranks()).then(|| Map {
-            shape: self.shape.on_hosts(hosts),
+            shape: self.shape.with_hosts(hosts),
             slots: self.slots.clone(),
         })
     }
@@ -121,7 +122,7 @@
     /// Panics if the shape has no such layer.
     #[must_use]
     pub fn layer(&self, layer: usize) -> &[Option<ExpertId>] {
-        let width = self.shape.layer_slots();
+        let width = self.shape.slots_per_layer();
         &self.slots[layer * width..(layer + 1) * width]
     }
 
@@ -132,17 +133,17 @@
     /// Panics if the shape has no such layer or rank.
     #[must_use]
     pub fn rank_slots(&self, layer: usize, rank: usize) -> &[Option<ExpertId>] {
-        let width = self.shape.slots();
+        let width = self.shape.slots_per_rank();
         &self.layer(layer)[rank * width..(rank + 1) * width]
     }
 
     pub(crate) fn layer_mut(&mut self, layer: usize) -> &mut [Option<ExpertId>] {
-        let width = self.shape.layer_slots();
+        let width = self.shape.slots_per_layer();
         &mut self.slots[layer * width..(layer + 1) * width]
     }
 
     fn rank_slots_mut(&mut self, layer: usize, rank: usize) -> &mut [Option<ExpertId>] {
-        let width = self.shape.slots();
+        let width = self.shape.slots_per_rank();
         &mut self.layer_mut(layer)[rank * width..(rank + 1) * width]
     }
 
@@ -163,8 +164,8 @@
         }
     }
 
-    /// Everything that is wrong with the map while the ranks marked in
-    /// `live` run; empty for a map that can be used.
+    /// All faults of the map if only the ranks marked in `live` run; empty for
+    /// a usable map.
     ///
     /// ```
     /// use expert::{Map, Shape};
@@ -174,7 +175,7 @@
     /// ```
     #[must_use]
     pub fn check(&self, live: &[bool]) -> Vec<MapFault> {
-        let expected = self.shape.layers() * self.shape.layer_slots();
+        let expected = self.shape.layers() * self.shape.slots_per_layer();
         if self.slots.len() != expected {
             let found = self.slots.len();
             return vec![MapFault::Size { expected, found }];
@@ -187,12 +188,12 @@
     }
 
     fn check_layer(&self, layer: usize, live: &[bool], faults: &mut Vec<MapFault>) {
-        let mut held = vec![false; self.shape.experts()];
+        let mut has_copy = vec![false; self.shape.experts()];
         for rank in 0..self.shape.ranks() {
             let mut seen = BTreeSet::new();
             for expert in self.rank_slots(layer, rank).iter().flatten().copied() {
                 let id = Rank::from_index(rank);
-                if expert.index() >= held.len() {
+                if expert.index() >= has_copy.len() {
                     faults.push(MapFault::UnknownExpert {
                         layer,
                         rank: id,
@@ -201,23 +202,23 @@
                     continue;
                 }
                 if !seen.insert(expert) {
-                    faults.push(MapFault::Doubled {
+                    faults.push(MapFault::Duplicate {
                         layer,
                         rank: id,
                         expert,
                     });
                 }
-                held[expert.index()] |= live.get(rank).copied().unwrap_or(false);
+                has_copy[expert.index()] |= live.get(rank).copied().unwrap_or(false);
             }
         }
-        let missing = (0..held.len()).filter(|&expert| !held[expert]);
+        let missing = (0..has_copy.len()).filter(|&expert| !has_copy[expert]);
         faults.extend(missing.map(|expert| MapFault::Missing {
             layer,
             expert: ExpertId::from_index(expert),
         }));
     }
 
-    /// Tokens that each rank computes of `load`, all layers together.
+    /// Tokens of `load` that each rank computes, summed over all layers.
     ///
     /// ```
     /// use expert::{Load, Map, Shape};
@@ -249,29 +250,29 @@
         tokens
     }
 
-    /// How many experts the ranks have to load that `former` did not give
-    /// them.
+    /// Number of experts that the ranks have to load when they switch from
+    /// `previous` to this map.
     ///
     /// ```
     /// use expert::{Map, Shape};
     ///
     /// let map = Map::uniform(Shape::with_spare(1, 4, 2, 1, 1));
-    /// assert_eq!(map.loads_after(&map), 0);
+    /// assert_eq!(map.loads_from(&map), 0);
     /// ```
     #[must_use]
-    pub fn loads_after(&self, former: &Map) -> usize {
-        if self.shape != former.shape {
+    pub fn loads_from(&self, previous: &Map) -> usize {
+        if self.shape != previous.shape {
             return self.slots.iter().flatten().count();
         }
-        let width = self.shape.slots().max(1);
-        let ranks = self.slots.chunks(width).zip(former.slots.chunks(width));
+        let width = self.shape.slots_per_rank().max(1);
+        let ranks = self.slots.chunks(width).zip(previous.slots.chunks(width));
         ranks
             .map(|(new, old)| new.iter().flatten().filter(|e| !old.contains(&Some(**e))))
             .map(Iterator::count)
             .sum()
     }
 
-    /// The compact encoding, about a byte for each slot.
+    /// The compact encoding, about one byte per slot.
     ///
     /// ```
     /// use expert::{Map, Shape};
@@ -286,13 +287,13 @@
             .into()
     }
 
-    /// Reads the compact encoding. The map's content still has to be
+    /// Decodes the compact encoding. The contents of the map still have to be
     /// [checked](Map::check).
     ///
     /// # Errors
     ///
-    /// Fails on bytes that aren't a map of this format, or whose number of
-    /// slots isn't that of their shape.
+    /// Fails if the bytes aren't a map in this format, if the number of slots
+    /// doesn't match the shape, or if the shape has fewer slots than experts.
     ///
     /// ```
     /// assert!(expert::Map::from_bytes(&b"\xff"[..]).is_err());
@@ -304,9 +305,9 @@
         }
         let (shape, slots) = record.into_parts()?;
         let map = Map { shape, slots };
-        let expected = map.shape.layers() * map.shape.layer_slots();
-        let room = map.shape.layer_slots() >= map.shape.experts();
-        if map.slots.len() == expected && room {
+        let expected = map.shape.layers() * map.shape.slots_per_layer();
+        let has_room = map.shape.slots_per_layer() >= map.shape.experts();
+        if map.slots.len() == expected && has_room {
             Ok(map)
         } else {
             Err(Error::new(Code::Slots(map.slots.len(), expected)))
--- a/crates/expert/tests/switch/engine.rs
+++ b/crates/expert/tests/switch/engine.rs
@@ -1,77 +1,77 @@
-//! An engine that may or may not check fencing numbers.
+//! Simulated engine.
 
 use bytes::Bytes;
-use expert::{Decision, EngineOrder, EngineState, Verdict};
+use expert::{Decision, EngineCommand, EngineState, Verdict};
 
-/// What an engine does with an old fencing number.
+/// What an engine does with a command under an outdated fencing number.
 #[derive(Clone, Copy, PartialEq)]
-pub enum FencingCheck {
+pub enum FencingPolicy {
     Ignore,
     Refuse,
 }
 
-/// An engine that may or may not check fencing numbers.
+/// A simulated engine, which may or may not check fencing numbers.
 pub struct Engine {
     pub state: EngineState,
-    pub check: FencingCheck,
+    pub fencing_policy: FencingPolicy,
     fencing: u64,
     staged: Bytes,
     next: Option<(u64, Bytes)>,
-    /// Content of the map in use.
-    pub content: Bytes,
-    /// Whether it answers.
+    /// The encoded map in use.
+    pub map: Bytes,
+    /// Whether the engine runs and answers.
     pub alive: bool,
 }
 
 impl Engine {
-    /// An engine that was just started at the step where the others are.
-    pub fn start(check: FencingCheck, step: u64) -> Engine {
+    /// An engine that has just started while the others are at `step`.
+    pub fn start(fencing_policy: FencingPolicy, step: u64) -> Engine {
         Engine {
             state: EngineState {
                 step,
-                waits: true,
-                waiting: true,
+                requires_join: true,
+                awaiting_join: true,
                 ..EngineState::default()
             },
-            check,
+            fencing_policy,
             fencing: 0,
             staged: Bytes::new(),
             next: None,
-            content: Bytes::new(),
+            map: Bytes::new(),
             alive: true,
         }
     }
 
-    /// The state after the order, or `None` if it was refused.
-    pub fn obey(&mut self, order: &EngineOrder) -> Option<EngineState> {
-        let fencing = fencing(order).unwrap_or(self.fencing);
-        if self.check == FencingCheck::Refuse && fencing < self.fencing {
+    /// Executes a command. Returns the state after it, or `None` if it was refused.
+    pub fn execute(&mut self, command: &EngineCommand) -> Option<EngineState> {
+        let fencing = fencing(command).unwrap_or(self.fencing);
+        if self.fencing_policy == FencingPolicy::Refuse && fencing < self.fencing {
             return None;
         }
         self.fencing = self.fencing.max(fencing);
-        match order {
-            EngineOrder::Read => {}
-            EngineOrder::Stage { version, map, .. } => {
+        match command {
+            EngineCommand::Read => {}
+            EngineCommand::Stage { version, map, .. } => {
                 self.state.staged = Some(*version);
                 self.staged = map.clone();
             }
-            EngineOrder::Hold {
+            EngineCommand::Hold {
                 version,
                 barrier_step,
                 ..
             } => {
                 if self.state.staged == Some(*version) && self.state.step < *barrier_step {
-                    self.state.held = Some(*barrier_step);
+                    self.state.held_step = Some(*barrier_step);
                 }
             }
-            EngineOrder::Join {
+            EngineCommand::Join {
                 formation, maps, ..
             } => {
-                if self.state.waiting && self.state.formation == Some(*formation) {
+                if self.state.awaiting_join && self.state.formation == Some(*formation) {
                     self.join(maps);
                 }
             }
-            EngineOrder::Outcome {
+            EngineCommand::Outcome {
                 version,
                 barrier_step,
                 verdict,
@@ -81,15 +81,15 @@
         Some(self.state)
     }
 
-    fn join(&mut self, maps: &[Decision]) {
-        self.state.waiting = false;
-        for map in maps {
-            if map.barrier_step <= self.state.step + 1 {
-                self.content = map.map.clone();
-                self.state.version = map.version;
+    fn join(&mut self, decisions: &[Decision]) {
+        self.state.awaiting_join = false;
+        for decision in decisions {
+            if decision.barrier_step <= self.state.step + 1 {
+                self.map = decision.map.clone();
+                self.state.version = decision.version;
             } else {
-                self.state.next = Some(map.version);
-                self.next = Some((map.barrier_step, map.map.clone()));
+                self.state.next = Some(decision.version);
+                self.next = Some((decision.barrier_step, decision.map.clone()));
             }
         }
     }
@@ -99,7 +99,7 @@
             return;
         }
         self.state.staged = None;
-        self.state.held = None;
+        self.state.held_step = None;
         if verdict == Verdict::Commit {
             self.state.next = Some(version);
             self.next = Some((barrier_step, std::mem::take(&mut self.staged)));
@@ -107,27 +107,27 @@
     }
 
     pub fn may_run(&self, step: u64) -> bool {
-        !self.state.waiting && self.state.held.is_none_or(|held| step < held)
+        !self.state.awaiting_join && self.state.held_step.is_none_or(|held| step < held)
     }
 
     /// Runs the next step and returns it.
     pub fn run(&mut self) -> u64 {
         self.state.step += 1;
-        if let Some((_, content)) = self.next.take_if(|next| next.0 <= self.state.step) {
-            self.content = content;
+        if let Some((_, map)) = self.next.take_if(|next| next.0 <= self.state.step) {
+            self.map = map;
             self.state.version = self.state.next.take().unwrap_or_default();
         }
         self.state.step
     }
 }
 
-/// Fencing number of an order; a read has none.
-pub fn fencing(order: &EngineOrder) -> Option<u64> {
-    match order {
-        EngineOrder::Read => None,
-        EngineOrder::Stage { fencing, .. }
-        | EngineOrder::Hold { fencing, .. }
-        | EngineOrder::Join { fencing, .. }
-        | EngineOrder::Outcome { fencing, .. } => Some(*fencing),
+/// Fencing number of a command; a read has none.
+pub fn fencing(command: &EngineCommand) -> Option<u64> {
+    match command {
+        EngineCommand::Read => None,
+        EngineCommand::Stage { fencing, .. }
+        | EngineCommand::Hold { fencing, .. }
+        | EngineCommand::Join { fencing, .. }
+        | EngineCommand::Outcome { fencing, .. } => Some(*fencing),
     }
 }
--- a/crates/expert/tests/switch_need.rs
+++ b/crates/expert/tests/switch_need.rs
@@ -1,15 +1,16 @@
-//! Loads under which a switch of the map is worth its price.
+//! Plans for which a switch of the map is worthwhile.
 
-use expert::{Load, Map, Plan, Shape, SwitchNeed};
+use expert::{Load, Map, Plan, Shape, SwitchCriteria};
 use std::time::Duration;
 
-const NEED: SwitchNeed = SwitchNeed {
-    step: Duration::from_millis(66),
-    soon: Duration::from_millis(90),
-    gain: 0.08,
+const CRITERIA: SwitchCriteria = SwitchCriteria {
+    slow_step: Duration::from_millis(66),
+    projected_slow_step: Duration::from_millis(90),
+    min_gain: 0.08,
 };
 
-/// A plan that takes the experts' work of a window from `before` to `after`.
+/// A plan that changes the step time of a window from `before` to `after`, in
+/// seconds.
 fn plan(before: f64, after: f64) -> Plan {
     let map = Map::balanced(
         Shape::with_spare(1, 4, 2, 1, 1),
@@ -21,39 +22,41 @@
         is_change: true,
         loads: 4,
         repairs: 0,
-        homeless: 0,
+        unplaced: 0,
         before,
         after,
-        even: after,
+        ideal: after,
         cost: 0.0,
     }
 }
 
-/// Guards against a switch that comes a window late, since the steps measured
-/// right after a change of popularity are still those of before.
+/// Guards against a switch that is one window late because the steps measured
+/// right after a change of popularity still include those before it.
 #[test]
-fn is_met_popularity_changed() {
+fn should_switch_popularity_changed() {
     let step = Some(Duration::from_millis(62));
-    assert!(NEED.is_met(&plan(0.219, 0.109), step));
+    assert!(CRITERIA.should_switch(&plan(0.219, 0.109), step));
 }
 
-/// Guards against moving experts while nobody notices that steps differ.
+/// Guards against moving experts while steps are too fast for clients to notice
+/// a difference.
 #[test]
-fn is_met_quiet_group() {
+fn should_switch_fast_steps() {
     let step = Some(Duration::from_millis(35));
-    assert!(!NEED.is_met(&plan(0.219, 0.109), step));
+    assert!(!CRITERIA.should_switch(&plan(0.219, 0.109), step));
 }
 
 /// Guards against switches that save less than they cost.
 #[test]
-fn is_met_little_gain() {
+fn should_switch_small_gain() {
     let step = Some(Duration::from_millis(200));
-    assert!(!NEED.is_met(&plan(0.100, 0.095), step));
-    assert!(!NEED.is_met(&plan(0.0, 0.0), None));
+    assert!(!CRITERIA.should_switch(&plan(0.100, 0.095), step));
+    assert!(!CRITERIA.should_switch(&plan(0.0, 0.0), None));
 }
 
-/// Guards against a group on its start map that waits for measured steps.
+/// Guards against a group that stays on its initial map until steps have been
+/// measured.
 #[test]
-fn is_met_unknown_step() {
-    assert!(NEED.is_met(&plan(1.2, 0.4), None));
+fn should_switch_unknown_step_time() {
+    assert!(CRITERIA.should_switch(&plan(1.2, 0.4), None));
 }
