--- a/crates/control/src/machine/calls.rs
+++ b/crates/control/src/machine/calls.rs
@@ -2,7 +2,7 @@
 
 use super::{Machine, malformed};
 use bytes::Bytes;
-use ledger::{Attempt, CallKey, Claimed, Digest, Holder, Unproved, Verdict};
+use ledger::{Attempt, CallKey, CallOutcome, Digest, Holder, KeyStatus, UnprovedCall};
 use serde_json::{Value, json};
 use wire::proto::claim_outcome::Kind;
 use wire::proto::{
@@ -41,10 +41,10 @@
         };
         let verdict = match finish.result {
             Some(finish::Result::Answer(answer)) => match parse_answer(answer) {
-                Some(answer) => Verdict::Answer(answer),
+                Some(answer) => CallOutcome::Answer(answer),
                 None => return malformed("status of the answer is out of range"),
             },
-            Some(finish::Result::Unknown(unknown)) => Verdict::Unknown(unknown.reason),
+            Some(finish::Result::Unknown(unknown)) => CallOutcome::Unknown(unknown.reason),
             None => return malformed("finish without a result"),
         };
         let key = CallKey::new(finish.account, finish.key);
@@ -106,7 +106,7 @@
         })
     }
 
-    fn unproved_row(&self, call: &Unproved) -> Value {
+    fn unproved_row(&self, call: &UnprovedCall) -> Value {
         json!({
             "attempt": call.holder.attempt.to_string(),
             "account": call.key.account,
@@ -120,27 +120,27 @@
     /// What stands for a call.
     pub(crate) fn record(&self, account: &str, key: &Bytes) -> Option<ClaimOutcome> {
         let key = CallKey::new(account, key.clone());
-        claim_outcome(self.ledger.standing(&key))
+        claim_outcome(self.ledger.status(&key))
     }
 }
 
-fn claim_outcome(claimed: Claimed) -> Option<ClaimOutcome> {
+fn claim_outcome(claimed: KeyStatus) -> Option<ClaimOutcome> {
     let empty = ClaimOutcome::default();
     Some(match claimed {
-        Claimed::Absent => return None,
-        Claimed::Claimed => of_kind(Kind::Claimed),
-        Claimed::Mismatch => of_kind(Kind::Mismatch),
-        Claimed::Full => of_kind(Kind::Full),
-        Claimed::Running(holder) => ClaimOutcome {
+        KeyStatus::Absent => return None,
+        KeyStatus::Claimed => of_kind(Kind::Claimed),
+        KeyStatus::Mismatch => of_kind(Kind::Mismatch),
+        KeyStatus::Full => of_kind(Kind::Full),
+        KeyStatus::Running(holder) => ClaimOutcome {
             kind: Kind::Running.into(),
             ..held(holder)
         },
-        Claimed::Finished(answer) => ClaimOutcome {
+        KeyStatus::Finished(answer) => ClaimOutcome {
             kind: Kind::Finished.into(),
             answer: Some(answer_message(answer)),
             ..empty
         },
-        Claimed::Unknown(unknown) => ClaimOutcome {
+        KeyStatus::Unknown(unknown) => ClaimOutcome {
             kind: Kind::Unknown.into(),
             reason: unknown.reason,
             ..unknown.holder.map(held).unwrap_or_default()
--- a/crates/ledger/src/verdict.rs
+++ b/crates/ledger/src/call_outcome.rs
@@ -4,15 +4,15 @@
 
 /// The result that a finish records.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum CallOutcome {
     /// The target's whole answer, which proves that the attempt ended.
     Answer(Answer),
     /// Nobody can tell whether the call ran or will yet run, and why.
     Unknown(String),
 }
 
-impl From<Answer> for Verdict {
+impl From<Answer> for CallOutcome {
     fn from(answer: Answer) -> Self {
-        Verdict::Answer(answer)
+        CallOutcome::Answer(answer)
     }
 }
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::record::{Record, State, ended};
-use crate::{Attempt, CallKey, Claim, Claimed, Holder, Limits, Unproved, Verdict};
+use crate::{Attempt, CallKey, CallOutcome, Claim, Holder, KeyStatus, Limits, UnprovedCall};
 
 /// Reason of a claim whose attempt was never reported on.
 const OUTLIVED: &str = "nothing was heard of the attempt in time";
@@ -62,14 +62,14 @@
     ///     target: "dezurna-01".into(),
     ///     incarnation: 4,
     /// };
-    /// assert_eq!(ledger.claim(claim.clone(), 0), Claimed::Claimed);
+    /// assert_eq!(ledger.claim(claim.clone(), 0), KeyStatus::Claimed);
     /// let other = Claim { digest: Digest([1; 32]), ..claim };
-    /// assert_eq!(ledger.claim(other, 0), Claimed::Mismatch);
+    /// assert_eq!(ledger.claim(other, 0), KeyStatus::Mismatch);
     /// ```
-    pub fn claim(&mut self, claim: Claim, now_ms: u64) -> Claimed {
+    pub fn claim(&mut self, claim: Claim, now_ms: u64) -> KeyStatus {
         self.expire(now_ms);
         if let Some(record) = self.records.get(&claim.key) {
-            return standing_for(record, &claim);
+            return status_for(record, &claim);
         }
         let record = Record {
             digest: claim.digest,
@@ -83,10 +83,10 @@
             },
         };
         if !self.has_room(&claim.key, &record) {
-            return Claimed::Full;
+            return KeyStatus::Full;
         }
         self.insert(claim.key, record);
-        Claimed::Claimed
+        KeyStatus::Claimed
     }
 
     /// Records how an attempt ended; the first result stays, but for an
@@ -100,25 +100,25 @@
     /// # use ledger::*;
     /// # let mut ledger = Ledger::new(Limits::default());
     /// let key = CallKey::new("zdravko", "crew-9");
-    /// let lost = Verdict::Unknown("the target was lost".into());
-    /// assert_eq!(ledger.finish(&key, Attempt(1), lost, 0), (false, Claimed::Absent));
+    /// let lost = CallOutcome::Unknown("the target was lost".into());
+    /// assert_eq!(ledger.finish(&key, Attempt(1), lost, 0), (false, KeyStatus::Absent));
     /// ```
     pub fn finish(
         &mut self,
         key: &CallKey,
         attempt: Attempt,
-        verdict: Verdict,
+        outcome: CallOutcome,
         now_ms: u64,
-    ) -> (bool, Claimed) {
+    ) -> (bool, KeyStatus) {
         self.expire(now_ms);
         let Some(record) = self.records.get(key) else {
-            return (false, Claimed::Absent);
+            return (false, KeyStatus::Absent);
         };
-        if record.holder.attempt != attempt || !record.takes(&verdict) {
-            return (false, record.standing());
+        if record.holder.attempt != attempt || !record.takes(&outcome) {
+            return (false, record.status());
         }
-        self.end(key, verdict);
-        (true, self.standing(key))
+        self.end(key, outcome);
+        (true, self.status(key))
     }
 
     /// Frees a key whose attempt was barred at its agent before it started.
@@ -131,19 +131,19 @@
     /// # use ledger::*;
     /// # let mut ledger = Ledger::new(Limits::default());
     /// let key = CallKey::new("zdravko", "crew-9");
-    /// assert_eq!(ledger.release(&key, Attempt(1), 0), (false, Claimed::Absent));
+    /// assert_eq!(ledger.release(&key, Attempt(1), 0), (false, KeyStatus::Absent));
     /// ```
-    pub fn release(&mut self, key: &CallKey, attempt: Attempt, now_ms: u64) -> (bool, Claimed) {
+    pub fn release(&mut self, key: &CallKey, attempt: Attempt, now_ms: u64) -> (bool, KeyStatus) {
         self.expire(now_ms);
         let Some(record) = self.records.get(key) else {
-            return (false, Claimed::Absent);
+            return (false, KeyStatus::Absent);
         };
         let runs = matches!(record.state, State::Running { .. });
         if !runs || record.holder.attempt != attempt {
-            return (false, record.standing());
+            return (false, record.status());
         }
         self.remove(key);
-        (true, Claimed::Absent)
+        (true, KeyStatus::Absent)
     }
 
     /// Frees the key of a call whose outcome is unknown, by the word of an
@@ -190,13 +190,13 @@
     /// ```
     /// # use ledger::*;
     /// let ledger = Ledger::new(Limits::default());
-    /// assert_eq!(ledger.standing(&CallKey::new("a", "k")), Claimed::Absent);
+    /// assert_eq!(ledger.status(&CallKey::new("a", "k")), KeyStatus::Absent);
     /// ```
     #[must_use]
-    pub fn standing(&self, key: &CallKey) -> Claimed {
+    pub fn status(&self, key: &CallKey) -> KeyStatus {
         self.records
             .get(key)
-            .map_or(Claimed::Absent, Record::standing)
+            .map_or(KeyStatus::Absent, Record::status)
     }
 
     /// The calls of which nobody proved that they ended, in the order of
@@ -206,11 +206,11 @@
     /// # use ledger::*;
     /// assert_eq!(Ledger::new(Limits::default()).unproved().count(), 0);
     /// ```
-    pub fn unproved(&self) -> impl Iterator<Item = Unproved<'_>> {
+    pub fn unproved(&self) -> impl Iterator<Item = UnprovedCall<'_>> {
         self.records
             .iter()
             .filter_map(|(key, record)| match &record.state {
-                State::Unproved { reason, since_ms } => Some(Unproved {
+                State::Unproved { reason, since_ms } => Some(UnprovedCall {
                     key,
                     holder: &record.holder,
                     reason,
@@ -314,12 +314,17 @@
         Some(record)
     }
 
-    fn end(&mut self, key: &CallKey, verdict: Verdict) {
+    fn end(&mut self, key: &CallKey, outcome: CallOutcome) {
         let Some(mut record) = self.remove(key) else {
             return;
         };
         let limits = &self.limits;
-        record.state = ended(verdict, limits.max_answer, self.now_ms, limits.keep_ms);
+        record.state = ended(
+            outcome,
+            limits.max_answer_bytes,
+            self.now_ms,
+            limits.keep_ms,
+        );
         self.insert(key.clone(), record);
     }
 
@@ -340,7 +345,7 @@
     }
 
     fn size_of(&self, key: &CallKey, record: &Record) -> usize {
-        2 * key.size() + record.size(self.limits.max_answer)
+        2 * key.size() + record.size(self.limits.max_answer_bytes)
     }
 
     /// Each claim that runs may turn out never to be proved over, so it needs
@@ -352,13 +357,13 @@
     }
 }
 
-fn standing_for(record: &Record, claim: &Claim) -> Claimed {
+fn status_for(record: &Record, claim: &Claim) -> KeyStatus {
     if record.digest != claim.digest {
-        return Claimed::Mismatch;
+        return KeyStatus::Mismatch;
     }
     let runs = matches!(record.state, State::Running { .. });
     if runs && record.holder.attempt == claim.attempt {
-        return Claimed::Claimed;
+        return KeyStatus::Claimed;
     }
-    record.standing()
+    record.status()
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -12,7 +12,7 @@
 //! with the same times give the same state everywhere.
 //!
 //! ```
-//! use ledger::{Answer, Attempt, CallKey, Claim, Claimed, Digest, Ledger, Limits};
+//! use ledger::{Answer, Attempt, CallKey, Claim, KeyStatus, Digest, Ledger, Limits};
 //!
 //! let mut ledger = Ledger::new(Limits::default());
 //! let key = CallKey::new("saegewerk-huber", "lot-4711");
@@ -23,40 +23,40 @@
 //!     target: "desk-01".into(),
 //!     incarnation: 1,
 //! };
-//! assert_eq!(ledger.claim(claim(1), 0), Claimed::Claimed);
-//! assert!(matches!(ledger.claim(claim(2), 5), Claimed::Running(_)));
+//! assert_eq!(ledger.claim(claim(1), 0), KeyStatus::Claimed);
+//! assert!(matches!(ledger.claim(claim(2), 5), KeyStatus::Running(_)));
 //!
 //! let answer = Answer { status: 201, headers: Vec::new(), body: "reserved".into() };
 //! ledger.finish(&key, Attempt(1), answer.clone().into(), 9);
-//! assert_eq!(ledger.claim(claim(3), 12), Claimed::Finished(answer));
+//! assert_eq!(ledger.claim(claim(3), 12), KeyStatus::Finished(answer));
 //! ```
 
 mod answer;
 mod attempt;
 mod call_key;
+mod call_outcome;
 mod claim;
-mod claimed;
 mod digest;
 mod error;
 mod holder;
+mod key_status;
 mod ledger;
 mod limits;
 mod record;
 mod snapshot;
-mod unknown;
-mod unproved;
-mod verdict;
+mod unknown_outcome;
+mod unproved_call;
 
 pub use answer::Answer;
 pub use attempt::Attempt;
 pub use call_key::CallKey;
+pub use call_outcome::CallOutcome;
 pub use claim::Claim;
-pub use claimed::Claimed;
 pub use digest::Digest;
 pub use error::{Error, Result};
 pub use holder::Holder;
+pub use key_status::KeyStatus;
 pub use ledger::Ledger;
 pub use limits::Limits;
-pub use unknown::Unknown;
-pub use unproved::Unproved;
-pub use verdict::Verdict;
+pub use unknown_outcome::UnknownOutcome;
+pub use unproved_call::UnprovedCall;
--- a/crates/ledger/src/limits.rs
+++ b/crates/ledger/src/limits.rs
@@ -12,7 +12,7 @@
     /// included.
     pub max_bytes: usize,
     /// Bytes of one answer at most; a larger one is recorded as unknown.
-    pub max_answer: usize,
+    pub max_answer_bytes: usize,
     /// Calls at most that run, or of which nobody proved that they ended.
     pub max_unproved: usize,
     /// Time in milliseconds that the record of a call that ended is kept.
@@ -27,7 +27,7 @@
         Limits {
             max_records: 100_000,
             max_bytes: 64 << 20,
-            max_answer: 64 << 10,
+            max_answer_bytes: 64 << 10,
             max_unproved: 10_000,
             keep_ms: HOUR_MS,
             running_ms: HOUR_MS / 4,
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -1,6 +1,6 @@
 //! One record.
 
-use crate::{Claimed, Digest, Holder, Unknown, Verdict};
+use crate::{CallOutcome, Digest, Holder, KeyStatus, UnknownOutcome};
 
 /// Fixed part of a record, with the nodes of both maps, in bytes.
 const OVERHEAD: usize = 256;
@@ -22,7 +22,7 @@
     /// The attempt may run; from that time on its outcome is unknown.
     Running { until_ms: u64 },
     /// The attempt ended; the record goes at that time.
-    Ended { verdict: Verdict, until_ms: u64 },
+    Ended { outcome: CallOutcome, until_ms: u64 },
     /// Nobody proved that the attempt ended: it may be written to its target
     /// at any later time, by an agent or a host that stood still. The record
     /// goes by no time, or a resend would run the call beside it.
@@ -40,17 +40,17 @@
 }
 
 impl Record {
-    pub fn standing(&self) -> Claimed {
+    pub fn status(&self) -> KeyStatus {
         match &self.state {
-            State::Running { .. } => Claimed::Running(self.holder.clone()),
-            State::Ended { verdict, .. } => match verdict {
-                Verdict::Answer(answer) => Claimed::Finished(answer.clone()),
-                Verdict::Unknown(reason) => Claimed::Unknown(Unknown {
+            State::Running { .. } => KeyStatus::Running(self.holder.clone()),
+            State::Ended { outcome, .. } => match outcome {
+                CallOutcome::Answer(answer) => KeyStatus::Finished(answer.clone()),
+                CallOutcome::Unknown(reason) => KeyStatus::Unknown(UnknownOutcome {
                     reason: reason.clone(),
                     holder: None,
                 }),
             },
-            State::Unproved { reason, .. } => Claimed::Unknown(Unknown {
+            State::Unproved { reason, .. } => KeyStatus::Unknown(UnknownOutcome {
                 reason: reason.clone(),
                 holder: Some(self.holder.clone()),
             }),
@@ -59,22 +59,22 @@
 
     /// Whether a result of the attempt is still taken: any while it runs, and
     /// an answer, which proves that it ended, at any time.
-    pub fn takes(&self, verdict: &Verdict) -> bool {
+    pub fn takes(&self, outcome: &CallOutcome) -> bool {
         match self.state {
             State::Running { .. } => true,
-            State::Unproved { .. } => matches!(verdict, Verdict::Answer(_)),
+            State::Unproved { .. } => matches!(outcome, CallOutcome::Answer(_)),
             State::Ended { .. } => false,
         }
     }
 
     /// Bytes of the record beside its key; a running one counts with the
     /// room that its answer may need, or a finish could find no room.
-    pub fn size(&self, max_answer: usize) -> usize {
+    pub fn size(&self, max_answer_bytes: usize) -> usize {
         let state = match &self.state {
-            State::Running { .. } => max_answer.max(MAX_REASON),
-            State::Ended { verdict, .. } => match verdict {
-                Verdict::Answer(answer) => answer.size(),
-                Verdict::Unknown(reason) => reason.len(),
+            State::Running { .. } => max_answer_bytes.max(MAX_REASON),
+            State::Ended { outcome, .. } => match outcome {
+                CallOutcome::Answer(answer) => answer.size(),
+                CallOutcome::Unknown(reason) => reason.len(),
             },
             State::Unproved { reason, .. } => reason.len(),
         };
@@ -83,14 +83,21 @@
 }
 
 /// The state that a result leads to, within the bounds of a record.
-pub(crate) fn ended(verdict: Verdict, max_answer: usize, now_ms: u64, keep_ms: u64) -> State {
-    let verdict = match verdict {
-        Verdict::Answer(answer) if answer.size() > max_answer => Verdict::Unknown(format!(
-            "the call ran, but its answer of {} bytes is too large to keep",
-            answer.size()
-        )),
-        answer @ Verdict::Answer(_) => answer,
-        Verdict::Unknown(mut reason) => {
+pub(crate) fn ended(
+    outcome: CallOutcome,
+    max_answer_bytes: usize,
+    now_ms: u64,
+    keep_ms: u64,
+) -> State {
+    let outcome = match outcome {
+        CallOutcome::Answer(answer) if answer.size() > max_answer_bytes => {
+            CallOutcome::Unknown(format!(
+                "the call ran, but its answer of {} bytes is too large to keep",
+                answer.size()
+            ))
+        }
+        answer @ CallOutcome::Answer(_) => answer,
+        CallOutcome::Unknown(mut reason) => {
             reason.truncate(reason.floor_char_boundary(MAX_REASON));
             return State::Unproved {
                 reason,
@@ -99,7 +106,7 @@
         }
     };
     State::Ended {
-        verdict,
+        outcome,
         until_ms: now_ms.saturating_add(keep_ms),
     }
 }
--- a/crates/ledger/src/snapshot.rs
+++ b/crates/ledger/src/snapshot.rs
@@ -5,7 +5,7 @@
 
 use crate::error::Code;
 use crate::record::{Record, State};
-use crate::{Answer, Attempt, CallKey, Digest, Holder, Ledger, Limits, Result, Verdict};
+use crate::{Answer, Attempt, CallKey, CallOutcome, Digest, Holder, Ledger, Limits, Result};
 
 #[derive(Clone, PartialEq, Message)]
 struct Snapshot {
@@ -16,7 +16,7 @@
     #[prost(uint64, tag = "3")]
     max_bytes: u64,
     #[prost(uint64, tag = "4")]
-    max_answer: u64,
+    max_answer_bytes: u64,
     #[prost(uint64, tag = "5")]
     keep_ms: u64,
     #[prost(uint64, tag = "6")]
@@ -85,7 +85,7 @@
             now_ms: self.now_ms(),
             max_records: limits.max_records as u64,
             max_bytes: limits.max_bytes as u64,
-            max_answer: limits.max_answer as u64,
+            max_answer_bytes: limits.max_answer_bytes as u64,
             keep_ms: limits.keep_ms,
             running_ms: limits.running_ms,
             max_unproved: limits.max_unproved as u64,
@@ -108,7 +108,7 @@
         let limits = Limits {
             max_records: clamp(snapshot.max_records),
             max_bytes: clamp(snapshot.max_bytes),
-            max_answer: clamp(snapshot.max_answer),
+            max_answer_bytes: clamp(snapshot.max_answer_bytes),
             max_unproved: match snapshot.max_unproved {
                 0 => Limits::default().max_unproved,
                 limit => clamp(limit),
@@ -137,9 +137,9 @@
 fn row((key, record): (&CallKey, &Record)) -> Row {
     let (answer, unknown) = match &record.state {
         State::Running { .. } => (None, None),
-        State::Ended { verdict, .. } => match verdict {
-            Verdict::Answer(answer) => (Some(answer_row(answer)), None),
-            Verdict::Unknown(reason) => (None, Some(reason.clone())),
+        State::Ended { outcome, .. } => match outcome {
+            CallOutcome::Answer(answer) => (Some(answer_row(answer)), None),
+            CallOutcome::Unknown(reason) => (None, Some(reason.clone())),
         },
         State::Unproved { reason, .. } => (None, Some(reason.clone())),
     };
@@ -175,11 +175,11 @@
     let state = match (row.answer, row.unknown) {
         (None, None) => State::Running { until_ms },
         (Some(answer), None) => State::Ended {
-            verdict: Verdict::Answer(parse_answer(answer)?),
+            outcome: CallOutcome::Answer(parse_answer(answer)?),
             until_ms,
         },
         (None, Some(reason)) if row.ended => State::Ended {
-            verdict: Verdict::Unknown(reason),
+            outcome: CallOutcome::Unknown(reason),
             until_ms,
         },
         (None, Some(reason)) => State::Unproved {
--- a/crates/ledger/src/unknown.rs
+++ b/crates/ledger/src/unknown_outcome.rs
@@ -4,7 +4,7 @@
 
 /// Whether the call ran isn't known.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unknown {
+pub struct UnknownOutcome {
     /// Why.
     pub reason: String,
     /// The attempt, if nobody has proved that it ended: its answer would
--- a/crates/ledger/src/unproved.rs
+++ b/crates/ledger/src/unproved_call.rs
@@ -5,7 +5,7 @@
 /// A call whose outcome is unknown and that may even run yet, as operators
 /// see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unproved<'a> {
+pub struct UnprovedCall<'a> {
     /// The call.
     pub key: &'a CallKey,
     /// Its attempt and where that was sent.
--- a/crates/ledger/tests/ledger.rs
+++ b/crates/ledger/tests/ledger.rs
@@ -2,14 +2,14 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use ledger::{Answer, Attempt, CallKey, Claim, Claimed, Digest, Ledger, Limits, Verdict};
+use ledger::{Answer, Attempt, CallKey, CallOutcome, Claim, Digest, KeyStatus, Ledger, Limits};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 fn limits() -> Limits {
     Limits {
         max_records: 4,
         max_bytes: 8_000,
-        max_answer: 1_000,
+        max_answer_bytes: 1_000,
         max_unproved: 4,
         keep_ms: 100,
         running_ms: 50,
@@ -39,12 +39,12 @@
     // A caller uses one key for two reservations by mistake. It must learn
     // so, and not be given the answer of the first for the second.
     let mut ledger = Ledger::new(limits());
-    assert_eq!(ledger.claim(claim(1, 1), 0), Claimed::Claimed);
+    assert_eq!(ledger.claim(claim(1, 1), 0), KeyStatus::Claimed);
     let other = Claim {
         digest: Digest([9; 32]),
         ..claim(1, 2)
     };
-    assert_eq!(ledger.claim(other, 0), Claimed::Mismatch);
+    assert_eq!(ledger.claim(other, 0), KeyStatus::Mismatch);
 }
 
 #[test]
@@ -55,9 +55,12 @@
     let key = claim(1, 1).key;
     ledger.claim(claim(1, 1), 0);
     assert!(ledger.release(&key, Attempt(1), 1).0);
-    assert_eq!(ledger.claim(claim(1, 2), 2), Claimed::Claimed);
+    assert_eq!(ledger.claim(claim(1, 2), 2), KeyStatus::Claimed);
     assert!(!ledger.release(&key, Attempt(1), 3).0);
-    assert!(matches!(ledger.claim(claim(1, 3), 4), Claimed::Running(_)));
+    assert!(matches!(
+        ledger.claim(claim(1, 3), 4),
+        KeyStatus::Running(_)
+    ));
 }
 
 #[test]
@@ -68,9 +71,9 @@
     let key = claim(1, 1).key;
     ledger.claim(claim(1, 1), 0);
     assert!(ledger.finish(&key, Attempt(1), answer("a").into(), 1).0);
-    let (stored, stands) = ledger.finish(&key, Attempt(1), Verdict::Unknown("late".into()), 2);
+    let (stored, stands) = ledger.finish(&key, Attempt(1), CallOutcome::Unknown("late".into()), 2);
     assert!(!stored);
-    assert_eq!(stands, Claimed::Finished(answer("a")));
+    assert_eq!(stands, KeyStatus::Finished(answer("a")));
 }
 
 #[test]
@@ -79,11 +82,17 @@
     // resend must be told that the outcome is unknown, not be run again.
     let mut ledger = Ledger::new(limits());
     ledger.claim(claim(1, 1), 0);
-    assert!(matches!(ledger.claim(claim(1, 2), 49), Claimed::Running(_)));
-    assert!(matches!(ledger.claim(claim(1, 2), 50), Claimed::Unknown(_)));
+    assert!(matches!(
+        ledger.claim(claim(1, 2), 49),
+        KeyStatus::Running(_)
+    ));
+    assert!(matches!(
+        ledger.claim(claim(1, 2), 50),
+        KeyStatus::Unknown(_)
+    ));
     assert!(matches!(
         ledger.claim(claim(1, 2), 149),
-        Claimed::Unknown(_)
+        KeyStatus::Unknown(_)
     ));
 }
 
@@ -97,11 +106,11 @@
         let key = claim(1, 1).key;
         ledger.claim(claim(1, 1), 0);
         if told {
-            let lost = Verdict::Unknown("the target was restarted".into());
+            let lost = CallOutcome::Unknown("the target was restarted".into());
             assert!(ledger.finish(&key, Attempt(1), lost, 1).0);
         }
         for now in [150, 10_000, u64::MAX / 2] {
-            let Claimed::Unknown(unknown) = ledger.claim(claim(1, 2), now) else {
+            let KeyStatus::Unknown(unknown) = ledger.claim(claim(1, 2), now) else {
                 panic!("free after {now} ms");
             };
             assert_eq!(unknown.holder.unwrap().attempt, Attempt(1));
@@ -118,15 +127,15 @@
     let key = claim(1, 1).key;
     ledger.claim(claim(1, 1), 0);
     ledger.expire(1_000);
-    let lost = Verdict::Unknown("lost".into());
+    let lost = CallOutcome::Unknown("lost".into());
     assert!(!ledger.finish(&key, Attempt(1), lost, 1_001).0);
     assert!(!ledger.finish(&key, Attempt(2), answer("b").into(), 1_001).0);
     assert!(ledger.finish(&key, Attempt(1), answer("a").into(), 1_001).0);
     assert_eq!(
         ledger.claim(claim(1, 2), 1_002),
-        Claimed::Finished(answer("a"))
+        KeyStatus::Finished(answer("a"))
     );
-    assert_eq!(ledger.claim(claim(1, 2), 1_101), Claimed::Claimed);
+    assert_eq!(ledger.claim(claim(1, 2), 1_101), KeyStatus::Claimed);
 }
 
 #[test]
@@ -137,7 +146,10 @@
     let key = claim(1, 1).key;
     ledger.claim(claim(1, 1), 0);
     assert!(!ledger.release(&key, Attempt(1), 60).0);
-    assert!(matches!(ledger.claim(claim(1, 2), 61), Claimed::Unknown(_)));
+    assert!(matches!(
+        ledger.claim(claim(1, 2), 61),
+        KeyStatus::Unknown(_)
+    ));
 }
 
 #[test]
@@ -149,9 +161,12 @@
     ledger.claim(claim(1, 1), 0);
     assert_eq!(ledger.forget(Attempt(1), 1), None, "it may be running");
     assert_eq!(ledger.forget(Attempt(1), 50), Some(key));
-    assert_eq!(ledger.claim(claim(1, 2), 51), Claimed::Claimed);
+    assert_eq!(ledger.claim(claim(1, 2), 51), KeyStatus::Claimed);
     assert_eq!(ledger.forget(Attempt(1), 52), None);
-    assert!(matches!(ledger.claim(claim(1, 3), 53), Claimed::Running(_)));
+    assert!(matches!(
+        ledger.claim(claim(1, 3), 53),
+        KeyStatus::Running(_)
+    ));
 }
 
 #[test]
@@ -165,13 +180,13 @@
     };
     let mut ledger = Ledger::new(limits);
     for key in 1..=4 {
-        assert_eq!(ledger.claim(claim(key, 1), 0), Claimed::Claimed);
+        assert_eq!(ledger.claim(claim(key, 1), 0), KeyStatus::Claimed);
     }
-    assert_eq!(ledger.claim(claim(5, 1), 0), Claimed::Full);
-    assert_eq!(ledger.claim(claim(5, 1), 1_000), Claimed::Full);
+    assert_eq!(ledger.claim(claim(5, 1), 0), KeyStatus::Full);
+    assert_eq!(ledger.claim(claim(5, 1), 1_000), KeyStatus::Full);
     assert_eq!(ledger.unproved().count(), 4);
     ledger.forget(Attempt(1), 1_000);
-    assert_eq!(ledger.claim(claim(5, 1), 1_000), Claimed::Claimed);
+    assert_eq!(ledger.claim(claim(5, 1), 1_000), KeyStatus::Claimed);
 }
 
 #[test]
@@ -182,7 +197,7 @@
     let mut ledger = Ledger::new(limits());
     let key = claim(1, 1).key;
     ledger.claim(claim(1, 1), 0);
-    ledger.finish(&key, Attempt(1), Verdict::Unknown("lost".into()), 1);
+    ledger.finish(&key, Attempt(1), CallOutcome::Unknown("lost".into()), 1);
     let now = ledger.to_bytes();
     // Field 8, the limit, is written last: its tag and a value of one byte.
     let (first, added) = now.split_at(now.len() - 2);
@@ -193,7 +208,7 @@
         Limits::default().max_unproved
     );
     let stands = restored.claim(claim(1, 2), 1_000_000);
-    assert!(matches!(stands, Claimed::Unknown(_)));
+    assert!(matches!(stands, KeyStatus::Unknown(_)));
 }
 
 #[test]
@@ -204,7 +219,7 @@
     ledger.claim(claim(1, 1), 0);
     assert!(matches!(
         ledger.claim(claim(1, 2), 10_000),
-        Claimed::Unknown(_)
+        KeyStatus::Unknown(_)
     ));
 }
 
@@ -214,12 +229,12 @@
     // before it runs; none that was accepted loses its record.
     let mut ledger = Ledger::new(limits());
     for key in 1..=4 {
-        assert_eq!(ledger.claim(claim(key, 1), 0), Claimed::Claimed);
+        assert_eq!(ledger.claim(claim(key, 1), 0), KeyStatus::Claimed);
     }
-    assert_eq!(ledger.claim(claim(5, 1), 0), Claimed::Full);
+    assert_eq!(ledger.claim(claim(5, 1), 0), KeyStatus::Full);
     let key = claim(1, 1).key;
     assert!(ledger.finish(&key, Attempt(1), answer("a").into(), 1).0);
-    assert_eq!(ledger.standing(&key), Claimed::Finished(answer("a")));
+    assert_eq!(ledger.status(&key), KeyStatus::Finished(answer("a")));
 }
 
 #[test]
@@ -232,7 +247,7 @@
     let large = answer(&"x".repeat(2_000));
     let (stored, stands) = ledger.finish(&key, Attempt(1), large.into(), 1);
     assert!(stored);
-    assert!(matches!(stands, Claimed::Unknown(_)));
+    assert!(matches!(stands, KeyStatus::Unknown(_)));
 }
 
 #[test]
@@ -284,7 +299,7 @@
         let live = may_write.entry(step.key).or_default();
         match step.kind {
             0..=3 => {
-                if ledger.claim(claim(step.key, attempt.0), now) == Claimed::Claimed {
+                if ledger.claim(claim(step.key, attempt.0), now) == KeyStatus::Claimed {
                     live.insert(attempt.0);
                 }
             }
@@ -294,7 +309,7 @@
                     return false;
                 }
             }
-            5 => drop(ledger.finish(&key, attempt, Verdict::Unknown("u".into()), now)),
+            5 => drop(ledger.finish(&key, attempt, CallOutcome::Unknown("u".into()), now)),
             6 => {
                 if ledger.release(&key, attempt, now).0 && !live.remove(&attempt.0) {
                     return false;
