--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -254,8 +254,11 @@
         found => drop(found?),
     }
     let (disk, recovered) = Disk::open(&settings.data, ops)?;
-    if recovered.cut > 0 {
-        log::warn!("{} bytes of a torn write were cut off", recovered.cut);
+    if recovered.truncated_bytes > 0 {
+        log::warn!(
+            "{} bytes of a torn write were cut off",
+            recovered.truncated_bytes
+        );
     }
     Ok(Start {
         settings,
--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -106,7 +106,7 @@
         let _ = replica.cast(Msg::Disk(Report::Persisted(number)));
     }
     if let Some(snapshot) = save {
-        let result = match disk.save(&snapshot) {
+        let result = match disk.save_snapshot(&snapshot) {
             Ok(()) => SaveResult::Done,
             Err(e) if e.is_full() => SaveResult::NoRoom,
             Err(e) => return Err(e),
--- a/crates/control/src/init.rs
+++ b/crates/control/src/init.rs
@@ -31,6 +31,6 @@
     let address = settings.advertised().to_string();
     let peer = Peer::new(&settings.name, &address);
     members.voters.insert(DiskId(identity.disk), peer);
-    disk.save(&codec::stored_snapshot(&Snapshot::initial(members)))?;
+    disk.save_snapshot(&codec::stored_snapshot(&Snapshot::initial(members)))?;
     Ok(())
 }
--- a/crates/control/src/target_cache.rs
+++ b/crates/control/src/target_cache.rs
@@ -54,7 +54,7 @@
         let data = sightings.encode_to_vec();
         let mut bytes = crc32c::crc32c(&data).to_be_bytes().to_vec();
         bytes.extend_from_slice(&data);
-        store::write_whole(&self.path, &bytes, &Ops::default())
+        store::write_atomic(&self.path, &bytes, &Ops::default())
     }
 }
 
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -93,7 +93,7 @@
             hard_state: replay.hard_state,
             snapshot,
             records: replay.records,
-            cut: replay.torn,
+            truncated_bytes: replay.torn,
         };
         Ok((disk, recovered))
     }
@@ -165,9 +165,9 @@
     /// # let folder = tempfile::tempdir().unwrap();
     /// # store::format(folder.path(), "control-1", &Ops::default()).unwrap();
     /// let (mut disk, _) = Disk::open(folder.path(), Ops::default()).unwrap();
-    /// disk.save(&Snapshot::default()).unwrap();
+    /// disk.save_snapshot(&Snapshot::default()).unwrap();
     /// ```
-    pub fn save(&mut self, snapshot: &Snapshot) -> Result<()> {
+    pub fn save_snapshot(&mut self, snapshot: &Snapshot) -> Result<()> {
         self.sync()?;
         let done = snapshot::save(&self.folder, snapshot, &self.ops)
             .and_then(|()| self.drop_covered(snapshot.index));
--- a/crates/store/src/identity.rs
+++ b/crates/store/src/identity.rs
@@ -48,7 +48,7 @@
     };
     let json = serde_json::to_vec(&identity)
         .map_err(|e| Error::io("encoding", folder, std::io::Error::other(e)))?;
-    snapshot::write_whole(&folder.join(IDENTITY_FILE), &json, ops)?;
+    snapshot::write_atomic(&folder.join(IDENTITY_FILE), &json, ops)?;
     Ok(identity)
 }
 
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -44,4 +44,4 @@
 pub use ops::Ops;
 pub use record::Record;
 pub use recovered::Recovered;
-pub use snapshot::{Snapshot, write_whole};
+pub use snapshot::{Snapshot, write_atomic};
--- a/crates/store/src/recovered.rs
+++ b/crates/store/src/recovered.rs
@@ -14,5 +14,5 @@
     /// The records after it, without gap.
     pub records: Vec<Record>,
     /// Bytes of a torn write that were cut off the end of the log.
-    pub cut: u64,
+    pub truncated_bytes: u64,
 }
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -58,10 +58,10 @@
 /// ```
 /// let folder = tempfile::tempdir().unwrap();
 /// let path = folder.path().join("targets.cache");
-/// store::write_whole(&path, b"whole", &store::Ops::default()).unwrap();
+/// store::write_atomic(&path, b"whole", &store::Ops::default()).unwrap();
 /// assert_eq!(std::fs::read(path).unwrap(), b"whole");
 /// ```
-pub fn write_whole(path: &Path, bytes: &[u8], ops: &Ops) -> Result<()> {
+pub fn write_atomic(path: &Path, bytes: &[u8], ops: &Ops) -> Result<()> {
     let temporary = path.with_extension(TEMPORARY);
     let written = write_temporary(&temporary, bytes, ops);
     if let Err(e) = written {
@@ -82,7 +82,7 @@
 }
 
 pub(crate) fn save(folder: &Path, snapshot: &Snapshot, ops: &Ops) -> Result<()> {
-    write_whole(&path(folder, snapshot.index), &snapshot.encode(), ops)
+    write_atomic(&path(folder, snapshot.index), &snapshot.encode(), ops)
 }
 
 /// The newest snapshot. One that is not whole is damage: the log before it
--- a/crates/store/tests/disk/damage.rs
+++ b/crates/store/tests/disk/damage.rs
@@ -94,7 +94,7 @@
         disk.sync().unwrap();
     }
     let data = "state".into();
-    disk.save(&store::Snapshot {
+    disk.save_snapshot(&store::Snapshot {
         index: 2,
         term: 1,
         data,
--- a/crates/store/tests/disk/model.rs
+++ b/crates/store/tests/disk/model.rs
@@ -51,7 +51,7 @@
                 }
                 disk.sync()
             }
-            Step::Save(snapshot) => disk.save(snapshot),
+            Step::Save(snapshot) => disk.save_snapshot(snapshot),
         }
     }
 
--- a/crates/store/tests/disk/refusal.rs
+++ b/crates/store/tests/disk/refusal.rs
@@ -46,15 +46,15 @@
     }
     let (index, term, data) = (1, 1, "state".into());
     let snapshot = Snapshot { index, term, data };
-    assert!(disk.save(&snapshot).unwrap_err().is_full());
+    assert!(disk.save_snapshot(&snapshot).unwrap_err().is_full());
     disk.sync().unwrap();
     full.store(false, Ordering::Relaxed);
     disk.write(&batch(2, 9)).unwrap();
     disk.sync().unwrap();
-    disk.save(&snapshot).unwrap();
+    disk.save_snapshot(&snapshot).unwrap();
     drop(disk);
     let (_, recovered) = Disk::open(folder.path(), Ops::default()).unwrap();
-    assert_eq!(recovered.cut, 0);
+    assert_eq!(recovered.truncated_bytes, 0);
     assert_eq!(recovered.snapshot, Some(snapshot));
     assert_eq!(recovered.records, batch(2, 9).records);
 }
