--- a/crates/control/src/codec.rs
+++ b/crates/control/src/codec.rs
@@ -29,15 +29,18 @@
 fn encode_body(body: MessageBody) -> Body {
     match body {
         MessageBody::VoteRequest {
-            pre,
+            pre_vote,
             last_index,
             last_term,
         } => Body::VoteRequest(VoteRequest {
-            pre,
+            pre: pre_vote,
             last_index,
             last_term,
         }),
-        MessageBody::VoteReply { pre, granted } => Body::VoteReply(VoteReply { pre, granted }),
+        MessageBody::VoteReply { pre_vote, granted } => Body::VoteReply(VoteReply {
+            pre: pre_vote,
+            granted,
+        }),
         MessageBody::Append {
             previous_index,
             previous_term,
@@ -112,12 +115,12 @@
 fn decode_body(body: Body) -> Result<MessageBody> {
     Ok(match body {
         Body::VoteRequest(m) => MessageBody::VoteRequest {
-            pre: m.pre,
+            pre_vote: m.pre,
             last_index: m.last_index,
             last_term: m.last_term,
         },
         Body::VoteReply(m) => MessageBody::VoteReply {
-            pre: m.pre,
+            pre_vote: m.pre,
             granted: m.granted,
         },
         Body::Append(m) => MessageBody::Append {
--- a/crates/control/src/forming.rs
+++ b/crates/control/src/forming.rs
@@ -1,7 +1,7 @@
 //! How replicas find each other where no list of them is known.
 
 use cfg::Reader;
-use quorum::Replace;
+use quorum::VoterReplacement;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -50,10 +50,10 @@
         forming
     }
 
-    pub(crate) fn replace(&self) -> Replace {
-        Replace {
+    pub(crate) fn replace(&self) -> VoterReplacement {
+        VoterReplacement {
             voters: self.voters,
-            after: self.replace_after,
+            lost_after: self.replace_after,
         }
     }
 
--- a/crates/control/src/recovered_table.rs
+++ b/crates/control/src/recovered_table.rs
@@ -1,6 +1,6 @@
 //! The route table that a disk holds, before a leader is known.
 
-use quorum::{EntryBody, Restored};
+use quorum::{EntryBody, PersistedState};
 use wire::proto::command::Body;
 use wire::proto::{Command, DurableState, RouteTable};
 
@@ -11,7 +11,7 @@
 /// caller until then, though a table that an operator was told nothing else
 /// of lies here. One that turns out not to be committed was never refused
 /// either: its operator sends it again.
-pub(crate) fn newest(restored: &Restored) -> Option<RouteTable> {
+pub(crate) fn newest(restored: &PersistedState) -> Option<RouteTable> {
     let snapshot = restored.snapshot.as_ref();
     let kept = snapshot.and_then(|snapshot| {
         let state = <DurableState as prost::Message>::decode(snapshot.data.clone());
--- a/crates/control/src/replica/actor.rs
+++ b/crates/control/src/replica/actor.rs
@@ -12,7 +12,7 @@
 use crate::replicas::Replicas;
 use crate::reply::{Commit, unavailable};
 use crate::settings::Settings;
-use quorum::{Config, DiskId, Members, Message, MessageBody, Node, Peer, Restored};
+use quorum::{Config, DiskId, Members, Message, MessageBody, Node, Peer, PersistedState};
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use std::time::Instant;
 use store::{Disk, Recovered};
@@ -101,7 +101,7 @@
         let stored = recovered.snapshot.map(codec::snapshot).transpose()?;
         let records = recovered.records.into_iter();
         let entries = records.map(codec::recorded_entry);
-        let restored = Restored {
+        let restored = PersistedState {
             hard_state: codec::hard_state(recovered.hard_state),
             snapshot: stored,
             entries: entries.collect::<eyre::Result<_>>()?,
@@ -111,9 +111,9 @@
             table.send_replace(known);
         }
         let cfg = Config {
-            heartbeat: settings.timing.heartbeat,
-            election: settings.timing.election,
-            replace: settings.forming.as_ref().map(Forming::replace),
+            heartbeat_interval: settings.timing.heartbeat,
+            election_timeout: settings.timing.election,
+            voter_replacement: settings.forming.as_ref().map(Forming::replace),
             ..Config::default()
         };
         let node = Node::new(id, cfg, rand::random(), restored, now);
@@ -184,11 +184,11 @@
         }
         let status = self.node.status(now);
         if let Some(backlog) = &mut self.backlog {
-            backlog.note(status.commit, now);
+            backlog.note(status.commit_index, now);
         }
         self.measure(&status, now);
         self.keep_ledger_limits(now);
-        if now >= self.join_at && self.node.wants_in(now) {
+        if now >= self.join_at && self.node.should_join(now) {
             self.join_at = now + self.settings.timing.election;
             let ids: Vec<DiskId> = self.peers.ids().collect();
             for id in ids {
@@ -215,7 +215,7 @@
             Report::Saved(index, result) => {
                 let saved = self.saving.take().filter(|s| s.index == index);
                 if let Some(snapshot) = saved.filter(|_| result == SaveResult::Done) {
-                    self.node.compacted(snapshot);
+                    self.node.compact(snapshot);
                 }
             }
             Report::Full(fullness) => {
--- a/crates/control/src/replica/answer.rs
+++ b/crates/control/src/replica/answer.rs
@@ -65,7 +65,7 @@
     }
 
     fn renew_all(&mut self, batch: RenewBatch, now: Instant) -> Option<RenewedBatch> {
-        let surely = self.node.leased(now) && self.node.has_applied_own();
+        let surely = self.node.has_lease(now) && self.node.has_applied_in_term();
         let roster = self.roster.as_mut().filter(|_| surely)?;
         let known = self.machine.quarantine_message();
         let granting = Granting {
@@ -112,7 +112,7 @@
         let Some(term) = self.roster.as_ref().map(Roster::term) else {
             return;
         };
-        let known = self.node.leased(now) && self.node.has_applied_own();
+        let known = self.node.has_lease(now) && self.node.has_applied_in_term();
         let limits = self.machine.ledger().limits();
         let in_force = LedgerLimits {
             keep_ms: limits.keep_ms,
@@ -152,7 +152,7 @@
             return for_now("the replicas have not all found each other yet");
         }
         // Before that this leader doesn't know all that was ordered, and when.
-        let Some(clock) = self.clock.filter(|_| self.node.has_applied_own()) else {
+        let Some(clock) = self.clock.filter(|_| self.node.has_applied_in_term()) else {
             return for_now("the leader was elected just now");
         };
         command.now_ms = clock.now_ms(now);
--- a/crates/control/src/replica/output.rs
+++ b/crates/control/src/replica/output.rs
@@ -20,7 +20,7 @@
 impl State {
     /// Does what is wanted until nothing more is.
     pub(super) fn pump(&mut self, now: Instant) {
-        self.node.begin_reads_round(now);
+        self.node.start_read_round(now);
         loop {
             let ready = self.node.ready();
             if ready.is_empty() || self.failed.is_some() {
@@ -47,7 +47,7 @@
         for entry in ready.committed {
             self.apply(entry);
         }
-        for (token, index) in ready.reads {
+        for (token, index) in ready.confirmed_reads {
             self.reads.confirm(token, index);
         }
         for token in ready.refused_reads {
@@ -170,11 +170,11 @@
             self.commands.give_up("the leader was replaced");
             let length = self.settings.timing.lease;
             self.roster = Some(Roster::new(term, length, now));
-            let last = self.node.status(now).last;
+            let last = self.node.status(now).last_index;
             self.backlog = Some(Backlog::new(last, self.settings.timing.lag, now));
             self.clock = None;
         }
-        if self.clock.is_none() && self.node.has_applied_own() {
+        if self.clock.is_none() && self.node.has_applied_in_term() {
             self.clock = Some(Clock::new(self.machine.now_ms(), now));
         }
     }
@@ -184,10 +184,10 @@
         let nodes = self.roster.as_ref().map_or(0, |r| r.members().count());
         let metrics = &self.metrics;
         set(&metrics.has_leader, u64::from(status.leader.is_some()));
-        set(&metrics.leads, u64::from(self.node.leased(now)));
+        set(&metrics.leads, u64::from(self.node.has_lease(now)));
         set(&metrics.term, status.term);
         set(&metrics.applied, self.applied);
-        set(&metrics.committed, status.commit);
+        set(&metrics.committed, status.commit_index);
         set(&metrics.note, self.machine.history().catalogue().number());
         set(
             &metrics.disk_full,
@@ -205,7 +205,7 @@
         if since < self.settings.snapshot_entries || self.saving.is_some() {
             return;
         }
-        let (index, term) = self.node.applied();
+        let (index, term) = self.node.last_applied();
         let snapshot = Snapshot {
             index,
             term,
--- a/crates/control/src/replica/status.rs
+++ b/crates/control/src/replica/status.rs
@@ -41,11 +41,11 @@
             "disk_full": self.fullness == Fullness::Full,
             "leader": leader.map(|peer| &peer.name),
             "leads": self.node.is_leader(),
-            "leased": self.node.leased(now),
+            "leased": self.node.has_lease(now),
             "term": status.term,
-            "commit": status.commit,
+            "commit": status.commit_index,
             "applied": self.applied,
-            "last": status.last,
+            "last": status.last_index,
             "snapshot": self.node.snapshot().index,
             "replicas": self.replicas(&status),
             "repair": self.repair(&status),
@@ -67,10 +67,10 @@
 
     /// What is left of a repair; only the leader knows.
     fn repair(&self, status: &Status) -> Value {
-        if !self.node.has_committed_own() {
+        if !self.node.has_committed_in_term() {
             return json!("unknown");
         }
-        if !status.settled {
+        if !status.membership_committed {
             return json!("a change of the members is under way");
         }
         let rows = status.replicas.iter();
@@ -88,11 +88,14 @@
     /// election timeout; a disk that comes back blank sooner than that would
     /// be taken for one that never went.
     fn repair_of(&self, row: &ReplicaStatus, status: &Status) -> &'static str {
-        let Some(matched) = row.matched else {
+        let Some(matched) = row.match_index else {
             return "unknown";
         };
         let linked = row.id == status.id || self.peers.is_up(row.id);
-        let due = self.backlog.as_ref().map_or(status.commit, Backlog::due);
+        let due = self
+            .backlog
+            .as_ref()
+            .map_or(status.commit_index, Backlog::due);
         match (row.active && linked, row.voter, matched >= due) {
             (false, ..) => "silent",
             (true, false, false) => "catching up",
@@ -109,7 +112,7 @@
                 "address": row.peer.address,
                 "disk": row.id.to_string(),
                 "state": if row.voter { "voter" } else { "learner" },
-                "match": row.matched,
+                "match": row.match_index,
                 "active": row.active,
                 "repair": self.repair_of(row, status),
             })
--- a/crates/quorum/src/config.rs
+++ b/crates/quorum/src/config.rs
@@ -6,27 +6,27 @@
 ///
 /// ```
 /// let cfg = quorum::Config::default();
-/// assert!(cfg.lease() < cfg.election);
+/// assert!(cfg.lease_duration() < cfg.election_timeout);
 /// ```
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Time between two heartbeats of a leader.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Shortest election timeout; each wait is drawn from one to two times it.
-    pub election: Duration,
+    pub election_timeout: Duration,
     /// Most entries in one append message.
     pub max_append_entries: usize,
     /// Most bytes of entries in one append message, if it has more than one.
     pub max_append_bytes: usize,
     /// Most append messages in flight to one replica.
-    pub max_inflight: usize,
+    pub max_inflight_appends: usize,
     /// Bytes of a snapshot in one message.
-    pub chunk_bytes: usize,
+    pub snapshot_chunk_bytes: usize,
     /// Entries kept in memory before the newest snapshot, so that a replica
     /// that lags a little is served from the log.
-    pub trailing: u64,
+    pub trailing_entries: u64,
     /// Whether a replica of another host may take a lost voter's place.
-    pub replace: Option<Replace>,
+    pub voter_replacement: Option<VoterReplacement>,
 }
 
 /// When a caught-up replica of a new host takes the place of a lost voter.
@@ -34,11 +34,11 @@
 /// A host that is gone for good never comes back under its name. Were nobody
 /// to take its place, the next loss would cost the majority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Replace {
+pub struct VoterReplacement {
     /// Voters wanted; a replica beyond them waits as a learner.
     pub voters: usize,
     /// Silence after which a voter counts as lost.
-    pub after: Duration,
+    pub lost_after: Duration,
 }
 
 /// Share of the election timeout, in percent, that a leader lease lasts. The
@@ -49,22 +49,22 @@
     /// How long a leader lease lasts from the start of the heartbeat round
     /// that a majority answered.
     #[must_use]
-    pub fn lease(&self) -> Duration {
-        self.election * LEASE_PERCENT / 100
+    pub fn lease_duration(&self) -> Duration {
+        self.election_timeout * LEASE_PERCENT / 100
     }
 }
 
 impl Default for Config {
     fn default() -> Self {
         Config {
-            heartbeat: Duration::from_millis(100),
-            election: Duration::from_secs(1),
+            heartbeat_interval: Duration::from_millis(100),
+            election_timeout: Duration::from_secs(1),
             max_append_entries: 512,
             max_append_bytes: 512 * 1024,
-            max_inflight: 16,
-            chunk_bytes: 256 * 1024,
-            trailing: 512,
-            replace: None,
+            max_inflight_appends: 16,
+            snapshot_chunk_bytes: 256 * 1024,
+            trailing_entries: 512,
+            voter_replacement: None,
         }
     }
 }
--- a/crates/quorum/src/leader.rs
+++ b/crates/quorum/src/leader.rs
@@ -72,7 +72,7 @@
 
     /// The lease counts from the start of the round, which is before any
     /// voter heard it: each of that majority refuses its vote for longer.
-    pub(crate) fn leased(&self, now: Instant, lease: Duration) -> bool {
+    pub(crate) fn has_lease(&self, now: Instant, lease: Duration) -> bool {
         self.confirmed
             .is_some_and(|(_, at)| now.saturating_duration_since(at) < lease)
     }
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -10,13 +10,13 @@
 //! One voter alone elects itself and commits:
 //!
 //! ```
-//! use quorum::{Config, DiskId, Members, Node, Peer, Restored, Snapshot};
+//! use quorum::{Config, DiskId, Members, Node, Peer, PersistedState, Snapshot};
 //! use std::time::{Duration, Instant};
 //!
 //! let id = DiskId(7);
 //! let mut members = Members::default();
 //! members.voters.insert(id, Peer::new("one", "127.0.0.1:1"));
-//! let restored = Restored { snapshot: Some(Snapshot::initial(members)), ..Restored::default() };
+//! let restored = PersistedState { snapshot: Some(Snapshot::initial(members)), ..PersistedState::default() };
 //! let start = Instant::now();
 //! let mut node = Node::new(id, Config::default(), 1, restored, start);
 //!
@@ -33,28 +33,28 @@
 mod hard_state;
 mod incoming;
 mod leader;
+mod leadership_error;
 mod log;
 mod members;
 mod message;
 mod node;
+mod persisted_state;
 mod progress;
 mod ready;
-mod refused;
-mod restored;
 mod snapshot;
 mod status;
 mod write;
 
-pub use config::{Config, Replace};
+pub use config::{Config, VoterReplacement};
 pub use disk_id::DiskId;
 pub use entry::{Entry, EntryBody};
 pub use hard_state::HardState;
+pub use leadership_error::LeadershipError;
 pub use members::{Members, Peer};
 pub use message::{Message, MessageBody};
 pub use node::Node;
+pub use persisted_state::PersistedState;
 pub use ready::Ready;
-pub use refused::Refused;
-pub use restored::Restored;
 pub use snapshot::Snapshot;
 pub use status::{ReplicaStatus, Status};
 pub use write::Write;
--- a/crates/quorum/src/message.rs
+++ b/crates/quorum/src/message.rs
@@ -22,7 +22,7 @@
     /// Asks for a vote (section 3.4), or whether one would be given (9.6).
     VoteRequest {
         /// Only asks; no term changes.
-        pre: bool,
+        pre_vote: bool,
         /// Last entry of the candidate.
         last_index: u64,
         /// Term of that entry.
@@ -31,7 +31,7 @@
     /// Answers a vote request.
     VoteReply {
         /// Answers a pre-vote.
-        pre: bool,
+        pre_vote: bool,
         /// The vote is the candidate's.
         granted: bool,
     },
--- a/crates/quorum/src/node.rs
+++ b/crates/quorum/src/node.rs
@@ -12,7 +12,8 @@
 use crate::leader::Leader;
 use crate::log::Log;
 use crate::{
-    Config, DiskId, Entry, EntryBody, HardState, Members, Message, MessageBody, Restored, Snapshot,
+    Config, DiskId, Entry, EntryBody, HardState, Members, Message, MessageBody, PersistedState,
+    Snapshot,
 };
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -83,11 +84,11 @@
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
-    /// assert!(node.wants_in(now));
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
+    /// assert!(node.should_join(now));
     /// ```
     #[must_use]
-    pub fn new(id: DiskId, cfg: Config, seed: u64, restored: Restored, now: Instant) -> Node {
+    pub fn new(id: DiskId, cfg: Config, seed: u64, restored: PersistedState, now: Instant) -> Node {
         let blank = restored.snapshot.is_none();
         let snapshot = restored.snapshot.unwrap_or_default();
         let mut log = Log::new(snapshot.index, snapshot.term);
@@ -137,7 +138,7 @@
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let mut node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
+    /// let mut node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
     /// node.tick(now);
     /// assert!(node.ready().is_empty());
     /// ```
@@ -154,10 +155,10 @@
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let mut node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
-    /// let body = MessageBody::VoteRequest { pre: true, last_index: 0, last_term: 0 };
+    /// let mut node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
+    /// let body = MessageBody::VoteRequest { pre_vote: true, last_index: 0, last_term: 0 };
     /// let message = Message { from: DiskId(2), to: DiskId(1), term: 1, body };
-    /// node.step(message, now + Config::default().election);
+    /// node.step(message, now + Config::default().election_timeout);
     /// assert_eq!(node.ready().messages.len(), 1);
     /// ```
     pub fn step(&mut self, message: Message, now: Instant) {
@@ -173,11 +174,13 @@
         let from = message.from;
         match message.body {
             MessageBody::VoteRequest {
-                pre,
+                pre_vote,
                 last_index,
                 last_term,
-            } => self.answer_vote(from, message.term, pre, (last_term, last_index), now),
-            MessageBody::VoteReply { pre, granted } => self.count_vote(from, pre, granted, now),
+            } => self.answer_vote(from, message.term, pre_vote, (last_term, last_index), now),
+            MessageBody::VoteReply { pre_vote, granted } => {
+                self.count_vote(from, pre_vote, granted, now);
+            }
             MessageBody::Append {
                 previous_index,
                 previous_term,
@@ -213,9 +216,9 @@
 
     fn put_off_election(&mut self, now: Instant) {
         use rand::RngExt;
-        let span = u64::try_from(self.cfg.election.as_micros()).unwrap_or(u64::MAX);
+        let span = u64::try_from(self.cfg.election_timeout.as_micros()).unwrap_or(u64::MAX);
         let more = self.rng.random_range(0..=span);
-        self.election_at = now + self.cfg.election + Duration::from_micros(more);
+        self.election_at = now + self.cfg.election_timeout + Duration::from_micros(more);
     }
 
     /// Appends an entry of this leader's own.
--- a/crates/quorum/src/node/election.rs
+++ b/crates/quorum/src/node/election.rs
@@ -18,15 +18,17 @@
             return true;
         }
         match message.body {
-            MessageBody::VoteRequest { pre: true, .. }
+            MessageBody::VoteRequest { pre_vote: true, .. }
             | MessageBody::VoteReply {
-                pre: true,
+                pre_vote: true,
                 granted: true,
             } => return true,
             // A voter that hears its leader gives no vote and keeps its term
             // (section 4.2.3). Without this the leader lease would be void:
             // two leaders would answer reads at the same time.
-            MessageBody::VoteRequest { pre: false, .. } if self.hears_leader(now) => return false,
+            MessageBody::VoteRequest {
+                pre_vote: false, ..
+            } if self.hears_leader(now) => return false,
             _ => self.become_follower(message.term, now),
         }
         true
@@ -43,9 +45,9 @@
                 };
                 self.send(message.from, body);
             }
-            MessageBody::VoteRequest { pre, .. } => {
+            MessageBody::VoteRequest { pre_vote, .. } => {
                 let granted = false;
-                self.send(message.from, MessageBody::VoteReply { pre, granted });
+                self.send(message.from, MessageBody::VoteReply { pre_vote, granted });
             }
             _ => {}
         }
@@ -53,9 +55,9 @@
 
     fn hears_leader(&self, now: Instant) -> bool {
         if self.is_leader() {
-            return self.leased(now);
+            return self.has_lease(now);
         }
-        now.saturating_duration_since(self.heard) < self.cfg.election
+        now.saturating_duration_since(self.heard) < self.cfg.election_timeout
     }
 
     pub(super) fn become_follower(&mut self, term: u64, now: Instant) {
@@ -100,9 +102,9 @@
         self.ask_for_votes(self.hard.term, false, now);
     }
 
-    fn ask_for_votes(&mut self, term: u64, pre: bool, now: Instant) {
+    fn ask_for_votes(&mut self, term: u64, pre_vote: bool, now: Instant) {
         let body = MessageBody::VoteRequest {
-            pre,
+            pre_vote,
             last_index: self.log.last_index(),
             last_term: self.log.last_term(),
         };
@@ -112,46 +114,54 @@
                 self.send_in_term(to, term, body.clone());
             }
         }
-        if pre {
+        if pre_vote {
             return self.count_vote(self.id, true, true, now);
         }
         // The own vote counts once it is synced, as that of any other voter.
         let granted = true;
-        self.send(self.id, MessageBody::VoteReply { pre, granted });
+        self.send(self.id, MessageBody::VoteReply { pre_vote, granted });
     }
 
     pub(super) fn answer_vote(
         &mut self,
         from: DiskId,
         term: u64,
-        pre: bool,
+        pre_vote: bool,
         last: (u64, u64),
         now: Instant,
     ) {
         // Section 3.6.1: only a log that holds all that is committed may lead.
         let whole = last >= (self.log.last_term(), self.log.last_index());
-        let granted = if pre {
+        let granted = if pre_vote {
             whole && term > self.hard.term && !self.hears_leader(now)
         } else {
             let free = self.hard.vote.is_none_or(|vote| vote == from);
             whole && free && self.leader.is_none() && !self.hears_leader(now)
         };
-        if granted && !pre {
+        if granted && !pre_vote {
             if self.hard.vote.is_none() {
                 self.hard.vote = Some(from);
                 self.hard_changed = true;
             }
             self.put_off_election(now);
         }
-        let reply_term = if pre && granted { term } else { self.hard.term };
-        self.send_in_term(from, reply_term, MessageBody::VoteReply { pre, granted });
+        let reply_term = if pre_vote && granted {
+            term
+        } else {
+            self.hard.term
+        };
+        self.send_in_term(
+            from,
+            reply_term,
+            MessageBody::VoteReply { pre_vote, granted },
+        );
     }
 
-    pub(super) fn count_vote(&mut self, from: DiskId, pre: bool, granted: bool, now: Instant) {
+    pub(super) fn count_vote(&mut self, from: DiskId, pre_vote: bool, granted: bool, now: Instant) {
         let members = self.members().clone();
         let votes = match &mut self.role {
-            Role::PreCandidate(votes) if pre => votes,
-            Role::Candidate(votes) if !pre => votes,
+            Role::PreCandidate(votes) if pre_vote => votes,
+            Role::Candidate(votes) if !pre_vote => votes,
             _ => return,
         };
         votes.insert(from, granted);
@@ -159,7 +169,7 @@
         if members.voters.keys().filter(yes).count() < members.majority() {
             return;
         }
-        if pre {
+        if pre_vote {
             self.campaign(now);
         } else {
             self.become_leader(now);
--- a/crates/quorum/src/node/inspect.rs
+++ b/crates/quorum/src/node/inspect.rs
@@ -15,7 +15,7 @@
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
     /// assert_eq!(node.id(), DiskId(1));
     /// ```
     #[must_use]
@@ -28,7 +28,7 @@
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
     /// assert_eq!(node.term(), 0);
     /// ```
     #[must_use]
@@ -37,12 +37,12 @@
     }
 
     /// Whether this replica leads, or still believes so; see
-    /// [`Node::leased`].
+    /// [`Node::has_lease`].
     ///
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
     /// assert!(!node.is_leader());
     /// ```
     #[must_use]
@@ -56,13 +56,13 @@
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
-    /// assert!(!node.leased(now));
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
+    /// assert!(!node.has_lease(now));
     /// ```
     #[must_use]
-    pub fn leased(&self, now: Instant) -> bool {
+    pub fn has_lease(&self, now: Instant) -> bool {
         match &self.role {
-            Role::Leader(leader) => leader.leased(now, self.cfg.lease()),
+            Role::Leader(leader) => leader.has_lease(now, self.cfg.lease_duration()),
             _ => false,
         }
     }
@@ -73,11 +73,11 @@
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
-    /// assert!(!node.has_committed_own());
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
+    /// assert!(!node.has_committed_in_term());
     /// ```
     #[must_use]
-    pub fn has_committed_own(&self) -> bool {
+    pub fn has_committed_in_term(&self) -> bool {
         match &self.role {
             Role::Leader(leader) => self.commit >= leader.noop,
             _ => false,
@@ -90,11 +90,11 @@
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
-    /// assert!(!node.has_applied_own());
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
+    /// assert!(!node.has_applied_in_term());
     /// ```
     #[must_use]
-    pub fn has_applied_own(&self) -> bool {
+    pub fn has_applied_in_term(&self) -> bool {
         match &self.role {
             Role::Leader(leader) => self.applied >= leader.noop,
             _ => false,
@@ -106,7 +106,7 @@
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
     /// assert_eq!(node.leader(), None);
     /// ```
     #[must_use]
@@ -119,7 +119,7 @@
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
     /// assert!(node.members().voters.is_empty());
     /// ```
     #[must_use]
@@ -142,16 +142,16 @@
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
-    /// assert!(node.wants_in(now));
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
+    /// assert!(node.should_join(now));
     /// ```
     #[must_use]
-    pub fn wants_in(&self, now: Instant) -> bool {
+    pub fn should_join(&self, now: Instant) -> bool {
         let silence = now.saturating_duration_since(self.heard);
-        let silent = silence >= self.cfg.election;
-        let replaced = self.cfg.replace.is_some()
+        let silent = silence >= self.cfg.election_timeout;
+        let replaced = self.cfg.voter_replacement.is_some()
             && !self.is_leader()
-            && silence >= self.cfg.election * ELECTIONS_UNTIL_REPLACED;
+            && silence >= self.cfg.election_timeout * ELECTIONS_UNTIL_REPLACED;
         replaced || !self.is_voter() && (self.leader.is_none() || silent)
     }
 
@@ -160,11 +160,11 @@
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
-    /// assert_eq!(node.applied(), (0, 0));
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
+    /// assert_eq!(node.last_applied(), (0, 0));
     /// ```
     #[must_use]
-    pub fn applied(&self) -> (u64, u64) {
+    pub fn last_applied(&self) -> (u64, u64) {
         let term = self.log.term_at(self.applied);
         (self.applied, term.unwrap_or(self.snapshot.term))
     }
@@ -174,7 +174,7 @@
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
     /// assert_eq!(&node.members_at(0), node.members());
     /// ```
     #[must_use]
@@ -189,8 +189,8 @@
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
-    /// assert_eq!(node.status(now).commit, 0);
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
+    /// assert_eq!(node.status(now).commit_index, 0);
     /// ```
     #[must_use]
     pub fn status(&self, now: Instant) -> Status {
@@ -198,10 +198,10 @@
             id: self.id,
             term: self.hard.term,
             leader: self.leader,
-            commit: self.commit,
-            applied: self.applied,
-            last: self.log.last_index(),
-            settled: self.members_settled(),
+            commit_index: self.commit,
+            applied_index: self.applied,
+            last_index: self.log.last_index(),
+            membership_committed: self.membership_committed(),
             replicas: self.replicas(now),
         }
     }
@@ -214,13 +214,13 @@
                 id,
                 peer: members.peer(id).cloned().unwrap_or_default(),
                 voter: members.voters.contains_key(&id),
-                matched: None,
+                match_index: None,
                 active: id == self.id,
             };
             if let Role::Leader(leader) = &self.role {
-                let matched = leader.peers.get(&id).map(|p| p.matched);
-                row.matched = matched.or((id == self.id).then_some(self.stable));
-                row.active |= leader.active(id, now, self.cfg.election);
+                let match_index = leader.peers.get(&id).map(|p| p.match_index);
+                row.match_index = match_index.or((id == self.id).then_some(self.stable));
+                row.active |= leader.active(id, now, self.cfg.election_timeout);
             }
             rows.push(row);
         }
--- a/crates/quorum/src/node/install.rs
+++ b/crates/quorum/src/node/install.rs
@@ -16,16 +16,16 @@
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let mut node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
+    /// let mut node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
     /// // Beyond what was handed out: ignored.
-    /// node.compacted(Snapshot { index: 9, ..Snapshot::default() });
+    /// node.compact(Snapshot { index: 9, ..Snapshot::default() });
     /// assert_eq!(node.snapshot().index, 0);
     /// ```
-    pub fn compacted(&mut self, snapshot: Snapshot) {
+    pub fn compact(&mut self, snapshot: Snapshot) {
         if snapshot.index <= self.snapshot.index || snapshot.index > self.applied {
             return;
         }
-        let keep_from = snapshot.index.saturating_sub(self.cfg.trailing);
+        let keep_from = snapshot.index.saturating_sub(self.cfg.trailing_entries);
         self.snapshot = snapshot;
         self.log.compact(keep_from);
         self.forget_members();
@@ -52,7 +52,7 @@
         let from = usize::try_from(offset)
             .unwrap_or(usize::MAX)
             .min(data.len());
-        let to = data.len().min(from + self.cfg.chunk_bytes);
+        let to = data.len().min(from + self.cfg.snapshot_chunk_bytes);
         let body = MessageBody::InstallSnapshot {
             index,
             term: self.snapshot.term,
@@ -164,8 +164,8 @@
             }
             if done {
                 peer.probe();
-                peer.matched = peer.matched.max(index);
-                peer.next = peer.matched + 1;
+                peer.match_index = peer.match_index.max(index);
+                peer.next = peer.match_index + 1;
             } else if held != offset {
                 peer.mode = Mode::Snapshot {
                     index,
@@ -183,7 +183,7 @@
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
     /// assert_eq!(node.snapshot().index, 0);
     /// ```
     #[must_use]
--- a/crates/quorum/src/node/membership.rs
+++ b/crates/quorum/src/node/membership.rs
@@ -31,10 +31,10 @@
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let mut node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
-    /// assert!(!node.remove(DiskId(2), now));
+    /// let mut node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
+    /// assert!(!node.remove_member(DiskId(2), now));
     /// ```
-    pub fn remove(&mut self, id: DiskId, now: Instant) -> bool {
+    pub fn remove_member(&mut self, id: DiskId, now: Instant) -> bool {
         if !self.may_change(now) || id == self.id || !self.members().contains(id) {
             return false;
         }
@@ -52,10 +52,10 @@
     /// the leader has committed an entry of its own term: otherwise majorities
     /// of two configurations need not overlap, and each could elect a leader.
     fn may_change(&self, now: Instant) -> bool {
-        self.leased(now) && self.has_committed_own() && self.members_settled()
+        self.has_lease(now) && self.has_committed_in_term() && self.membership_committed()
     }
 
-    pub(super) fn members_settled(&self) -> bool {
+    pub(super) fn membership_committed(&self) -> bool {
         let newest = self.members.last();
         newest.is_none_or(|(set, _)| *set <= self.commit)
     }
@@ -81,10 +81,10 @@
         let Role::Leader(leader) = &self.role else {
             return false;
         };
-        let synced = leader.peers.get(&id).map_or(0, |p| p.matched);
+        let synced = leader.peers.get(&id).map_or(0, |p| p.match_index);
         synced >= leader.commit_before
             && !self.is_sending_snapshot(id)
-            && leader.active(id, now, self.cfg.election)
+            && leader.active(id, now, self.cfg.election_timeout)
     }
 
     fn promotion_step(&self, id: DiskId, now: Instant) -> Option<Members> {
@@ -106,13 +106,13 @@
     }
 
     fn has_all_voters(&self) -> bool {
-        let wanted = self.cfg.replace.map(|replace| replace.voters);
+        let wanted = self.cfg.voter_replacement.map(|replace| replace.voters);
         wanted.is_some_and(|wanted| self.members().voters.len() >= wanted)
     }
 
     /// A voter that has been silent for so long that it counts as lost.
     fn lost_voter(&self, now: Instant) -> Option<DiskId> {
-        let after = self.cfg.replace?.after;
+        let after = self.cfg.voter_replacement?.lost_after;
         let Role::Leader(leader) = &self.role else {
             return None;
         };
@@ -133,7 +133,9 @@
 
     fn is_active(&self, id: DiskId, now: Instant) -> bool {
         match &self.role {
-            Role::Leader(leader) => id == self.id || leader.active(id, now, self.cfg.election),
+            Role::Leader(leader) => {
+                id == self.id || leader.active(id, now, self.cfg.election_timeout)
+            }
             _ => false,
         }
     }
--- a/crates/quorum/src/node/output.rs
+++ b/crates/quorum/src/node/output.rs
@@ -11,7 +11,7 @@
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let mut node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
+    /// let mut node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
     /// assert!(node.ready().is_empty());
     /// ```
     pub fn ready(&mut self) -> Ready {
@@ -23,7 +23,7 @@
             messages: std::mem::take(&mut self.out),
             restore,
             committed: self.next_committed(),
-            reads: std::mem::take(&mut self.reads),
+            confirmed_reads: std::mem::take(&mut self.reads),
             refused_reads: std::mem::take(&mut self.refused_reads),
         }
     }
@@ -83,7 +83,7 @@
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let mut node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
+    /// let mut node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
     /// if let Some(write) = node.ready().write {
     ///     // Written and synced here.
     ///     node.persisted(write.number, now);
@@ -175,11 +175,11 @@
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
-    /// assert_eq!(node.held_back(), 0);
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
+    /// assert_eq!(node.deferred_messages(), 0);
     /// ```
     #[must_use]
-    pub fn held_back(&self) -> usize {
+    pub fn deferred_messages(&self) -> usize {
         self.held.len()
     }
 
@@ -189,13 +189,13 @@
         let Role::Leader(leader) = &self.role else {
             return;
         };
-        let matched = |id: DiskId| {
+        let match_index = |id: DiskId| {
             if id == self.id {
                 return self.stable;
             }
-            leader.peers.get(&id).map_or(0, |p| p.matched)
+            leader.peers.get(&id).map_or(0, |p| p.match_index)
         };
-        let Some(index) = self.members().majority_value(matched) else {
+        let Some(index) = self.members().majority_value(match_index) else {
             return;
         };
         if index > self.commit && self.log.term_at(index) == Some(self.hard.term) {
--- a/crates/quorum/src/node/replicate.rs
+++ b/crates/quorum/src/node/replicate.rs
@@ -9,8 +9,8 @@
 impl Node {
     /// A leader's part of a tick.
     pub(super) fn lead(&mut self, now: Instant) {
-        let election = self.cfg.election;
-        let heartbeat = self.cfg.heartbeat;
+        let election = self.cfg.election_timeout;
+        let heartbeat = self.cfg.heartbeat_interval;
         let members = self.members().clone();
         let Role::Leader(leader) = &mut self.role else {
             return;
@@ -41,11 +41,11 @@
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let mut node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
-    /// node.begin_reads_round(now);
+    /// let mut node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
+    /// node.start_read_round(now);
     /// ```
-    pub fn begin_reads_round(&mut self, now: Instant) {
-        let own = self.has_committed_own();
+    pub fn start_read_round(&mut self, now: Instant) {
+        let own = self.has_committed_in_term();
         let Role::Leader(leader) = &self.role else {
             return;
         };
@@ -115,7 +115,7 @@
             let more = peer.next <= self.log.last_index();
             match peer.mode {
                 Mode::Probe if !peer.waiting => self.send_append(leader, id, peer),
-                Mode::Replicate if more && peer.inflight.len() < self.cfg.max_inflight => {
+                Mode::Replicate if more && peer.inflight.len() < self.cfg.max_inflight_appends => {
                     self.send_append(leader, id, peer);
                 }
                 _ => return,
--- a/crates/quorum/src/node/serve.rs
+++ b/crates/quorum/src/node/serve.rs
@@ -2,7 +2,7 @@
 
 use super::{Node, Role};
 use crate::leader::PendingRead;
-use crate::{EntryBody, Refused};
+use crate::{EntryBody, LeadershipError};
 use bytes::Bytes;
 use std::time::Instant;
 
@@ -18,24 +18,24 @@
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let mut node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
+    /// let mut node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
     /// let refused = node.propose("note".into(), now);
-    /// assert_eq!(refused, Err(Refused::NotLeader));
+    /// assert_eq!(refused, Err(LeadershipError::NotLeader));
     /// ```
-    pub fn propose(&mut self, data: Bytes, now: Instant) -> Result<(u64, u64), Refused> {
+    pub fn propose(&mut self, data: Bytes, now: Instant) -> Result<(u64, u64), LeadershipError> {
         if !self.is_leader() {
-            return Err(Refused::NotLeader);
+            return Err(LeadershipError::NotLeader);
         }
-        if !self.leased(now) {
-            return Err(Refused::NoLease);
+        if !self.has_lease(now) {
+            return Err(LeadershipError::NoLease);
         }
         let index = self.order(EntryBody::Command(data));
         Ok((index, self.hard.term))
     }
 
     /// Asks for a linearizable read (read-index, section 6.4). The token comes
-    /// back in [`Ready::reads`](crate::Ready::reads), or refused. The next
-    /// heartbeat or [`Node::begin_reads_round`] begins the round for it.
+    /// back in [`Ready::confirmed_reads`](crate::Ready::confirmed_reads), or refused. The next
+    /// heartbeat or [`Node::start_read_round`] begins the round for it.
     ///
     /// # Errors
     ///
@@ -44,12 +44,12 @@
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let mut node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
-    /// assert_eq!(node.read(1), Err(Refused::NotLeader));
+    /// let mut node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
+    /// assert_eq!(node.read(1), Err(LeadershipError::NotLeader));
     /// ```
-    pub fn read(&mut self, token: u64) -> Result<(), Refused> {
+    pub fn read(&mut self, token: u64) -> Result<(), LeadershipError> {
         let Role::Leader(leader) = &mut self.role else {
-            return Err(Refused::NotLeader);
+            return Err(LeadershipError::NotLeader);
         };
         let begun = None;
         leader.reads.push(PendingRead { token, begun });
@@ -61,7 +61,7 @@
     /// Only a leader that has committed an entry of its own term knows what
     /// is committed; an earlier answer could miss an acknowledged entry.
     pub(super) fn begin_reads(&mut self) {
-        let own = self.has_committed_own();
+        let own = self.has_committed_in_term();
         let commit = self.commit;
         let Role::Leader(leader) = &mut self.role else {
             return;
--- a/crates/quorum/src/restored.rs
+++ b/crates/quorum/src/persisted_state.rs
@@ -4,7 +4,7 @@
 
 /// What a replica finds on its disk at start; nothing on a blank one.
 #[derive(Clone, Debug, Default)]
-pub struct Restored {
+pub struct PersistedState {
     /// Term and vote.
     pub hard_state: HardState,
     /// The newest snapshot.
--- a/crates/quorum/src/progress.rs
+++ b/crates/quorum/src/progress.rs
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub(crate) struct Progress {
     pub(crate) mode: Mode,
-    pub(crate) matched: u64,
+    pub(crate) match_index: u64,
     pub(crate) next: u64,
     /// Last index of each append in flight.
     pub(crate) inflight: VecDeque<u64>,
@@ -34,7 +34,7 @@
     pub(crate) fn new(next: u64) -> Progress {
         Progress {
             mode: Mode::Probe,
-            matched: 0,
+            match_index: 0,
             next,
             inflight: VecDeque::new(),
             waiting: false,
@@ -44,16 +44,16 @@
     }
 
     pub(crate) fn accepted(&mut self, index: u64) {
-        self.matched = self.matched.max(index);
+        self.match_index = self.match_index.max(index);
         while self.inflight.front().is_some_and(|last| *last <= index) {
             self.inflight.pop_front();
         }
         self.waiting = false;
         if self.mode == Mode::Probe {
             self.mode = Mode::Replicate;
-            self.next = self.matched + 1;
+            self.next = self.match_index + 1;
         }
-        self.next = self.next.max(self.matched + 1);
+        self.next = self.next.max(self.match_index + 1);
     }
 
     /// A refusal that arrives late can't take back what has been accepted.
@@ -61,7 +61,7 @@
         if matches!(self.mode, Mode::Snapshot { .. }) {
             return;
         }
-        self.next = self.next.min(hint + 1).max(self.matched + 1);
+        self.next = self.next.min(hint + 1).max(self.match_index + 1);
         self.probe();
     }
 
--- a/crates/quorum/src/ready.rs
+++ b/crates/quorum/src/ready.rs
@@ -15,7 +15,7 @@
     pub committed: Vec<Entry>,
     /// Reads that may be answered once the state machine has applied the
     /// index: (token, index).
-    pub reads: Vec<(u64, u64)>,
+    pub confirmed_reads: Vec<(u64, u64)>,
     /// Tokens of reads that this replica can't answer any more.
     pub refused_reads: Vec<u64>,
 }
@@ -32,7 +32,7 @@
             && self.messages.is_empty()
             && self.restore.is_none()
             && self.committed.is_empty()
-            && self.reads.is_empty()
+            && self.confirmed_reads.is_empty()
             && self.refused_reads.is_empty()
     }
 }
--- a/crates/quorum/src/status.rs
+++ b/crates/quorum/src/status.rs
@@ -12,13 +12,13 @@
     /// The leader, if known.
     pub leader: Option<DiskId>,
     /// Last entry committed.
-    pub commit: u64,
+    pub commit_index: u64,
     /// Last entry handed out to be applied.
-    pub applied: u64,
+    pub applied_index: u64,
     /// Last entry of the log.
-    pub last: u64,
+    pub last_index: u64,
     /// Whether the newest change of the members is committed.
-    pub settled: bool,
+    pub membership_committed: bool,
     /// Members, voters first.
     pub replicas: Vec<ReplicaStatus>,
 }
@@ -33,7 +33,7 @@
     /// Whether it votes, or only learns.
     pub voter: bool,
     /// Last index known to be synced there; only the leader knows.
-    pub matched: Option<u64>,
+    pub match_index: Option<u64>,
     /// Whether it has answered within the election timeout.
     pub active: bool,
 }
--- a/crates/quorum/tests/messages.rs
+++ b/crates/quorum/tests/messages.rs
@@ -3,7 +3,8 @@
 use bytes::Bytes;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use quorum::{
-    Config, DiskId, Entry, EntryBody, Members, Message, MessageBody, Node, Peer, Restored, Snapshot,
+    Config, DiskId, Entry, EntryBody, Members, Message, MessageBody, Node, Peer, PersistedState,
+    Snapshot,
 };
 use std::time::{Duration, Instant};
 
@@ -54,14 +55,17 @@
 
 impl Arbitrary for Any {
     fn arbitrary(g: &mut Gen) -> Any {
-        let (pre, flag, round) = (bool::arbitrary(g), bool::arbitrary(g), number(g));
+        let (pre_vote, flag, round) = (bool::arbitrary(g), bool::arbitrary(g), number(g));
         let body = match u8::arbitrary(g) % 7 {
             0 => MessageBody::VoteRequest {
-                pre,
+                pre_vote,
                 last_index: number(g),
                 last_term: number(g),
             },
-            1 => MessageBody::VoteReply { pre, granted: flag },
+            1 => MessageBody::VoteReply {
+                pre_vote,
+                granted: flag,
+            },
             2 => MessageBody::Append {
                 previous_index: number(g),
                 previous_term: number(g),
@@ -114,9 +118,9 @@
             members.voters.insert(DiskId(id), Peer::default());
         }
         let snapshot = Some(Snapshot::initial(members));
-        let restored = Restored {
+        let restored = PersistedState {
             snapshot,
-            ..Restored::default()
+            ..PersistedState::default()
         };
         let mut now = Instant::now();
         let mut node = Node::new(DiskId(1), Config::default(), 1, restored, now);
@@ -160,9 +164,9 @@
         members.voters.insert(DiskId(id), Peer::default());
     }
     let snapshot = Some(Snapshot::initial(members));
-    let restored = Restored {
+    let restored = PersistedState {
         snapshot,
-        ..Restored::default()
+        ..PersistedState::default()
     };
     let now = Instant::now();
     let mut node = Node::new(DiskId(1), Config::default(), 1, restored, now);
@@ -193,5 +197,9 @@
         );
         assert!(node.ready().messages.is_empty());
     }
-    assert!(node.held_back() < 4, "{} answers wait", node.held_back());
+    assert!(
+        node.deferred_messages() < 4,
+        "{} answers wait",
+        node.deferred_messages()
+    );
 }
--- a/crates/quorum/tests/rules.rs
+++ b/crates/quorum/tests/rules.rs
@@ -1,8 +1,8 @@
 //! Single rules of the log, each with the messages that try to break it.
 
 use quorum::{
-    Config, DiskId, Entry, EntryBody, HardState, Members, Message, MessageBody, Node, Peer, Ready,
-    Refused, Replace, Restored, Snapshot,
+    Config, DiskId, Entry, EntryBody, HardState, LeadershipError, Members, Message, MessageBody,
+    Node, Peer, PersistedState, Ready, Snapshot, VoterReplacement,
 };
 use std::time::{Duration, Instant};
 
@@ -23,7 +23,7 @@
         for id in [ME, SECOND, THIRD] {
             members.voters.insert(id, Peer::new(&id.to_string(), ""));
         }
-        let restored = Restored {
+        let restored = PersistedState {
             hard_state,
             snapshot: Some(Snapshot::initial(members)),
             entries,
@@ -39,9 +39,9 @@
         for id in [ME, SECOND, THIRD] {
             members.voters.insert(id, Peer::new(&id.to_string(), ""));
         }
-        let restored = Restored {
+        let restored = PersistedState {
             snapshot: Some(Snapshot::initial(members)),
-            ..Restored::default()
+            ..PersistedState::default()
         };
         self.node = Node::new(ME, self.cfg.clone(), 7, restored, self.now);
     }
@@ -79,16 +79,23 @@
 
     /// Makes the replica leader by the second voter's vote.
     fn lead(&mut self) -> u64 {
-        self.pass(self.cfg.election * 2);
+        self.pass(self.cfg.election_timeout * 2);
         let term = self.node.term() + 1;
         let granted = true;
-        self.hear(SECOND, term, MessageBody::VoteReply { pre: true, granted });
+        self.hear(
+            SECOND,
+            term,
+            MessageBody::VoteReply {
+                pre_vote: true,
+                granted,
+            },
+        );
         self.sync();
         self.hear(
             SECOND,
             term,
             MessageBody::VoteReply {
-                pre: false,
+                pre_vote: false,
                 granted,
             },
         );
@@ -179,9 +186,9 @@
     bench.accept(THIRD, index, 1);
     assert_eq!(applied(&[bench.node.ready()]).last(), Some(&index));
     bench.node.read(1).unwrap();
-    bench.node.begin_reads_round(bench.now);
+    bench.node.start_read_round(bench.now);
     bench.accept(SECOND, index, 2);
-    assert_eq!(bench.node.ready().reads, [(1, index)]);
+    assert_eq!(bench.node.ready().confirmed_reads, [(1, index)]);
 }
 
 /// A vote leaves the process before it is synced, and the host loses power:
@@ -189,9 +196,9 @@
 #[test]
 fn vote_before_sync() {
     let mut bench = Bench::new(HardState::default(), Vec::new());
-    bench.now += bench.cfg.election;
+    bench.now += bench.cfg.election_timeout;
     let body = MessageBody::VoteRequest {
-        pre: false,
+        pre_vote: false,
         last_index: 0,
         last_term: 0,
     };
@@ -209,21 +216,21 @@
 fn vote_after_restart() {
     let mut bench = Bench::new(HardState::default(), Vec::new());
     let body = MessageBody::VoteRequest {
-        pre: true,
+        pre_vote: true,
         last_index: 0,
         last_term: 0,
     };
     bench.hear(SECOND, 1, body.clone());
     let sent = bench.node.ready().messages;
     let refused = MessageBody::VoteReply {
-        pre: true,
+        pre_vote: true,
         granted: false,
     };
     assert_eq!(sent[0].body, refused);
-    bench.now += bench.cfg.election;
+    bench.now += bench.cfg.election_timeout;
     bench.hear(SECOND, 1, body);
     let granted = MessageBody::VoteReply {
-        pre: true,
+        pre_vote: true,
         granted: true,
     };
     assert_eq!(bench.node.ready().messages[0].body, granted);
@@ -238,12 +245,12 @@
     bench.lead();
     bench.accept(SECOND, 1, 1);
     assert!(bench.node.propose("one".into(), bench.now).is_ok());
-    bench.pass(bench.cfg.lease());
+    bench.pass(bench.cfg.lease_duration());
     let refused = bench.node.propose("two".into(), bench.now);
-    assert_eq!(refused, Err(Refused::NoLease));
-    bench.pass(bench.cfg.election);
+    assert_eq!(refused, Err(LeadershipError::NoLease));
+    bench.pass(bench.cfg.election_timeout);
     let refused = bench.node.propose("three".into(), bench.now);
-    assert_eq!(refused, Err(Refused::NotLeader));
+    assert_eq!(refused, Err(LeadershipError::NotLeader));
 }
 
 /// A read is asked of a leader that was replaced a moment ago without knowing
@@ -256,12 +263,21 @@
     bench.accept(SECOND, 1, 1);
     bench.sync();
     bench.node.read(9).unwrap();
-    bench.node.begin_reads_round(bench.now);
+    bench.node.start_read_round(bench.now);
     // A late answer to the earlier round.
     bench.accept(THIRD, 1, 1);
-    assert!(bench.sync().iter().all(|ready| ready.reads.is_empty()));
+    assert!(
+        bench
+            .sync()
+            .iter()
+            .all(|ready| ready.confirmed_reads.is_empty())
+    );
     bench.accept(THIRD, 1, 2);
-    let reads: Vec<_> = bench.sync().into_iter().flat_map(|r| r.reads).collect();
+    let reads: Vec<_> = bench
+        .sync()
+        .into_iter()
+        .flat_map(|r| r.confirmed_reads)
+        .collect();
     assert_eq!(reads, [(9, 1)]);
 }
 
@@ -272,7 +288,7 @@
     let mut bench = Bench::new(HardState::default(), Vec::new());
     bench.lead();
     bench.node.read(9).unwrap();
-    bench.pass(bench.cfg.election * 2);
+    bench.pass(bench.cfg.election_timeout * 2);
     let refused: Vec<_> = bench
         .sync()
         .into_iter()
@@ -295,7 +311,7 @@
     bench.hear(newcomer, 0, MessageBody::Join { peer });
     bench.accept(SECOND, 2, 1);
     for round in 2..6 {
-        bench.pass(bench.cfg.heartbeat);
+        bench.pass(bench.cfg.heartbeat_interval);
         bench.accept(SECOND, 2, round);
         let body = MessageBody::AppendReply {
             accepted: false,
@@ -307,7 +323,7 @@
     }
     assert!(bench.node.members().learners.contains_key(&newcomer));
     bench.accept(newcomer, 2, 6);
-    bench.pass(bench.cfg.heartbeat);
+    bench.pass(bench.cfg.heartbeat_interval);
     assert!(bench.node.members().voters.contains_key(&newcomer));
 }
 
@@ -315,12 +331,12 @@
 /// The replica isn't blank any more, and nobody knows of it: it must ask
 /// again, or its repair would never end.
 #[test]
-fn wants_in_after_lost_change() {
+fn should_join_after_lost_change() {
     let newcomer = DiskId(9);
     let mut now = Instant::now();
     let cfg = Config::default();
-    let mut node = Node::new(newcomer, cfg.clone(), 7, Restored::default(), now);
-    assert!(node.wants_in(now));
+    let mut node = Node::new(newcomer, cfg.clone(), 7, PersistedState::default(), now);
+    assert!(node.should_join(now));
     let mut members = Members::default();
     members.voters.insert(SECOND, Peer::new("second", ""));
     members.learners.insert(newcomer, Peer::new("newcomer", ""));
@@ -338,18 +354,18 @@
         body,
     };
     node.step(message, now);
-    assert!(!node.wants_in(now));
-    now += cfg.election;
-    assert!(node.wants_in(now));
+    assert!(!node.should_join(now));
+    now += cfg.election_timeout;
+    assert!(node.should_join(now));
 }
 
 /// A message is meant for the disk that the host had before it was lost.
 #[test]
 fn step_other_disk() {
     let mut bench = Bench::new(HardState::default(), Vec::new());
-    bench.now += bench.cfg.election;
+    bench.now += bench.cfg.election_timeout;
     let body = MessageBody::VoteRequest {
-        pre: false,
+        pre_vote: false,
         last_index: 0,
         last_term: 0,
     };
@@ -372,7 +388,7 @@
 /// Lets the two other voters, or those of them that live, answer a round.
 fn answered_rounds(bench: &mut Bench, live: &[DiskId], rounds: u32) {
     for _ in 0..rounds {
-        bench.pass(bench.cfg.heartbeat);
+        bench.pass(bench.cfg.heartbeat_interval);
         let readies = bench.sync();
         for message in readies.into_iter().flat_map(|ready| ready.messages) {
             let MessageBody::Append {
@@ -398,9 +414,12 @@
 /// loss would stop the cluster.
 #[test]
 fn promote_in_place_of_lost_voter() {
-    let after = Duration::from_secs(5);
+    let lost_after = Duration::from_secs(5);
     let mut bench = Bench::new(HardState::default(), Vec::new());
-    bench.cfg.replace = Some(Replace { voters: 3, after });
+    bench.cfg.voter_replacement = Some(VoterReplacement {
+        voters: 3,
+        lost_after,
+    });
     bench.rebuild();
     bench.lead();
     let new = DiskId(9);
@@ -422,9 +441,12 @@
 /// that is exchanged on purpose finds its successor ready.
 #[test]
 fn promote_none_beyond_wanted() {
-    let after = Duration::from_secs(5);
+    let lost_after = Duration::from_secs(5);
     let mut bench = Bench::new(HardState::default(), Vec::new());
-    bench.cfg.replace = Some(Replace { voters: 3, after });
+    bench.cfg.voter_replacement = Some(VoterReplacement {
+        voters: 3,
+        lost_after,
+    });
     bench.rebuild();
     bench.lead();
     let new = DiskId(9);
@@ -438,13 +460,16 @@
 /// A voter stands still for so long that another takes its place. It was told
 /// nothing of that, and would ask for votes for ever that nobody gives.
 #[test]
-fn wants_in_after_long_silence() {
-    let after = Duration::from_secs(5);
+fn should_join_after_long_silence() {
+    let lost_after = Duration::from_secs(5);
     let mut bench = Bench::new(HardState::default(), Vec::new());
-    bench.cfg.replace = Some(Replace { voters: 3, after });
+    bench.cfg.voter_replacement = Some(VoterReplacement {
+        voters: 3,
+        lost_after,
+    });
     bench.rebuild();
-    bench.pass(bench.cfg.election);
-    assert!(!bench.node.wants_in(bench.now));
-    bench.pass(bench.cfg.election * 3);
-    assert!(bench.node.wants_in(bench.now));
+    bench.pass(bench.cfg.election_timeout);
+    assert!(!bench.node.should_join(bench.now));
+    bench.pass(bench.cfg.election_timeout * 3);
+    assert!(bench.node.should_join(bench.now));
 }
--- a/crates/quorum/tests/schedules/host.rs
+++ b/crates/quorum/tests/schedules/host.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use quorum::{
-    Config, DiskId, Entry, EntryBody, HardState, Message, Node, Restored, Snapshot, Write,
+    Config, DiskId, Entry, EntryBody, HardState, Message, Node, PersistedState, Snapshot, Write,
 };
 use rand::RngExt;
 use rand::rngs::StdRng;
@@ -59,8 +59,8 @@
         }
     }
 
-    fn restored(&self) -> Restored {
-        Restored {
+    fn restored(&self) -> PersistedState {
+        PersistedState {
             hard_state: self.hard_state,
             snapshot: self.snapshot.clone(),
             entries: self.entries.values().cloned().collect(),
@@ -120,12 +120,12 @@
 
     pub fn start(&mut self, now: Instant, rng: &mut StdRng) {
         let cfg = Config {
-            heartbeat: HEARTBEAT,
-            election: ELECTION,
+            heartbeat_interval: HEARTBEAT,
+            election_timeout: ELECTION,
             max_append_entries: 4,
-            max_inflight: 3,
-            chunk_bytes: 24,
-            trailing: 5,
+            max_inflight_appends: 3,
+            snapshot_chunk_bytes: 24,
+            trailing_entries: 5,
             ..Config::default()
         };
         let seed = rng.random();
@@ -191,7 +191,7 @@
                 Job::Write(write) => self.node.persisted(write.number, now),
                 Job::Save(snapshot) => {
                     self.saving = false;
-                    self.node.compacted(snapshot);
+                    self.node.compact(snapshot);
                 }
             }
         }
@@ -199,7 +199,7 @@
 
     fn carry_out(&mut self, out: &mut Out, now: Instant, disk: (u64, u32), rng: &mut StdRng) {
         let (step, slow) = disk;
-        self.node.begin_reads_round(now);
+        self.node.start_read_round(now);
         loop {
             let ready = self.node.ready();
             if ready.is_empty() {
@@ -220,7 +220,7 @@
                 self.apply(&entry);
                 out.applied.push(entry);
             }
-            self.confirmed.extend(ready.reads);
+            self.confirmed.extend(ready.confirmed_reads);
             for token in ready.refused_reads {
                 self.reads.remove(&token);
             }
@@ -245,7 +245,7 @@
         if self.saving || self.applied < before + SNAPSHOT_EVERY {
             return;
         }
-        let (index, term) = self.node.applied();
+        let (index, term) = self.node.last_applied();
         let snapshot = Snapshot {
             index,
             term,
--- a/crates/quorum/tests/schedules/world.rs
+++ b/crates/quorum/tests/schedules/world.rs
@@ -151,9 +151,15 @@
             let rows = &status.replicas;
             let whole = rows
                 .iter()
-                .all(|r| r.voter && r.active && r.matched >= Some(status.commit));
+                .all(|r| r.voter && r.active && r.match_index >= Some(status.commit_index));
             let same = rows.iter().map(|r| r.id).collect::<BTreeSet<_>>() == disks;
-            Some(node.leased(now) && node.has_committed_own() && status.settled && whole && same)
+            Some(
+                node.has_lease(now)
+                    && node.has_committed_in_term()
+                    && status.membership_committed
+                    && whole
+                    && same,
+            )
         };
         self.hosts.iter().any(|host| reports(host) == Some(true))
     }
@@ -245,8 +251,8 @@
         const EVERY: u64 = 10;
         let now = self.hosts[place].now(self.start, self.step);
         let running = self.hosts[place].running.as_ref();
-        let wants_in = running.is_some_and(|r| r.node.wants_in(now));
-        if !self.step.is_multiple_of(EVERY) || !wants_in {
+        let should_join = running.is_some_and(|r| r.node.should_join(now));
+        if !self.step.is_multiple_of(EVERY) || !should_join {
             return;
         }
         let (from, name) = (self.hosts[place].disk.id, self.hosts[place].name.clone());
@@ -337,7 +343,7 @@
             if first != node.id() {
                 return Err(format!("two leaders in term {}", node.term()));
             }
-            if node.leased(host.now(self.start, self.step)) {
+            if node.has_lease(host.now(self.start, self.step)) {
                 leased.push(node.term());
             }
         }
