--- a/crates/quorum/src/config.rs
+++ b/crates/quorum/src/config.rs
@@ -1,8 +1,8 @@
-//! Timings and limits of a replica.
+//! Configuration of a replica.
 
 use std::time::Duration;
 
-/// Timings and limits of a replica; the same on every replica.
+/// Timings and limits of a replica. All replicas must use the same values.
 ///
 /// ```
 /// let cfg = quorum::Config::default();
@@ -10,44 +10,46 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Time between two heartbeats of a leader.
+    /// Interval between two heartbeats of a leader.
     pub heartbeat_interval: Duration,
-    /// Shortest election timeout; each wait is drawn from one to two times it.
+    /// Minimum election timeout. Each timeout is chosen at random between one
+    /// and two times this value.
     pub election_timeout: Duration,
-    /// Most entries in one append message.
+    /// Maximum number of entries in one append message.
     pub max_append_entries: usize,
-    /// Most bytes of entries in one append message, if it has more than one.
+    /// Maximum size of the entries in one append message, in bytes. A single
+    /// larger entry is sent on its own.
     pub max_append_bytes: usize,
-    /// Most append messages in flight to one replica.
+    /// Maximum number of append messages in flight to one replica.
     pub max_inflight_appends: usize,
-    /// Bytes of a snapshot in one message.
+    /// Size of a snapshot chunk in one message, in bytes.
     pub snapshot_chunk_bytes: usize,
-    /// Entries kept in memory before the newest snapshot, so that a replica
-    /// that lags a little is served from the log.
+    /// Number of entries kept in memory before the newest snapshot, so that a
+    /// replica that is slightly behind is served from the log.
     pub trailing_entries: u64,
-    /// Whether a replica of another host may take a lost voter's place.
+    /// Whether and when a replica on another host replaces a lost voter.
     pub voter_replacement: Option<VoterReplacement>,
 }
 
-/// When a caught-up replica of a new host takes the place of a lost voter.
+/// When a caught-up replica on a new host replaces a lost voter.
 ///
-/// A host that is gone for good never comes back under its name. Were nobody
-/// to take its place, the next loss would cost the majority.
+/// A host that is permanently lost does not rejoin under its name. Without a
+/// replacement, losing another voter could lose the majority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VoterReplacement {
-    /// Voters wanted; a replica beyond them waits as a learner.
+    /// Desired number of voters. Further replicas remain learners.
     pub voters: usize,
-    /// Silence after which a voter counts as lost.
+    /// Time without a message after which a voter counts as lost.
     pub lost_after: Duration,
 }
 
-/// Share of the election timeout, in percent, that a leader lease lasts. The
-/// rest covers clocks that run at different rates.
+/// Duration of a leader lease, in percent of the election timeout. The margin
+/// covers clocks that run at different rates.
 const LEASE_PERCENT: u32 = 90;
 
 impl Config {
-    /// How long a leader lease lasts from the start of the heartbeat round
-    /// that a majority answered.
+    /// Duration of a leader lease, counted from the start of the heartbeat
+    /// round that a majority answered.
     #[must_use]
     pub fn lease_duration(&self) -> Duration {
         self.election_timeout * LEASE_PERCENT / 100
--- a/crates/quorum/src/disk_id.rs
+++ b/crates/quorum/src/disk_id.rs
@@ -1,12 +1,12 @@
-//! The identity of a voter.
+//! Identity of a replica.
 
 use std::fmt;
 
-/// Random identity that a disk got when it was formatted.
+/// Random identity assigned to a disk when it was formatted.
 ///
-/// Voters are known by their disk and not by their host: a host whose disk
-/// was replaced has forgotten what it promised, and under its old identity it
-/// could let a majority forget an acknowledged entry.
+/// Voters are identified by their disk and not by their host. A host whose disk
+/// was replaced has lost its votes and log entries; if it kept its old
+/// identity, a majority could be formed that lacks an acknowledged entry.
 ///
 /// ```
 /// assert_eq!(quorum::DiskId(0xab).to_string(), "00000000000000ab");
--- a/crates/quorum/src/entry.rs
+++ b/crates/quorum/src/entry.rs
@@ -6,28 +6,28 @@
 /// An entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Place in the log, from 1.
+    /// Position in the log, starting at 1.
     pub index: u64,
-    /// Term of the leader that ordered it.
+    /// Term of the leader that appended it.
     pub term: u64,
-    /// What it says.
+    /// Content of the entry.
     pub body: EntryBody,
 }
 
-/// What an entry says.
+/// Content of an [`Entry`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EntryBody {
     /// A command for the state machine.
     Command(Bytes),
-    /// The first entry of a leader: committing it commits all before it
+    /// First entry of a leader. Committing it commits all entries before it
     /// (section 3.6.2).
     Noop,
-    /// The members from here on.
+    /// The members in force from this entry on.
     Members(Members),
 }
 
 impl Entry {
-    /// Bytes that the entry adds to a message, about.
+    /// Approximate size of the entry in a message, in bytes.
     pub(crate) fn size(&self) -> usize {
         const OVERHEAD: usize = 32;
         match &self.body {
--- a/crates/quorum/src/hard_state.rs
+++ b/crates/quorum/src/hard_state.rs
@@ -1,12 +1,13 @@
-//! What a replica must not forget beside its log.
+//! State that a replica persists in addition to its log.
 
 use crate::DiskId;
 
-/// Term and vote: synced before any message that rests on them.
+/// Current term and vote, synced before any message that depends on them is
+/// sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HardState {
-    /// Newest term heard of.
+    /// Latest term seen.
     pub term: u64,
-    /// Whom this replica voted for in that term.
+    /// Candidate that this replica voted for in that term.
     pub vote: Option<DiskId>,
 }
--- a/crates/quorum/src/incoming.rs
+++ b/crates/quorum/src/incoming_snapshot.rs
@@ -1,10 +1,10 @@
-//! A snapshot that is being received.
+//! A partially received snapshot.
 
 use crate::Members;
 
-/// A snapshot that is being received, piece by piece.
+/// A snapshot of which some chunks have been received.
 #[derive(Debug)]
-pub(crate) struct Incoming {
+pub(crate) struct IncomingSnapshot {
     pub(crate) index: u64,
     pub(crate) term: u64,
     pub(crate) members: Members,
--- a/crates/quorum/src/leader.rs
+++ b/crates/quorum/src/leader.rs
@@ -1,84 +1,88 @@
-//! What only a leader holds.
+//! State of a leader.
 
 use crate::progress::Progress;
 use crate::{DiskId, Members};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// A read that waits until a majority has confirmed the leader.
+/// A linearizable read that waits until a majority has confirmed the leader.
 #[derive(Debug)]
 pub(crate) struct PendingRead {
     pub(crate) token: u64,
-    /// Commit index when it was asked, and the round that must be confirmed;
-    /// none until the leader has committed an entry of its own term.
-    pub(crate) begun: Option<(u64, u64)>,
+    /// Commit index when the read was started, and the round that must be
+    /// confirmed; `None` until the leader has committed an entry of its own
+    /// term and the next round starts.
+    pub(crate) started: Option<(u64, u64)>,
 }
 
-/// What only a leader holds.
+/// State that exists only while a replica leads.
 #[derive(Debug)]
 pub(crate) struct Leader {
     pub(crate) peers: BTreeMap<DiskId, Progress>,
-    /// Newest heartbeat round, and when the rounds not yet confirmed began.
+    /// Latest heartbeat round.
     pub(crate) round: u64,
-    pub(crate) begun: VecDeque<(u64, Instant)>,
-    /// When the newest round began that a majority has confirmed.
-    pub(crate) confirmed: Option<(u64, Instant)>,
-    pub(crate) next_beat: Instant,
-    pub(crate) since: Instant,
-    /// Index of this leader's no-op.
-    pub(crate) noop: u64,
-    pub(crate) reads: Vec<PendingRead>,
-    /// Commit index at the newest beat, and at the one before: a learner that
-    /// has reached the latter has caught up.
-    pub(crate) commit_at_beat: u64,
-    pub(crate) commit_before: u64,
+    /// Rounds that no majority has confirmed yet, with their start times.
+    pub(crate) unconfirmed_rounds: VecDeque<(u64, Instant)>,
+    /// Latest round that a majority has confirmed, with its start time.
+    pub(crate) last_confirmed: Option<(u64, Instant)>,
+    pub(crate) next_heartbeat: Instant,
+    pub(crate) elected_at: Instant,
+    /// Index of the no-op entry that this leader appended first.
+    pub(crate) noop_index: u64,
+    pub(crate) pending_reads: Vec<PendingRead>,
+    /// Commit index at the latest heartbeat.
+    pub(crate) commit_at_heartbeat: u64,
+    /// Commit index at the heartbeat before it. A learner that has reached it
+    /// has caught up.
+    pub(crate) commit_at_previous_heartbeat: u64,
 }
 
 impl Leader {
-    pub(crate) fn begin_round(&mut self, now: Instant) {
+    pub(crate) fn start_round(&mut self, now: Instant) {
         self.round += 1;
-        self.begun.push_back((self.round, now));
+        self.unconfirmed_rounds.push_back((self.round, now));
     }
 
-    /// Moves `confirmed` on to the newest round that a majority answered.
-    pub(crate) fn confirm(&mut self, me: DiskId, members: &Members) {
+    /// Advances `last_confirmed` to the latest round that a majority answered.
+    pub(crate) fn update_confirmed_round(&mut self, me: DiskId, members: &Members) {
         let answered = |id: DiskId| {
             if id == me {
                 return self.round;
             }
-            self.peers.get(&id).map_or(0, |p| p.round)
+            self.peers.get(&id).map_or(0, |p| p.answered_round)
         };
         let Some(round) = members.majority_value(answered) else {
             return;
         };
-        while let Some(&(begun, at)) = self.begun.front() {
-            if begun > round {
+        while let Some(&(oldest, started_at)) = self.unconfirmed_rounds.front() {
+            if oldest > round {
                 break;
             }
-            self.confirmed = Some((begun, at));
-            self.begun.pop_front();
+            self.last_confirmed = Some((oldest, started_at));
+            self.unconfirmed_rounds.pop_front();
         }
     }
 
-    /// Whether reads wait for a round to begin. Those that come while a round
-    /// of others is under way share the next one.
-    pub(crate) fn wants_round(&self) -> bool {
-        !self.reads.is_empty() && self.reads.iter().all(|r| r.begun.is_none())
+    /// Whether reads wait for a round to start and no read waits for a running
+    /// one. Reads that arrive during a round share the next one.
+    pub(crate) fn needs_round(&self) -> bool {
+        !self.pending_reads.is_empty() && self.pending_reads.iter().all(|r| r.started.is_none())
     }
 
     pub(crate) fn confirmed_round(&self) -> u64 {
-        self.confirmed.map_or(0, |(round, _)| round)
+        self.last_confirmed.map_or(0, |(round, _)| round)
     }
 
-    /// The lease counts from the start of the round, which is before any
-    /// voter heard it: each of that majority refuses its vote for longer.
+    /// Whether the leader lease is valid. The lease starts with the round,
+    /// before any voter receives it, so each voter of that majority refuses to
+    /// vote for another candidate until after the lease has expired.
     pub(crate) fn has_lease(&self, now: Instant, lease: Duration) -> bool {
-        self.confirmed
+        self.last_confirmed
             .is_some_and(|(_, at)| now.saturating_duration_since(at) < lease)
     }
 
-    pub(crate) fn active(&self, id: DiskId, now: Instant, within: Duration) -> bool {
-        let heard = self.peers.get(&id).and_then(|p| p.heard);
-        heard.is_some_and(|at| now.saturating_duration_since(at) < within)
+    pub(crate) fn is_active(&self, id: DiskId, now: Instant, within: Duration) -> bool {
+        let last_heard = self.peers.get(&id).and_then(|p| p.last_heard);
+        last_heard.is_some_and(|at| now.saturating_duration_since(at) < within)
     }
 }
--- a/crates/quorum/src/leadership_error.rs
+++ b/crates/quorum/src/leadership_error.rs
@@ -1,13 +1,14 @@
-//! Why a replica takes no proposal.
+//! Errors of requests that need a leader.
 
 use std::fmt;
 
-/// Why a replica takes no proposal.
+/// Reason why a replica rejects a proposal or a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeadershipError {
-    /// Another replica leads, or none.
+    /// This replica is not the leader.
     NotLeader,
-    /// It leads, but no majority has answered it lately: another may lead.
+    /// This replica leads, but no majority has answered within the lease, so
+    /// another replica may have been elected.
     NoLease,
 }
 
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -1,13 +1,12 @@
-//! Replicated log of the Raft family: election, replication, membership,
-//! leases and fencing.
+//! Replicated log based on Raft: leader election, log replication, membership
+//! changes, leader leases and fencing.
 //!
-//! The crate decides and does nothing else: it opens no socket, reads no
-//! clock and writes no file. A [`Node`] is fed with messages and with the
-//! present time, and [`Node::ready`] says what to persist, to send and to
-//! apply. Section numbers in comments are those of Ongaro, "Consensus:
-//! Bridging Theory and Practice" (2014).
+//! The crate performs no I/O: it opens no socket, reads no clock and writes no
+//! file. The caller passes messages and the current time to a [`Node`], and
+//! [`Node::ready`] returns what to persist, send and apply. Section numbers in
+//! comments refer to Ongaro, "Consensus: Bridging Theory and Practice" (2014).
 //!
-//! One voter alone elects itself and commits:
+//! A single voter elects itself:
 //!
 //! ```
 //! use quorum::{Config, DiskId, Members, Node, Peer, PersistedState, Snapshot};
@@ -16,9 +15,10 @@
 //! let id = DiskId(7);
 //! let mut members = Members::default();
 //! members.voters.insert(id, Peer::new("one", "127.0.0.1:1"));
-//! let restored = PersistedState { snapshot: Some(Snapshot::initial(members)), ..PersistedState::default() };
+//! let snapshot = Some(Snapshot::initial(members));
+//! let persisted = PersistedState { snapshot, ..PersistedState::default() };
 //! let start = Instant::now();
-//! let mut node = Node::new(id, Config::default(), 1, restored, start);
+//! let mut node = Node::new(id, Config::default(), 1, persisted, start);
 //!
 //! let now = start + Duration::from_secs(10);
 //! node.tick(now);
@@ -31,7 +31,7 @@
 mod disk_id;
 mod entry;
 mod hard_state;
-mod incoming;
+mod incoming_snapshot;
 mod leader;
 mod leadership_error;
 mod log;
--- a/crates/quorum/src/log.rs
+++ b/crates/quorum/src/log.rs
@@ -1,9 +1,9 @@
-//! The part of the log that is held in memory.
+//! In-memory part of the log.
 
 use crate::Entry;
 use std::collections::VecDeque;
 
-/// The entries after a base that a snapshot covers.
+/// The log entries after a base index that a snapshot covers.
 #[derive(Debug, Default)]
 pub(crate) struct Log {
     base_index: u64,
@@ -29,11 +29,12 @@
     }
 
     pub(crate) fn get(&self, index: u64) -> Option<&Entry> {
-        let place = index.checked_sub(self.base_index + 1)?;
-        self.entries.get(usize::try_from(place).ok()?)
+        let offset = index.checked_sub(self.base_index + 1)?;
+        self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Term of the entry, `None` if it is before the base or after the end.
+    /// Returns the term of the entry, or `None` if it is before the base or
+    /// after the end.
     pub(crate) fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -46,14 +47,14 @@
         self.entries.push_back(entry);
     }
 
-    /// Drops the entry and all after it.
+    /// Removes the entry at `from` and all entries after it.
     pub(crate) fn truncate(&mut self, from: u64) {
         let keep = from.saturating_sub(self.base_index + 1);
         self.entries
             .truncate(usize::try_from(keep).unwrap_or(usize::MAX));
     }
 
-    /// Drops the entries up to `index`, which a snapshot covers.
+    /// Removes the entries up to `index`, which a snapshot covers.
     pub(crate) fn compact(&mut self, index: u64) {
         while self.base_index < index {
             let Some(entry) = self.entries.pop_front() else {
@@ -64,14 +65,21 @@
         }
     }
 
-    /// The entries from `from` to `to`, within the limits, at least one.
-    pub(crate) fn slice(&self, from: u64, to: u64, most: usize, bytes: usize) -> Vec<Entry> {
+    /// Returns the entries from `from` to `to` within the given limits, but at
+    /// least one if there is any.
+    pub(crate) fn slice(
+        &self,
+        from: u64,
+        to: u64,
+        max_entries: usize,
+        max_bytes: usize,
+    ) -> Vec<Entry> {
         let mut taken = Vec::new();
         let mut size = 0;
         for index in from..=to {
             let Some(entry) = self.get(index) else { break };
             size += entry.size();
-            if !taken.is_empty() && (size > bytes || taken.len() == most) {
+            if !taken.is_empty() && (size > max_bytes || taken.len() == max_entries) {
                 break;
             }
             taken.push(entry.clone());
@@ -79,7 +87,7 @@
         taken
     }
 
-    /// Last index before the run of entries of the same term as `index`'s.
+    /// Returns the index before the first entry of the term that `index` has.
     pub(crate) fn before_term_of(&self, index: u64) -> u64 {
         let Some(term) = self.term_at(index) else {
             return self.last_index();
--- a/crates/quorum/src/members.rs
+++ b/crates/quorum/src/members.rs
@@ -1,4 +1,4 @@
-//! Who takes part in the replicated log.
+//! Members of the cluster.
 
 use crate::DiskId;
 use std::collections::BTreeMap;
@@ -6,14 +6,14 @@
 /// Name and address of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Peer {
-    /// Name of the host's replica; it outlives the disk.
+    /// Name of the replica, which stays the same when its disk is replaced.
     pub name: String,
-    /// Address of the replica's links.
+    /// Address at which the replica accepts links from other replicas.
     pub address: String,
 }
 
 impl Peer {
-    /// A replica by name and address.
+    /// Creates a peer from a name and an address.
     ///
     /// ```
     /// assert_eq!(quorum::Peer::new("one", "127.0.0.1:1").name, "one");
@@ -27,17 +27,17 @@
     }
 }
 
-/// Voters and learners, by the identity of their disk.
+/// Voters and learners, keyed by the identity of their disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Members {
-    /// Those whose majority commits and elects.
+    /// Replicas whose majority commits entries and elects leaders.
     pub voters: BTreeMap<DiskId, Peer>,
-    /// Those that only receive the log.
+    /// Replicas that receive the log but do not vote.
     pub learners: BTreeMap<DiskId, Peer>,
 }
 
 impl Members {
-    /// Smallest number of voters that is a majority.
+    /// Returns the smallest number of voters that is a majority.
     ///
     /// ```
     /// use quorum::{DiskId, Members, Peer};
@@ -53,7 +53,7 @@
         self.voters.len() / 2 + 1
     }
 
-    /// Whether the disk is a voter's or a learner's.
+    /// Returns whether the disk belongs to a voter or a learner.
     ///
     /// ```
     /// assert!(!quorum::Members::default().contains(quorum::DiskId(1)));
@@ -63,7 +63,7 @@
         self.peer(id).is_some()
     }
 
-    /// Name and address of a member.
+    /// Returns the name and address of a member.
     ///
     /// ```
     /// assert!(quorum::Members::default().peer(quorum::DiskId(1)).is_none());
@@ -73,19 +73,19 @@
         self.voters.get(&id).or_else(|| self.learners.get(&id))
     }
 
-    /// All members, voters first.
+    /// Returns all members, voters first.
     pub(crate) fn ids(&self) -> impl Iterator<Item = DiskId> {
         self.voters.keys().chain(self.learners.keys()).copied()
     }
 
-    /// The voter of that name with another disk.
+    /// Returns the voter that has the same name but another disk.
     pub(crate) fn former_voter(&self, id: DiskId, name: &str) -> Option<DiskId> {
         let mut same = self.voters.iter().filter(|(_, peer)| peer.name == name);
         same.find(|(other, _)| **other != id)
             .map(|(other, _)| *other)
     }
 
-    /// The value that at least a majority of voters has reached.
+    /// Returns the highest value that a majority of voters has reached.
     pub(crate) fn majority_value<T: Ord + Copy>(&self, value: impl Fn(DiskId) -> T) -> Option<T> {
         let mut values: Vec<T> = self.voters.keys().map(|id| value(*id)).collect();
         values.sort_unstable();
--- a/crates/quorum/src/message.rs
+++ b/crates/quorum/src/message.rs
@@ -1,4 +1,4 @@
-//! What replicas say to each other.
+//! Messages between replicas.
 
 use crate::{DiskId, Entry, Members, Peer};
 use bytes::Bytes;
@@ -8,109 +8,112 @@
 pub struct Message {
     /// Disk of the sender.
     pub from: DiskId,
-    /// Disk that it is meant for; any other drops it.
+    /// Disk of the receiver. A replica drops messages addressed to another
+    /// disk.
     pub to: DiskId,
-    /// Term of the sender; of a pre-vote, the term it would campaign in.
+    /// Term of the sender; for a pre-vote, the term it would be a candidate in.
     pub term: u64,
-    /// What it says.
+    /// Content of the message.
     pub body: MessageBody,
 }
 
-/// What a message says.
+/// Content of a [`Message`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MessageBody {
-    /// Asks for a vote (section 3.4), or whether one would be given (9.6).
+    /// Requests a vote (section 3.4) or a pre-vote (section 9.6).
     VoteRequest {
-        /// Only asks; no term changes.
+        /// Whether this is a pre-vote, which changes no term.
         pre_vote: bool,
-        /// Last entry of the candidate.
+        /// Index of the last entry of the candidate.
         last_index: u64,
         /// Term of that entry.
         last_term: u64,
     },
-    /// Answers a vote request.
+    /// Reply to a vote request.
     VoteReply {
-        /// Answers a pre-vote.
+        /// Whether this is the reply to a pre-vote.
         pre_vote: bool,
-        /// The vote is the candidate's.
+        /// Whether the candidate gets the vote.
         granted: bool,
     },
-    /// Entries, or none as a heartbeat (section 3.5).
+    /// Appends entries; without entries it is a heartbeat (section 3.5).
     Append {
-        /// Entry before the first of `entries`.
+        /// Index of the entry before the first one in `entries`.
         previous_index: u64,
         /// Term of that entry.
         previous_term: u64,
         /// The leader's commit index.
         commit: u64,
-        /// Heartbeat round, echoed by the reply.
+        /// Heartbeat round, echoed in the reply.
         round: u64,
-        /// The entries.
+        /// Entries to append.
         entries: Vec<Entry>,
     },
-    /// Answers an append.
+    /// Reply to an append.
     AppendReply {
-        /// The entries are in the log, synced.
+        /// Whether the entries are in the log and synced.
         accepted: bool,
-        /// Accepted: last index known to be the leader's. Refused: the last
-        /// index that may be.
+        /// If accepted, the last index known to match the leader's log. If
+        /// rejected, the last index that may match.
         index: u64,
-        /// Round of the append.
+        /// Heartbeat round of the append.
         round: u64,
     },
-    /// A piece of a snapshot (section 5).
+    /// Sends one chunk of a snapshot (section 5).
     InstallSnapshot {
-        /// Last entry that the snapshot covers.
+        /// Index of the last entry that the snapshot covers.
         index: u64,
         /// Term of that entry.
         term: u64,
-        /// Members at that entry.
+        /// Members in force at that entry.
         members: Members,
-        /// Place of `chunk` in the snapshot.
+        /// Byte offset of `chunk` in the snapshot.
         offset: u64,
-        /// Bytes of the snapshot.
+        /// Data of this chunk.
         chunk: Bytes,
-        /// It is the last piece.
+        /// Whether this is the last chunk.
         done: bool,
-        /// Heartbeat round, echoed by the reply.
+        /// Heartbeat round, echoed in the reply.
         round: u64,
     },
-    /// Answers a piece of a snapshot.
+    /// Reply to a snapshot chunk.
     SnapshotReply {
-        /// Which snapshot.
+        /// Index of the snapshot.
         index: u64,
-        /// Bytes held.
+        /// Number of bytes received so far.
         offset: u64,
-        /// The snapshot is installed, synced.
+        /// Whether the snapshot is installed and synced.
         done: bool,
-        /// Round of the piece.
+        /// Heartbeat round of the chunk.
         round: u64,
     },
-    /// A blank replica asks to be taken in.
+    /// A replica without state requests to join the cluster.
     Join {
-        /// Its name and address.
+        /// Name and address of the replica.
         peer: Peer,
     },
 }
 
-/// Largest term, index or round that is taken for one. At a million a second
-/// it is reached in thirty thousand years; beyond it sums could overflow.
-const MOST: u64 = 1 << 60;
+/// Exclusive upper bound of the terms, indices and rounds that are accepted. At
+/// a million per second it is reached in thirty thousand years; larger values
+/// could overflow in sums.
+const MAX_NUMBER: u64 = 1 << 60;
 
 impl Message {
-    /// Whether both answer appends in the same way, to different rounds.
-    pub(crate) fn says_same_but_round(&self, other: &Message) -> bool {
-        let answer = |message: &Message| match message.body {
+    /// Returns whether both are append replies that differ at most in their
+    /// round.
+    pub(crate) fn is_same_append_reply(&self, other: &Message) -> bool {
+        let reply = |message: &Message| match message.body {
             MessageBody::AppendReply {
                 accepted, index, ..
             } => Some((message.to, message.term, accepted, index)),
             _ => None,
         };
-        answer(self).is_some() && answer(self) == answer(other)
+        reply(self).is_some() && reply(self) == reply(other)
     }
 
-    /// Whether all numbers are such as a replica may send. Others come from a
-    /// fault of the sender, and must not end the process that receives them.
+    /// Returns whether all numbers are in the accepted range. Other values come
+    /// from a faulty sender and must not crash the receiving process.
     pub(crate) fn is_plausible(&self) -> bool {
         let numbers = match &self.body {
             MessageBody::VoteRequest {
@@ -131,6 +134,6 @@
             } => [*index, *term, *round],
             MessageBody::VoteReply { .. } | MessageBody::Join { .. } => [0, 0, 0],
         };
-        self.term < MOST && numbers.iter().all(|number| *number < MOST)
+        self.term < MAX_NUMBER && numbers.iter().all(|number| *number < MAX_NUMBER)
     }
 }
--- a/crates/quorum/src/node.rs
+++ b/crates/quorum/src/node.rs
@@ -1,4 +1,4 @@
-//! One replica.
+//! The replica state machine.
 
 mod election;
 mod inspect;
@@ -8,7 +8,7 @@
 mod replicate;
 mod serve;
 
-use crate::incoming::Incoming;
+use crate::incoming_snapshot::IncomingSnapshot;
 use crate::leader::Leader;
 use crate::log::Log;
 use crate::{
@@ -20,66 +20,70 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// What a replica is at the moment.
+/// Current role of a replica.
 #[derive(Debug)]
 enum Role {
     Follower,
-    /// Asks whether it would be elected; its term is as before (section 9.6).
+    /// Runs a pre-vote without changing its term (section 9.6).
     PreCandidate(BTreeMap<DiskId, bool>),
     Candidate(BTreeMap<DiskId, bool>),
     Leader(Box<Leader>),
 }
 
-/// A write that was handed out, and the end of the log at that time.
+/// A write returned by [`Node::ready`] that is not yet synced, with the end of
+/// the log when it was issued.
 #[derive(Clone, Copy, Debug)]
-struct Issued {
+struct PendingWrite {
     number: u64,
     index: u64,
     term: u64,
 }
 
-/// One replica.
+/// A replica of the log.
 #[derive(Debug)]
 pub struct Node {
     id: DiskId,
     cfg: Config,
     rng: StdRng,
-    hard: HardState,
+    hard_state: HardState,
     role: Role,
     log: Log,
-    /// Members by the index that set them; the last one holds.
-    members: Vec<(u64, Members)>,
+    /// Membership changes with the index of their entry; the last one is in
+    /// force.
+    membership_history: Vec<(u64, Members)>,
     snapshot: Snapshot,
-    commit: u64,
-    applied: u64,
-    /// Last entry that is synced here.
-    stable: u64,
-    /// Last entry that was handed out to be synced.
-    handed: u64,
+    commit_index: u64,
+    applied_index: u64,
+    /// Last entry that is synced on this replica.
+    synced_index: u64,
+    /// Last entry that was issued in a [`Write`](crate::Write).
+    issued_index: u64,
     leader: Option<DiskId>,
-    /// When a leader was last heard; the start counts as well, since what was
-    /// promised before a restart is not known any more.
-    heard: Instant,
-    election_at: Instant,
-    hard_changed: bool,
-    incoming: Option<Incoming>,
-    /// Received whole, not yet handed out to be synced.
-    received: Option<Snapshot>,
-    /// Handed out to be synced, by the number of its write.
-    restoring: Option<(u64, Snapshot)>,
+    /// When a leader was last heard from. Initialized to the start time,
+    /// because this replica may have confirmed a leader just before a restart.
+    leader_heard_at: Instant,
+    election_deadline: Instant,
+    hard_state_changed: bool,
+    incoming_snapshot: Option<IncomingSnapshot>,
+    /// Completely received, not yet issued in a write.
+    received_snapshot: Option<Snapshot>,
+    /// Issued in the write of that number, not yet synced.
+    pending_restore: Option<(u64, Snapshot)>,
     restore: Option<Snapshot>,
-    writes: u64,
-    issued: VecDeque<Issued>,
-    /// Messages that wait until the write of that number is synced.
-    held: VecDeque<(u64, Message)>,
-    out: Vec<Message>,
-    reads: Vec<(u64, u64)>,
+    /// Number of the last write issued.
+    last_write: u64,
+    pending_writes: VecDeque<PendingWrite>,
+    /// Messages to be sent once the write of that number is synced.
+    deferred: VecDeque<(u64, Message)>,
+    outbox: Vec<Message>,
+    confirmed_reads: Vec<(u64, u64)>,
     refused_reads: Vec<u64>,
 }
 
 impl Node {
-    /// A replica that starts with what its disk holds. `seed` makes the
-    /// election timeouts differ between replicas. The crate page shows it.
+    /// Creates a replica from its persisted state. `seed` seeds the election
+    /// timeouts, so that they differ between replicas. See the crate
+    /// documentation for a complete example.
     ///
     /// ```
     /// # use quorum::*;
@@ -88,14 +92,20 @@
     /// assert!(node.should_join(now));
     /// ```
     #[must_use]
-    pub fn new(id: DiskId, cfg: Config, seed: u64, restored: PersistedState, now: Instant) -> Node {
-        let blank = restored.snapshot.is_none();
-        let snapshot = restored.snapshot.unwrap_or_default();
+    pub fn new(
+        id: DiskId,
+        cfg: Config,
+        seed: u64,
+        persisted: PersistedState,
+        now: Instant,
+    ) -> Node {
+        let blank = persisted.snapshot.is_none();
+        let snapshot = persisted.snapshot.unwrap_or_default();
         let mut log = Log::new(snapshot.index, snapshot.term);
-        let mut members = vec![(snapshot.index, snapshot.members.clone())];
-        for entry in restored.entries {
-            if let EntryBody::Members(now) = &entry.body {
-                members.push((entry.index, now.clone()));
+        let mut membership_history = vec![(snapshot.index, snapshot.members.clone())];
+        for entry in persisted.entries {
+            if let EntryBody::Members(members) = &entry.body {
+                membership_history.push((entry.index, members.clone()));
             }
             log.push(entry);
         }
@@ -105,35 +115,36 @@
             id,
             cfg,
             rng: StdRng::seed_from_u64(seed),
-            hard: restored.hard_state,
+            hard_state: persisted.hard_state,
             role: Role::Follower,
             log,
-            members,
-            commit: snapshot.index,
-            applied: snapshot.index,
+            membership_history,
+            commit_index: snapshot.index,
+            applied_index: snapshot.index,
             snapshot,
-            stable: last,
-            handed: last,
+            synced_index: last,
+            issued_index: last,
             leader: None,
-            heard: now,
-            election_at: now,
-            hard_changed: false,
-            incoming: None,
-            received: None,
-            restoring: None,
+            leader_heard_at: now,
+            election_deadline: now,
+            hard_state_changed: false,
+            incoming_snapshot: None,
+            received_snapshot: None,
+            pending_restore: None,
             restore,
-            writes: 0,
-            issued: VecDeque::new(),
-            held: VecDeque::new(),
-            out: Vec::new(),
-            reads: Vec::new(),
+            last_write: 0,
+            pending_writes: VecDeque::new(),
+            deferred: VecDeque::new(),
+            outbox: Vec::new(),
+            confirmed_reads: Vec::new(),
             refused_reads: Vec::new(),
         };
-        node.put_off_election(now);
+        node.reset_election_deadline(now);
         node
     }
 
-    /// Moves the time on: heartbeats, elections, loss of a majority.
+    /// Advances the time: sends heartbeats, starts elections and steps down
+    /// from leadership without a majority.
     ///
     /// ```
     /// # use quorum::*;
@@ -144,13 +155,13 @@
     /// ```
     pub fn tick(&mut self, now: Instant) {
         if self.is_leader() {
-            self.lead(now);
-        } else if now >= self.election_at && self.is_voter() {
-            self.ask_for_election(now);
+            self.tick_leader(now);
+        } else if now >= self.election_deadline && self.is_voter() {
+            self.start_pre_vote(now);
         }
     }
 
-    /// Takes a message. Any message may come late, twice or never.
+    /// Processes a message. Messages may be delayed, duplicated or lost.
     ///
     /// ```
     /// # use quorum::*;
@@ -166,9 +177,9 @@
             return;
         }
         if let MessageBody::Join { peer } = message.body {
-            return self.take_in(message.from, peer, now);
+            return self.handle_join(message.from, peer, now);
         }
-        if !self.enter_term(&message, now) {
+        if !self.check_term(&message, now) {
             return;
         }
         let from = message.from;
@@ -177,9 +188,17 @@
                 pre_vote,
                 last_index,
                 last_term,
-            } => self.answer_vote(from, message.term, pre_vote, (last_term, last_index), now),
+            } => {
+                self.handle_vote_request(
+                    from,
+                    message.term,
+                    pre_vote,
+                    (last_term, last_index),
+                    now,
+                );
+            }
             MessageBody::VoteReply { pre_vote, granted } => {
-                self.count_vote(from, pre_vote, granted, now);
+                self.handle_vote_reply(from, pre_vote, granted, now);
             }
             MessageBody::Append {
                 previous_index,
@@ -188,24 +207,24 @@
                 round,
                 entries,
             } => {
-                self.follow(from, now);
-                self.append((previous_index, previous_term), entries, commit, round);
+                self.accept_leader(from, now);
+                self.handle_append((previous_index, previous_term), entries, commit, round);
             }
             MessageBody::AppendReply {
                 accepted,
                 index,
                 round,
-            } => self.appended(from, accepted, index, round, now),
+            } => self.handle_append_reply(from, accepted, index, round, now),
             MessageBody::InstallSnapshot { .. } => {
-                self.follow(from, now);
-                self.install(message.body);
+                self.accept_leader(from, now);
+                self.handle_install_snapshot(message.body);
             }
             MessageBody::SnapshotReply {
                 index,
                 offset,
                 done,
                 round,
-            } => self.installed(from, (index, offset), done, round, now),
+            } => self.handle_snapshot_reply(from, (index, offset), done, round, now),
             MessageBody::Join { .. } => {}
         }
     }
@@ -214,20 +233,20 @@
         self.members().voters.contains_key(&self.id)
     }
 
-    fn put_off_election(&mut self, now: Instant) {
+    fn reset_election_deadline(&mut self, now: Instant) {
         use rand::RngExt;
         let span = u64::try_from(self.cfg.election_timeout.as_micros()).unwrap_or(u64::MAX);
-        let more = self.rng.random_range(0..=span);
-        self.election_at = now + self.cfg.election_timeout + Duration::from_micros(more);
+        let jitter = self.rng.random_range(0..=span);
+        self.election_deadline = now + self.cfg.election_timeout + Duration::from_micros(jitter);
     }
 
-    /// Appends an entry of this leader's own.
-    fn order(&mut self, body: EntryBody) -> u64 {
+    /// Appends an entry in the term of this leader and returns its index.
+    fn append_as_leader(&mut self, body: EntryBody) -> u64 {
         let index = self.log.last_index() + 1;
         if let EntryBody::Members(members) = &body {
-            self.members.push((index, members.clone()));
+            self.membership_history.push((index, members.clone()));
         }
-        let term = self.hard.term;
+        let term = self.hard_state.term;
         self.log.push(Entry { index, term, body });
         index
     }
--- a/crates/quorum/src/node/election.rs
+++ b/crates/quorum/src/node/election.rs
@@ -1,4 +1,4 @@
-//! Elections: who leads in which term.
+//! Leader election.
 
 use super::{Node, Role};
 use crate::leader::Leader;
@@ -8,13 +8,14 @@
 use std::time::Instant;
 
 impl Node {
-    /// Compares terms (section 3.3); false if the message is dealt with.
-    pub(super) fn enter_term(&mut self, message: &Message, now: Instant) -> bool {
-        if message.term < self.hard.term {
-            self.answer_stale(message);
+    /// Compares the term of a message with the current one (section 3.3).
+    /// Returns false if the message needs no further processing.
+    pub(super) fn check_term(&mut self, message: &Message, now: Instant) -> bool {
+        if message.term < self.hard_state.term {
+            self.reply_to_stale_term(message);
             return false;
         }
-        if message.term == self.hard.term {
+        if message.term == self.hard_state.term {
             return true;
         }
         match message.body {
@@ -23,19 +24,19 @@
                 pre_vote: true,
                 granted: true,
             } => return true,
-            // A voter that hears its leader gives no vote and keeps its term
-            // (section 4.2.3). Without this the leader lease would be void:
-            // two leaders would answer reads at the same time.
+            // A voter that hears from its leader does not vote and keeps its
+            // term (section 4.2.3). Otherwise another leader could be elected
+            // during the lease, and two leaders would answer reads.
             MessageBody::VoteRequest {
                 pre_vote: false, ..
-            } if self.hears_leader(now) => return false,
+            } if self.has_live_leader(now) => return false,
             _ => self.become_follower(message.term, now),
         }
         true
     }
 
-    /// Tells an old leader or candidate of the newer term.
-    fn answer_stale(&mut self, message: &Message) {
+    /// Tells a leader or candidate of an older term about the current one.
+    fn reply_to_stale_term(&mut self, message: &Message) {
         match message.body {
             MessageBody::Append { round, .. } | MessageBody::InstallSnapshot { round, .. } => {
                 let body = MessageBody::AppendReply {
@@ -53,56 +54,56 @@
         }
     }
 
-    fn hears_leader(&self, now: Instant) -> bool {
+    fn has_live_leader(&self, now: Instant) -> bool {
         if self.is_leader() {
             return self.has_lease(now);
         }
-        now.saturating_duration_since(self.heard) < self.cfg.election_timeout
+        now.saturating_duration_since(self.leader_heard_at) < self.cfg.election_timeout
     }
 
     pub(super) fn become_follower(&mut self, term: u64, now: Instant) {
-        if term > self.hard.term {
-            self.hard.term = term;
-            self.hard.vote = None;
-            self.hard_changed = true;
+        if term > self.hard_state.term {
+            self.hard_state.term = term;
+            self.hard_state.vote = None;
+            self.hard_state_changed = true;
             self.leader = None;
         }
         if let Role::Leader(leader) = &self.role {
-            let tokens = leader.reads.iter().map(|r| r.token);
+            let tokens = leader.pending_reads.iter().map(|r| r.token);
             self.refused_reads.extend(tokens);
             self.leader = None;
         }
         self.role = Role::Follower;
-        self.put_off_election(now);
+        self.reset_election_deadline(now);
     }
 
-    /// Takes the sender of an append for the leader of this term.
-    pub(super) fn follow(&mut self, leader: DiskId, now: Instant) {
+    /// Accepts the sender of an append as the leader of the current term.
+    pub(super) fn accept_leader(&mut self, leader: DiskId, now: Instant) {
         if !matches!(self.role, Role::Follower) {
-            self.become_follower(self.hard.term, now);
+            self.become_follower(self.hard_state.term, now);
         }
         self.leader = Some(leader);
-        self.heard = now;
-        self.put_off_election(now);
+        self.leader_heard_at = now;
+        self.reset_election_deadline(now);
     }
 
-    pub(super) fn ask_for_election(&mut self, now: Instant) {
+    pub(super) fn start_pre_vote(&mut self, now: Instant) {
         self.leader = None;
-        self.put_off_election(now);
+        self.reset_election_deadline(now);
         self.role = Role::PreCandidate(BTreeMap::new());
-        self.ask_for_votes(self.hard.term + 1, true, now);
+        self.request_votes(self.hard_state.term + 1, true, now);
     }
 
-    fn campaign(&mut self, now: Instant) {
-        self.hard.term += 1;
-        self.hard.vote = Some(self.id);
-        self.hard_changed = true;
-        self.put_off_election(now);
+    fn start_election(&mut self, now: Instant) {
+        self.hard_state.term += 1;
+        self.hard_state.vote = Some(self.id);
+        self.hard_state_changed = true;
+        self.reset_election_deadline(now);
         self.role = Role::Candidate(BTreeMap::new());
-        self.ask_for_votes(self.hard.term, false, now);
+        self.request_votes(self.hard_state.term, false, now);
     }
 
-    fn ask_for_votes(&mut self, term: u64, pre_vote: bool, now: Instant) {
+    fn request_votes(&mut self, term: u64, pre_vote: bool, now: Instant) {
         let body = MessageBody::VoteRequest {
             pre_vote,
             last_index: self.log.last_index(),
@@ -115,14 +116,14 @@
             }
         }
         if pre_vote {
-            return self.count_vote(self.id, true, true, now);
+            return self.handle_vote_reply(self.id, true, true, now);
         }
-        // The own vote counts once it is synced, as that of any other voter.
+        // The vote for itself counts once it is synced, like any other vote.
         let granted = true;
         self.send(self.id, MessageBody::VoteReply { pre_vote, granted });
     }
 
-    pub(super) fn answer_vote(
+    pub(super) fn handle_vote_request(
         &mut self,
         from: DiskId,
         term: u64,
@@ -130,25 +131,26 @@
         last: (u64, u64),
         now: Instant,
     ) {
-        // Section 3.6.1: only a log that holds all that is committed may lead.
-        let whole = last >= (self.log.last_term(), self.log.last_index());
+        // Section 3.6.1: only a replica whose log holds all committed entries
+        // may become leader.
+        let up_to_date = last >= (self.log.last_term(), self.log.last_index());
         let granted = if pre_vote {
-            whole && term > self.hard.term && !self.hears_leader(now)
+            up_to_date && term > self.hard_state.term && !self.has_live_leader(now)
         } else {
-            let free = self.hard.vote.is_none_or(|vote| vote == from);
-            whole && free && self.leader.is_none() && !self.hears_leader(now)
+            let vote_available = self.hard_state.vote.is_none_or(|vote| vote == from);
+            up_to_date && vote_available && self.leader.is_none() && !self.has_live_leader(now)
         };
         if granted && !pre_vote {
-            if self.hard.vote.is_none() {
-                self.hard.vote = Some(from);
-                self.hard_changed = true;
+            if self.hard_state.vote.is_none() {
+                self.hard_state.vote = Some(from);
+                self.hard_state_changed = true;
             }
-            self.put_off_election(now);
+            self.reset_election_deadline(now);
         }
         let reply_term = if pre_vote && granted {
             term
         } else {
-            self.hard.term
+            self.hard_state.term
         };
         self.send_in_term(
             from,
@@ -157,7 +159,13 @@
         );
     }
 
-    pub(super) fn count_vote(&mut self, from: DiskId, pre_vote: bool, granted: bool, now: Instant) {
+    pub(super) fn handle_vote_reply(
+        &mut self,
+        from: DiskId,
+        pre_vote: bool,
+        granted: bool,
+        now: Instant,
+    ) {
         let members = self.members().clone();
         let votes = match &mut self.role {
             Role::PreCandidate(votes) if pre_vote => votes,
@@ -165,12 +173,12 @@
             _ => return,
         };
         votes.insert(from, granted);
-        let yes = |id: &&DiskId| votes.get(id) == Some(&true);
-        if members.voters.keys().filter(yes).count() < members.majority() {
+        let granted = |id: &&DiskId| votes.get(id) == Some(&true);
+        if members.voters.keys().filter(granted).count() < members.majority() {
             return;
         }
         if pre_vote {
-            self.campaign(now);
+            self.start_election(now);
         } else {
             self.become_leader(now);
         }
@@ -185,18 +193,18 @@
         let leader = Leader {
             peers,
             round: 0,
-            begun: VecDeque::new(),
-            confirmed: None,
-            next_beat: now,
-            since: now,
-            noop: next,
-            reads: Vec::new(),
-            commit_at_beat: self.commit,
-            commit_before: self.commit,
+            unconfirmed_rounds: VecDeque::new(),
+            last_confirmed: None,
+            next_heartbeat: now,
+            elected_at: now,
+            noop_index: next,
+            pending_reads: Vec::new(),
+            commit_at_heartbeat: self.commit_index,
+            commit_at_previous_heartbeat: self.commit_index,
         };
         self.role = Role::Leader(Box::new(leader));
         self.leader = Some(self.id);
-        self.order(EntryBody::Noop);
-        self.lead(now);
+        self.append_as_leader(EntryBody::Noop);
+        self.tick_leader(now);
     }
 }
--- a/crates/quorum/src/node/inspect.rs
+++ b/crates/quorum/src/node/inspect.rs
@@ -1,16 +1,17 @@
-//! What a replica knows and is at the moment.
+//! Accessors for the state of a replica.
 
 use super::{Node, Role};
 use crate::{DiskId, Members, ReplicaStatus, Status};
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// Elections that a voter waits through before it takes itself for replaced.
-/// It goes on to vote meanwhile; to ask costs one message an election.
+/// Number of election timeouts without a leader after which a voter assumes
+/// that it has been replaced. It still votes in the meantime, and a join
+/// request costs one message per election timeout.
 const ELECTIONS_UNTIL_REPLACED: u32 = 3;
 
 impl Node {
-    /// Own disk.
+    /// Returns the disk of this replica.
     ///
     /// ```
     /// # use quorum::*;
@@ -23,7 +24,7 @@
         self.id
     }
 
-    /// Newest term heard of; of a leader, its fencing number.
+    /// Returns the latest term seen. On a leader it is the fencing number.
     ///
     /// ```
     /// # use quorum::*;
@@ -33,11 +34,11 @@
     /// ```
     #[must_use]
     pub fn term(&self) -> u64 {
-        self.hard.term
+        self.hard_state.term
     }
 
-    /// Whether this replica leads, or still believes so; see
-    /// [`Node::has_lease`].
+    /// Returns whether this replica is the leader of its term. Another replica
+    /// may lead a later term already; see [`Node::has_lease`].
     ///
     /// ```
     /// # use quorum::*;
@@ -50,8 +51,9 @@
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Whether this replica leads and no other can: a majority has answered
-    /// so lately that it gives no vote yet (sections 6.2 and 6.4.1).
+    /// Returns whether this replica leads and no other replica can: a majority
+    /// has answered so recently that it does not vote yet (sections 6.2 and
+    /// 6.4.1).
     ///
     /// ```
     /// # use quorum::*;
@@ -67,8 +69,8 @@
         }
     }
 
-    /// Whether this leader has committed an entry of its own term, and so
-    /// holds all that was ever acknowledged (section 6.4).
+    /// Returns whether this leader has committed an entry of its own term, and
+    /// therefore knows of all acknowledged entries (section 6.4).
     ///
     /// ```
     /// # use quorum::*;
@@ -79,13 +81,14 @@
     #[must_use]
     pub fn has_committed_in_term(&self) -> bool {
         match &self.role {
-            Role::Leader(leader) => self.commit >= leader.noop,
+            Role::Leader(leader) => self.commit_index >= leader.noop_index,
             _ => false,
         }
     }
 
-    /// Whether all that this leader has found committed was handed out to be
-    /// applied, so that the state machine lacks nothing acknowledged before it.
+    /// Returns whether this leader has returned an entry of its own term for
+    /// applying, so that the state machine contains all entries acknowledged by
+    /// earlier leaders.
     ///
     /// ```
     /// # use quorum::*;
@@ -96,12 +99,12 @@
     #[must_use]
     pub fn has_applied_in_term(&self) -> bool {
         match &self.role {
-            Role::Leader(leader) => self.applied >= leader.noop,
+            Role::Leader(leader) => self.applied_index >= leader.noop_index,
             _ => false,
         }
     }
 
-    /// The leader, if known.
+    /// Returns the leader, if known.
     ///
     /// ```
     /// # use quorum::*;
@@ -114,7 +117,7 @@
         self.leader
     }
 
-    /// The members as of the end of the log.
+    /// Returns the members in force at the end of the log.
     ///
     /// ```
     /// # use quorum::*;
@@ -128,16 +131,18 @@
             voters: BTreeMap::new(),
             learners: BTreeMap::new(),
         };
-        self.members.last().map_or(NONE, |(_, members)| members)
+        self.membership_history
+            .last()
+            .map_or(NONE, |(_, members)| members)
     }
 
-    /// Whether this replica should ask to be taken in: it hears no leader
-    /// and is no voter, or was one for so long without a leader that its
-    /// place may be another's by now.
+    /// Returns whether this replica should ask to join the cluster: it is not a
+    /// voter and hears from no leader, or it is a voter that has been without a
+    /// leader for so long that it may have been replaced.
     ///
-    /// A blank one is so. One that was being taken in may be so as well: the
-    /// change that made it a learner can be lost with the leader that ordered
-    /// it, and then nobody knows of this replica any more.
+    /// This applies to a replica with a blank disk. It can also apply to a
+    /// learner: the entry that added it can be lost with the leader that
+    /// appended it, and then no other replica knows of this one.
     ///
     /// ```
     /// # use quorum::*;
@@ -147,7 +152,7 @@
     /// ```
     #[must_use]
     pub fn should_join(&self, now: Instant) -> bool {
-        let silence = now.saturating_duration_since(self.heard);
+        let silence = now.saturating_duration_since(self.leader_heard_at);
         let silent = silence >= self.cfg.election_timeout;
         let replaced = self.cfg.voter_replacement.is_some()
             && !self.is_leader()
@@ -155,7 +160,7 @@
         replaced || !self.is_voter() && (self.leader.is_none() || silent)
     }
 
-    /// Last entry handed out to be applied, and its term.
+    /// Returns the index and term of the last entry returned for applying.
     ///
     /// ```
     /// # use quorum::*;
@@ -165,11 +170,11 @@
     /// ```
     #[must_use]
     pub fn last_applied(&self) -> (u64, u64) {
-        let term = self.log.term_at(self.applied);
-        (self.applied, term.unwrap_or(self.snapshot.term))
+        let term = self.log.term_at(self.applied_index);
+        (self.applied_index, term.unwrap_or(self.snapshot.term))
     }
 
-    /// Members as of an entry that is still in the log.
+    /// Returns the members in force at an entry that is still in the log.
     ///
     /// ```
     /// # use quorum::*;
@@ -179,12 +184,12 @@
     /// ```
     #[must_use]
     pub fn members_at(&self, index: u64) -> Members {
-        let mut before = self.members.iter().rev();
-        let found = before.find(|(set, _)| *set <= index);
+        let mut newest_first = self.membership_history.iter().rev();
+        let found = newest_first.find(|(changed_at, _)| *changed_at <= index);
         found.map_or_else(Members::default, |(_, members)| members.clone())
     }
 
-    /// What is known of this replica and the others.
+    /// Returns the status of this replica and of the members it knows.
     ///
     /// ```
     /// # use quorum::*;
@@ -196,10 +201,10 @@
     pub fn status(&self, now: Instant) -> Status {
         Status {
             id: self.id,
-            term: self.hard.term,
+            term: self.hard_state.term,
             leader: self.leader,
-            commit_index: self.commit,
-            applied_index: self.applied,
+            commit_index: self.commit_index,
+            applied_index: self.applied_index,
             last_index: self.log.last_index(),
             membership_committed: self.membership_committed(),
             replicas: self.replicas(now),
@@ -219,8 +224,8 @@
             };
             if let Role::Leader(leader) = &self.role {
                 let match_index = leader.peers.get(&id).map(|p| p.match_index);
-                row.match_index = match_index.or((id == self.id).then_some(self.stable));
-                row.active |= leader.active(id, now, self.cfg.election_timeout);
+                row.match_index = match_index.or((id == self.id).then_some(self.synced_index));
+                row.active |= leader.is_active(id, now, self.cfg.election_timeout);
             }
             rows.push(row);
         }
--- a/crates/quorum/src/node/install.rs
+++ b/crates/quorum/src/node/install.rs
@@ -1,7 +1,7 @@
-//! Snapshots from the leader to a replica that is far behind (section 5).
+//! Transfer of snapshots to replicas that are far behind (section 5).
 
 use super::{Node, Role};
-use crate::incoming::Incoming;
+use crate::incoming_snapshot::IncomingSnapshot;
 use crate::leader::Leader;
 use crate::log::Log;
 use crate::progress::{Mode, Progress};
@@ -10,28 +10,28 @@
 use std::time::Instant;
 
 impl Node {
-    /// Tells of a snapshot that the state machine has made and synced, at an
-    /// entry that was handed out. The log before it may go.
+    /// Records a synced snapshot of the state machine and compacts the log.
+    /// Only entries returned for applying may be covered.
     ///
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
     /// let mut node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
-    /// // Beyond what was handed out: ignored.
+    /// // Beyond the last applied entry, so it is ignored.
     /// node.compact(Snapshot { index: 9, ..Snapshot::default() });
     /// assert_eq!(node.snapshot().index, 0);
     /// ```
     pub fn compact(&mut self, snapshot: Snapshot) {
-        if snapshot.index <= self.snapshot.index || snapshot.index > self.applied {
+        if snapshot.index <= self.snapshot.index || snapshot.index > self.applied_index {
             return;
         }
         let keep_from = snapshot.index.saturating_sub(self.cfg.trailing_entries);
         self.snapshot = snapshot;
         self.log.compact(keep_from);
-        self.forget_members();
+        self.trim_membership_history();
     }
 
-    pub(super) fn begin_snapshot(&mut self, leader: &Leader, id: DiskId, peer: &mut Progress) {
+    pub(super) fn start_snapshot(&mut self, leader: &Leader, id: DiskId, peer: &mut Progress) {
         peer.mode = Mode::Snapshot {
             index: self.snapshot.index,
             offset: 0,
@@ -45,8 +45,8 @@
             return;
         };
         if index != self.snapshot.index {
-            // A newer snapshot has replaced the one that was being sent.
-            return self.begin_snapshot(leader, id, peer);
+            // A newer snapshot has replaced the one being sent.
+            return self.start_snapshot(leader, id, peer);
         }
         let data = &self.snapshot.data;
         let from = usize::try_from(offset)
@@ -65,8 +65,8 @@
         self.send(id, body);
     }
 
-    /// A follower's part.
-    pub(super) fn install(&mut self, piece: MessageBody) {
+    /// Processes a snapshot chunk as a follower.
+    pub(super) fn handle_install_snapshot(&mut self, body: MessageBody) {
         let MessageBody::InstallSnapshot {
             index,
             term,
@@ -75,7 +75,7 @@
             chunk,
             done,
             round,
-        } = piece
+        } = body
         else {
             return;
         };
@@ -89,39 +89,39 @@
             };
             node.send(leader, body);
         };
-        let known = index <= self.commit || self.log.term_at(index) == Some(term);
+        let known = index <= self.commit_index || self.log.term_at(index) == Some(term);
         if known && index > 0 {
-            self.commit = self.commit.max(index);
-            self.incoming = None;
+            self.commit_index = self.commit_index.max(index);
+            self.incoming_snapshot = None;
             return reply(self, 0, true);
         }
-        let same = |i: &Incoming| i.index == index && i.term == term;
-        if !self.incoming.as_ref().is_some_and(same) {
-            self.incoming = Some(Incoming {
+        let is_same = |i: &IncomingSnapshot| i.index == index && i.term == term;
+        if !self.incoming_snapshot.as_ref().is_some_and(is_same) {
+            self.incoming_snapshot = Some(IncomingSnapshot {
                 index,
                 term,
                 members,
                 data: Vec::new(),
             });
         }
-        let Some(incoming) = &mut self.incoming else {
+        let Some(incoming) = &mut self.incoming_snapshot else {
             return;
         };
-        let held = incoming.data.len() as u64;
-        if offset == held {
+        let received = incoming.data.len() as u64;
+        if offset == received {
             incoming.data.extend_from_slice(&chunk);
         }
-        let held_now = incoming.data.len() as u64;
-        if offset == held && done {
-            self.received_whole();
-            reply(self, held_now, true);
+        let received_now = incoming.data.len() as u64;
+        if offset == received && done {
+            self.finish_incoming_snapshot();
+            reply(self, received_now, true);
         } else {
-            reply(self, held_now, false);
+            reply(self, received_now, false);
         }
     }
 
-    fn received_whole(&mut self) {
-        let Some(incoming) = self.incoming.take() else {
+    fn finish_incoming_snapshot(&mut self) {
+        let Some(incoming) = self.incoming_snapshot.take() else {
             return;
         };
         let snapshot = Snapshot {
@@ -131,27 +131,27 @@
             data: Bytes::from(incoming.data),
         };
         self.log = Log::new(snapshot.index, snapshot.term);
-        self.members = vec![(snapshot.index, snapshot.members.clone())];
-        self.commit = snapshot.index;
-        self.handed = snapshot.index;
-        self.stable = 0;
+        self.membership_history = vec![(snapshot.index, snapshot.members.clone())];
+        self.commit_index = snapshot.index;
+        self.issued_index = snapshot.index;
+        self.synced_index = 0;
         self.restore = None;
-        self.received = Some(snapshot);
+        self.received_snapshot = Some(snapshot);
     }
 
-    /// The reply to a piece.
-    pub(super) fn installed(
+    /// Processes the reply to a snapshot chunk.
+    pub(super) fn handle_snapshot_reply(
         &mut self,
         from: DiskId,
-        place: (u64, u64),
+        position: (u64, u64),
         done: bool,
         round: u64,
         now: Instant,
     ) {
-        let (index, held) = place;
+        let (index, received) = position;
         self.with_peer(from, |node, leader, peer| {
-            peer.heard = Some(now);
-            peer.round = peer.round.max(round);
+            peer.last_heard = Some(now);
+            peer.answered_round = peer.answered_round.max(round);
             let Mode::Snapshot {
                 index: sent,
                 offset,
@@ -163,22 +163,22 @@
                 return;
             }
             if done {
-                peer.probe();
+                peer.become_probe();
                 peer.match_index = peer.match_index.max(index);
-                peer.next = peer.match_index + 1;
-            } else if held != offset {
+                peer.next_index = peer.match_index + 1;
+            } else if received != offset {
                 peer.mode = Mode::Snapshot {
                     index,
-                    offset: held,
+                    offset: received,
                 };
                 node.send_chunk(leader, from, peer);
             }
         });
-        self.confirm();
+        self.update_confirmed_round();
         self.advance_commit();
     }
 
-    /// The newest snapshot.
+    /// Returns the latest snapshot.
     ///
     /// ```
     /// # use quorum::*;
--- a/crates/quorum/src/node/membership.rs
+++ b/crates/quorum/src/node/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of the members, one at a time (section 4).
+//! Membership changes, one at a time (section 4).
 
 use super::{Node, Role};
 use crate::progress::Progress;
@@ -6,27 +6,28 @@
 use std::time::Instant;
 
 impl Node {
-    /// A blank replica asks to be taken in: it becomes a learner.
-    pub(super) fn take_in(&mut self, id: DiskId, peer: Peer, now: Instant) {
-        if !self.may_change(now) || self.members().contains(id) {
+    /// Processes a join request: the replica becomes a learner.
+    pub(super) fn handle_join(&mut self, id: DiskId, peer: Peer, now: Instant) {
+        if !self.can_change_membership(now) || self.members().contains(id) {
             return;
         }
-        // Two processes under one name are a mistake in their settings; the
-        // one that leads is not replaced by the other.
-        let own = self.members().peer(self.id);
-        if own.is_some_and(|own| own.name == peer.name) {
+        // Two processes with the same name are a configuration error. The one
+        // that leads must not be replaced by the other.
+        let own_peer = self.members().peer(self.id);
+        if own_peer.is_some_and(|own| own.name == peer.name) {
             return;
         }
         let mut members = self.members().clone();
         members.learners.retain(|_, other| other.name != peer.name);
         members.learners.insert(id, peer);
-        self.change(&members);
+        self.change_members(&members);
     }
 
-    /// Removes a replica for good, as an operator orders it.
+    /// Removes a replica permanently, on request of an operator.
     ///
-    /// Returns false if that can't be done now: this replica doesn't lead, a
-    /// change is under way, or the rest would have no majority.
+    /// Returns false if the replica cannot be removed now: this replica is not
+    /// the leader, another change is not committed yet, or the remaining voters
+    /// would have no live majority.
     ///
     /// ```
     /// # use quorum::*;
@@ -35,7 +36,7 @@
     /// assert!(!node.remove_member(DiskId(2), now));
     /// ```
     pub fn remove_member(&mut self, id: DiskId, now: Instant) -> bool {
-        if !self.may_change(now) || id == self.id || !self.members().contains(id) {
+        if !self.can_change_membership(now) || id == self.id || !self.members().contains(id) {
             return false;
         }
         let mut members = self.members().clone();
@@ -44,26 +45,28 @@
         if !self.has_live_majority(&members, now) {
             return false;
         }
-        self.change(&members);
+        self.change_members(&members);
         true
     }
 
-    /// One change at a time, each committed before the next, and none before
-    /// the leader has committed an entry of its own term: otherwise majorities
-    /// of two configurations need not overlap, and each could elect a leader.
-    fn may_change(&self, now: Instant) -> bool {
+    /// Returns whether a membership change may start. Changes are made one at a
+    /// time, each committed before the next, and none before the leader has
+    /// committed an entry of its own term. Otherwise majorities of two
+    /// configurations need not overlap, and each could elect a leader.
+    fn can_change_membership(&self, now: Instant) -> bool {
         self.has_lease(now) && self.has_committed_in_term() && self.membership_committed()
     }
 
     pub(super) fn membership_committed(&self) -> bool {
-        let newest = self.members.last();
-        newest.is_none_or(|(set, _)| *set <= self.commit)
+        let newest = self.membership_history.last();
+        newest.is_none_or(|(changed_at, _)| *changed_at <= self.commit_index)
     }
 
-    /// Takes the next step of a repair: the former disk of a learner's host
-    /// leaves, then the learner is made a voter.
+    /// Takes the next step towards the desired voters: removes the former disk
+    /// of a caught-up learner or a lost voter, then promotes the learner to
+    /// voter.
     pub(super) fn advance_membership(&mut self, now: Instant) {
-        if !self.may_change(now) {
+        if !self.can_change_membership(now) {
             return;
         }
         let learners: Vec<DiskId> = self.members().learners.keys().copied().collect();
@@ -72,7 +75,7 @@
                 continue;
             }
             if let Some(next) = self.promotion_step(id, now) {
-                return self.change(&next);
+                return self.change_members(&next);
             }
         }
     }
@@ -81,10 +84,10 @@
         let Role::Leader(leader) = &self.role else {
             return false;
         };
-        let synced = leader.peers.get(&id).map_or(0, |p| p.match_index);
-        synced >= leader.commit_before
+        let match_index = leader.peers.get(&id).map_or(0, |p| p.match_index);
+        match_index >= leader.commit_at_previous_heartbeat
             && !self.is_sending_snapshot(id)
-            && leader.active(id, now, self.cfg.election_timeout)
+            && leader.is_active(id, now, self.cfg.election_timeout)
     }
 
     fn promotion_step(&self, id: DiskId, now: Instant) -> Option<Members> {
@@ -106,26 +109,27 @@
     }
 
     fn has_all_voters(&self) -> bool {
-        let wanted = self.cfg.voter_replacement.map(|replace| replace.voters);
-        wanted.is_some_and(|wanted| self.members().voters.len() >= wanted)
+        let desired = self.cfg.voter_replacement.map(|policy| policy.voters);
+        desired.is_some_and(|desired| self.members().voters.len() >= desired)
     }
 
-    /// A voter that has been silent for so long that it counts as lost.
+    /// Returns a voter that has been silent for so long that it counts as lost.
     fn lost_voter(&self, now: Instant) -> Option<DiskId> {
-        let after = self.cfg.voter_replacement?.lost_after;
+        let lost_after = self.cfg.voter_replacement?.lost_after;
         let Role::Leader(leader) = &self.role else {
             return None;
         };
         let silent = |id: &DiskId| {
-            let heard = leader.peers.get(id).and_then(|peer| peer.heard);
-            let since = heard.unwrap_or(leader.since);
-            now.saturating_duration_since(since) >= after
+            let last_heard = leader.peers.get(id).and_then(|peer| peer.last_heard);
+            let since = last_heard.unwrap_or(leader.elected_at);
+            now.saturating_duration_since(since) >= lost_after
         };
         let mut others = self.members().voters.keys().filter(|id| **id != self.id);
         others.find(|id| silent(id)).copied()
     }
 
-    /// A change that its new majority can't commit would stop the cluster.
+    /// Returns whether a majority of these members is live. A change that its
+    /// new majority cannot commit would stop the cluster.
     fn has_live_majority(&self, members: &Members, now: Instant) -> bool {
         let live = |id: &&DiskId| self.is_active(**id, now);
         members.voters.keys().filter(live).count() >= members.majority()
@@ -134,21 +138,21 @@
     fn is_active(&self, id: DiskId, now: Instant) -> bool {
         match &self.role {
             Role::Leader(leader) => {
-                id == self.id || leader.active(id, now, self.cfg.election_timeout)
+                id == self.id || leader.is_active(id, now, self.cfg.election_timeout)
             }
             _ => false,
         }
     }
 
-    fn change(&mut self, members: &Members) {
-        let index = self.order(EntryBody::Members(members.clone()));
+    fn change_members(&mut self, members: &Members) {
+        let index = self.append_as_leader(EntryBody::Members(members.clone()));
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
         leader.peers.retain(|id, _| members.contains(*id));
         for id in members.ids().filter(|id| *id != self.id) {
-            let new = || Progress::new(index);
-            leader.peers.entry(id).or_insert_with(new);
+            let new_progress = || Progress::new(index);
+            leader.peers.entry(id).or_insert_with(new_progress);
         }
     }
 }
--- a/crates/quorum/src/node/output.rs
+++ b/crates/quorum/src/node/output.rs
@@ -1,12 +1,12 @@
-//! What the replica wants done, and when a message may leave.
+//! Output of a replica: writes, messages and committed entries.
 
-use super::{Issued, Node, Role};
+use super::{Node, PendingWrite, Role};
 use crate::{DiskId, EntryBody, Message, MessageBody, Ready, Write};
 use std::time::Instant;
 
 impl Node {
-    /// What is to be done now; everything is handed out once. The crate page
-    /// shows the round of `ready` and `persisted`.
+    /// Returns the pending actions. Each action is returned once. See the crate
+    /// documentation for how `ready` and `persisted` are called in turn.
     ///
     /// ```
     /// # use quorum::*;
@@ -20,10 +20,10 @@
         let restore = self.restore.take();
         Ready {
             write,
-            messages: std::mem::take(&mut self.out),
+            messages: std::mem::take(&mut self.outbox),
             restore,
             committed: self.next_committed(),
-            confirmed_reads: std::mem::take(&mut self.reads),
+            confirmed_reads: std::mem::take(&mut self.confirmed_reads),
             refused_reads: std::mem::take(&mut self.refused_reads),
         }
     }
@@ -33,111 +33,124 @@
             return None;
         }
         let last = self.log.last_index();
-        self.writes += 1;
-        self.issued.push_back(Issued {
-            number: self.writes,
+        self.last_write += 1;
+        self.pending_writes.push_back(PendingWrite {
+            number: self.last_write,
             index: last,
             term: self.log.last_term(),
         });
         let entries = self
             .log
-            .slice(self.handed + 1, last, usize::MAX, usize::MAX);
-        let snapshot = self.received.take();
+            .slice(self.issued_index + 1, last, usize::MAX, usize::MAX);
+        let snapshot = self.received_snapshot.take();
         if let Some(snapshot) = &snapshot {
-            self.restoring = Some((self.writes, snapshot.clone()));
+            self.pending_restore = Some((self.last_write, snapshot.clone()));
         }
-        self.handed = last;
-        self.hard_changed = false;
+        self.issued_index = last;
+        self.hard_state_changed = false;
         Some(Write {
-            number: self.writes,
+            number: self.last_write,
             snapshot,
-            hard_state: self.hard,
+            hard_state: self.hard_state,
             entries,
         })
     }
 
     fn has_unwritten(&self) -> bool {
-        self.hard_changed || self.received.is_some() || self.handed < self.log.last_index()
+        self.hard_state_changed
+            || self.received_snapshot.is_some()
+            || self.issued_index < self.log.last_index()
     }
 
     fn next_committed(&mut self) -> Vec<crate::Entry> {
-        if self.received.is_some() || self.restoring.is_some() {
+        if self.received_snapshot.is_some() || self.pending_restore.is_some() {
             return Vec::new();
         }
-        // A leader's commit rests on a majority that has synced. Its own disk
-        // need not be among them: were it waited for, a leader whose disk is
-        // full would keep every read waiting behind a note that the others
-        // have already made last.
+        // The commit index of a leader depends on a majority that has synced,
+        // not necessarily on its own disk. If the leader waited for its disk,
+        // every read would block behind an entry that the others have already
+        // synced while the disk of the leader is full.
         let to = if self.is_leader() {
-            self.commit
+            self.commit_index
         } else {
-            self.commit.min(self.stable)
+            self.commit_index.min(self.synced_index)
         };
-        let entries = self.log.slice(self.applied + 1, to, usize::MAX, usize::MAX);
-        self.applied = self.applied.max(to);
+        let entries = self
+            .log
+            .slice(self.applied_index + 1, to, usize::MAX, usize::MAX);
+        self.applied_index = self.applied_index.max(to);
         entries
     }
 
-    /// Tells that all writes up to `number` are synced.
+    /// Reports that all writes up to `number` are synced.
     ///
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
     /// let mut node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
     /// if let Some(write) = node.ready().write {
-    ///     // Written and synced here.
+    ///     // Write and sync it here.
     ///     node.persisted(write.number, now);
     /// }
     /// ```
     pub fn persisted(&mut self, number: u64, now: Instant) {
-        while self.issued.front().is_some_and(|i| i.number <= number) {
-            let Some(issued) = self.issued.pop_front() else {
+        while self
+            .pending_writes
+            .front()
+            .is_some_and(|write| write.number <= number)
+        {
+            let Some(synced) = self.pending_writes.pop_front() else {
                 break;
             };
-            self.settle_restore(issued.number);
-            // The end of the log of that time may have been replaced since.
-            if self.log.term_at(issued.index) == Some(issued.term) {
-                self.stable = self.stable.max(issued.index);
+            self.complete_restore(synced.number);
+            // The entries of this write may have been replaced since it was
+            // issued.
+            if self.log.term_at(synced.index) == Some(synced.term) {
+                self.synced_index = self.synced_index.max(synced.index);
             }
         }
-        while self.held.front().is_some_and(|(needs, _)| *needs <= number) {
-            let Some((_, message)) = self.held.pop_front() else {
+        while self
+            .deferred
+            .front()
+            .is_some_and(|(write, _)| *write <= number)
+        {
+            let Some((_, message)) = self.deferred.pop_front() else {
                 break;
             };
             if message.to == self.id {
                 self.step(message, now);
             } else {
-                self.out.push(message);
+                self.outbox.push(message);
             }
         }
         self.advance_commit();
     }
 
-    fn settle_restore(&mut self, number: u64) {
-        match self.restoring.take() {
-            Some((by, snapshot)) if by <= number => {
-                self.applied = snapshot.index;
-                self.stable = self.stable.max(snapshot.index);
+    fn complete_restore(&mut self, number: u64) {
+        match self.pending_restore.take() {
+            Some((write, snapshot)) if write <= number => {
+                self.applied_index = snapshot.index;
+                self.synced_index = self.synced_index.max(snapshot.index);
                 self.snapshot = snapshot.clone();
                 self.restore = Some(snapshot);
             }
-            other => self.restoring = other,
+            other => self.pending_restore = other,
         }
     }
 
     pub(super) fn send(&mut self, to: DiskId, body: MessageBody) {
-        self.send_in_term(to, self.hard.term, body);
+        self.send_in_term(to, self.hard_state.term, body);
     }
 
-    /// Sends, or holds back until what the message promises is synced.
+    /// Sends a message, or defers it until the state it depends on is synced.
     ///
-    /// A vote or an acceptance that leaves before the sync is forgotten by a
-    /// crash: two leaders in one term, or an acknowledged entry that a
-    /// majority doesn't have. Appends of a leader promise nothing of its own
+    /// If a vote or an acceptance were sent before the sync, a crash could undo
+    /// it: there could be two leaders in one term, or an acknowledged entry
+    /// that no majority holds. Appends of a leader do not depend on its own
     /// disk (section 10.2.1).
     pub(super) fn send_in_term(&mut self, to: DiskId, term: u64, body: MessageBody) {
         let from = self.id;
-        let promises = !matches!(
+        let depends_on_sync = !matches!(
             body,
             MessageBody::Append { .. } | MessageBody::InstallSnapshot { .. }
         );
@@ -148,29 +161,29 @@
             body,
         };
         let unwritten = u64::from(self.has_unwritten());
-        let synced = self.issued.is_empty() && unwritten == 0;
-        if promises && (to == self.id || !synced) {
-            self.hold(self.writes + unwritten, message);
+        let synced = self.pending_writes.is_empty() && unwritten == 0;
+        if depends_on_sync && (to == self.id || !synced) {
+            self.defer(self.last_write + unwritten, message);
         } else {
-            self.out.push(message);
+            self.outbox.push(message);
         }
     }
 
-    /// Keeps a message back. Each heartbeat of the leader adds an answer; while
-    /// a full disk lets no write through, only the newest of those that say
-    /// the same is kept.
-    fn hold(&mut self, needs: u64, message: Message) {
-        if let Some((before, last)) = self.held.back_mut()
-            && *before == needs
-            && last.says_same_but_round(&message)
+    /// Defers a message until the given write is synced. Each heartbeat of the
+    /// leader adds a reply; while a full disk blocks writes, only the latest of
+    /// several replies that differ only in their round is kept.
+    fn defer(&mut self, write: u64, message: Message) {
+        if let Some((last_write, last)) = self.deferred.back_mut()
+            && *last_write == write
+            && last.is_same_append_reply(&message)
         {
             *last = message;
             return;
         }
-        self.held.push_back((needs, message));
+        self.deferred.push_back((write, message));
     }
 
-    /// Messages that wait for a sync.
+    /// Returns the number of messages deferred until a sync.
     ///
     /// ```
     /// # use quorum::*;
@@ -180,51 +193,52 @@
     /// ```
     #[must_use]
     pub fn deferred_messages(&self) -> usize {
-        self.held.len()
+        self.deferred.len()
     }
 
-    /// Commits what a majority has synced, if it is of this leader's term
-    /// (section 3.6.2).
+    /// Commits the entries that a majority has synced, if the last of them is
+    /// of the current term (section 3.6.2).
     pub(super) fn advance_commit(&mut self) {
         let Role::Leader(leader) = &self.role else {
             return;
         };
         let match_index = |id: DiskId| {
             if id == self.id {
-                return self.stable;
+                return self.synced_index;
             }
             leader.peers.get(&id).map_or(0, |p| p.match_index)
         };
         let Some(index) = self.members().majority_value(match_index) else {
             return;
         };
-        if index > self.commit && self.log.term_at(index) == Some(self.hard.term) {
-            self.commit = index;
-            self.forget_members();
+        if index > self.commit_index && self.log.term_at(index) == Some(self.hard_state.term) {
+            self.commit_index = index;
+            self.trim_membership_history();
         }
     }
 
-    /// Drops the members that can't come back: those before the ones in force
-    /// at the newest snapshot or commit.
-    pub(super) fn forget_members(&mut self) {
-        let floor = self.snapshot.index.min(self.commit);
-        while self.members.len() > 1 && self.members[1].0 <= floor {
-            self.members.remove(0);
+    /// Drops the memberships that can no longer be in force: those before the
+    /// one at the latest snapshot or the commit index, whichever is lower.
+    pub(super) fn trim_membership_history(&mut self) {
+        let floor = self.snapshot.index.min(self.commit_index);
+        while self.membership_history.len() > 1 && self.membership_history[1].0 <= floor {
+            self.membership_history.remove(0);
         }
     }
 
-    /// Drops entries from `from` on, which another leader has replaced.
+    /// Removes the entries from `from` on, which another leader has replaced.
     pub(super) fn truncate(&mut self, from: u64) {
         self.log.truncate(from);
-        self.handed = self.handed.min(from - 1);
-        self.stable = self.stable.min(from - 1);
-        self.members.retain(|(set, _)| *set < from);
+        self.issued_index = self.issued_index.min(from - 1);
+        self.synced_index = self.synced_index.min(from - 1);
+        self.membership_history
+            .retain(|(changed_at, _)| *changed_at < from);
     }
 
-    /// Appends an entry of the leader's.
-    pub(super) fn adopt(&mut self, entry: crate::Entry) {
+    /// Appends an entry received from the leader.
+    pub(super) fn append_from_leader(&mut self, entry: crate::Entry) {
         if let EntryBody::Members(members) = &entry.body {
-            self.members.push((entry.index, members.clone()));
+            self.membership_history.push((entry.index, members.clone()));
         }
         self.log.push(entry);
     }
--- a/crates/quorum/src/node/replicate.rs
+++ b/crates/quorum/src/node/replicate.rs
@@ -1,4 +1,4 @@
-//! Entries from the leader to the others.
+//! Replication of log entries from the leader to its followers.
 
 use super::{Node, Role};
 use crate::leader::Leader;
@@ -7,36 +7,39 @@
 use std::time::Instant;
 
 impl Node {
-    /// A leader's part of a tick.
-    pub(super) fn lead(&mut self, now: Instant) {
-        let election = self.cfg.election_timeout;
-        let heartbeat = self.cfg.heartbeat_interval;
+    /// Handles the leader part of a tick.
+    pub(super) fn tick_leader(&mut self, now: Instant) {
+        let election_timeout = self.cfg.election_timeout;
+        let heartbeat_interval = self.cfg.heartbeat_interval;
         let members = self.members().clone();
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        leader.confirm(self.id, &members);
-        // Check-quorum (section 6.2): a leader that a partition has cut off
-        // would otherwise hold callers for ever, where another could serve.
-        let confirmed = leader.confirmed.map_or(leader.since, |(_, at)| at);
-        if now.saturating_duration_since(confirmed) >= election {
-            return self.become_follower(self.hard.term, now);
-        }
-        if now < leader.next_beat {
+        leader.update_confirmed_round(self.id, &members);
+        // Check-quorum (section 6.2): a leader isolated by a partition steps
+        // down. Otherwise its callers would wait indefinitely although another
+        // leader could serve them.
+        let confirmed_at = leader
+            .last_confirmed
+            .map_or(leader.elected_at, |(_, at)| at);
+        if now.saturating_duration_since(confirmed_at) >= election_timeout {
+            return self.become_follower(self.hard_state.term, now);
+        }
+        if now < leader.next_heartbeat {
             return;
         }
-        leader.next_beat = now + heartbeat;
-        leader.commit_before = leader.commit_at_beat;
-        leader.commit_at_beat = self.commit;
-        self.begin_reads();
-        self.begin_round(now);
-        self.confirm();
-        self.beat();
+        leader.next_heartbeat = now + heartbeat_interval;
+        leader.commit_at_previous_heartbeat = leader.commit_at_heartbeat;
+        leader.commit_at_heartbeat = self.commit_index;
+        self.assign_read_rounds();
+        self.start_round(now);
+        self.update_confirmed_round();
+        self.send_heartbeats();
         self.advance_membership(now);
     }
 
-    /// Begins the round that confirms the reads asked so far, unless one is
-    /// under way. Without it they wait for the next heartbeat.
+    /// Starts a heartbeat round to confirm the pending reads, unless reads wait
+    /// for a running round. Without this call they wait for the next heartbeat.
     ///
     /// ```
     /// # use quorum::*;
@@ -45,30 +48,31 @@
     /// node.start_read_round(now);
     /// ```
     pub fn start_read_round(&mut self, now: Instant) {
-        let own = self.has_committed_in_term();
+        let committed_in_term = self.has_committed_in_term();
         let Role::Leader(leader) = &self.role else {
             return;
         };
-        if !own || !leader.wants_round() {
+        if !committed_in_term || !leader.needs_round() {
             return;
         }
-        self.begin_reads();
-        self.begin_round(now);
-        self.confirm();
-        self.beat();
+        self.assign_read_rounds();
+        self.start_round(now);
+        self.update_confirmed_round();
+        self.send_heartbeats();
     }
 
-    fn begin_round(&mut self, now: Instant) {
+    fn start_round(&mut self, now: Instant) {
         if let Role::Leader(leader) = &mut self.role {
-            leader.begin_round(now);
+            leader.start_round(now);
         }
     }
 
-    /// Sends one message to each of the others, whether there is news or not.
-    pub(super) fn beat(&mut self) {
+    /// Sends one message to each other member, whether or not there are new
+    /// entries.
+    pub(super) fn send_heartbeats(&mut self) {
         for id in self.peer_ids() {
             self.with_peer(id, |node, leader, peer| {
-                peer.waiting = false;
+                peer.probe_in_flight = false;
                 match peer.mode {
                     Mode::Probe => node.send_append(leader, id, peer),
                     Mode::Replicate => node.send_entries(leader, id, peer, Vec::new()),
@@ -78,7 +82,8 @@
         }
     }
 
-    /// Sends what each of the others lacks, within the window.
+    /// Sends missing entries to each other member, within the limit of appends
+    /// in flight.
     pub(super) fn replicate_all(&mut self) {
         for id in self.peer_ids() {
             self.with_peer(id, |node, leader, peer| node.replicate(leader, id, peer));
@@ -92,7 +97,8 @@
         }
     }
 
-    /// Lends out the leader's view of one replica beside the node itself.
+    /// Calls `act` with the node, the leader state and the progress of one
+    /// replica, so that all three can be borrowed at once.
     pub(super) fn with_peer(
         &mut self,
         id: DiskId,
@@ -112,10 +118,12 @@
 
     fn replicate(&mut self, leader: &Leader, id: DiskId, peer: &mut Progress) {
         loop {
-            let more = peer.next <= self.log.last_index();
+            let has_more = peer.next_index <= self.log.last_index();
             match peer.mode {
-                Mode::Probe if !peer.waiting => self.send_append(leader, id, peer),
-                Mode::Replicate if more && peer.inflight.len() < self.cfg.max_inflight_appends => {
+                Mode::Probe if !peer.probe_in_flight => self.send_append(leader, id, peer),
+                Mode::Replicate
+                    if has_more && peer.inflight.len() < self.cfg.max_inflight_appends =>
+                {
                     self.send_append(leader, id, peer);
                 }
                 _ => return,
@@ -124,11 +132,11 @@
     }
 
     fn send_append(&mut self, leader: &Leader, id: DiskId, peer: &mut Progress) {
-        if self.log.term_at(peer.next - 1).is_none() {
-            return self.begin_snapshot(leader, id, peer);
+        if self.log.term_at(peer.next_index - 1).is_none() {
+            return self.start_snapshot(leader, id, peer);
         }
         let entries = self.log.slice(
-            peer.next,
+            peer.next_index,
             self.log.last_index(),
             self.cfg.max_append_entries,
             self.cfg.max_append_bytes,
@@ -143,14 +151,14 @@
         peer: &mut Progress,
         entries: Vec<Entry>,
     ) {
-        let previous_index = peer.next - 1;
+        let previous_index = peer.next_index - 1;
         let Some(previous_term) = self.log.term_at(previous_index) else {
-            return self.begin_snapshot(leader, id, peer);
+            return self.start_snapshot(leader, id, peer);
         };
         match (peer.mode, entries.last()) {
-            (Mode::Probe, _) => peer.waiting = true,
+            (Mode::Probe, _) => peer.probe_in_flight = true,
             (Mode::Replicate, Some(last)) => {
-                peer.next = last.index + 1;
+                peer.next_index = last.index + 1;
                 peer.inflight.push_back(last.index);
             }
             _ => {}
@@ -158,15 +166,15 @@
         let body = MessageBody::Append {
             previous_index,
             previous_term,
-            commit: self.commit,
+            commit: self.commit_index,
             round: leader.round,
             entries,
         };
         self.send(id, body);
     }
 
-    /// A follower's part (section 3.5).
-    pub(super) fn append(
+    /// Processes an append as a follower (section 3.5).
+    pub(super) fn handle_append(
         &mut self,
         previous: (u64, u64),
         entries: Vec<Entry>,
@@ -175,27 +183,28 @@
     ) {
         let Some(leader) = self.leader else { return };
         let (index, term) = previous;
-        // What is committed here is the leader's as well (section 3.6.3).
-        let agrees = index <= self.commit || self.log.term_at(index) == Some(term);
-        if !agrees {
+        // Entries committed here are in the leader's log as well (section
+        // 3.6.3).
+        let matches = index <= self.commit_index || self.log.term_at(index) == Some(term);
+        if !matches {
             let body = MessageBody::AppendReply {
                 accepted: false,
-                index: self.agreement_hint(index),
+                index: self.conflict_hint(index),
                 round,
             };
             return self.send(leader, body);
         }
         let mut last = index;
         for entry in entries {
-            // Indices that don't follow each other come from a faulty peer.
-            if entry.index != last + 1 || !self.take_entry(entry) {
+            // Only a faulty peer sends indices that are not consecutive.
+            if entry.index != last + 1 || !self.accept_entry(entry) {
                 return;
             }
             last += 1;
         }
-        if commit.min(last) > self.commit {
-            self.commit = commit.min(last);
-            self.forget_members();
+        if commit.min(last) > self.commit_index {
+            self.commit_index = commit.min(last);
+            self.trim_membership_history();
         }
         let body = MessageBody::AppendReply {
             accepted: true,
@@ -205,24 +214,24 @@
         self.send(leader, body);
     }
 
-    fn take_entry(&mut self, entry: Entry) -> bool {
-        if entry.index <= self.commit || self.log.term_at(entry.index) == Some(entry.term) {
+    fn accept_entry(&mut self, entry: Entry) -> bool {
+        if entry.index <= self.commit_index || self.log.term_at(entry.index) == Some(entry.term) {
             return true;
         }
         if entry.index <= self.log.last_index() {
             self.truncate(entry.index);
         }
-        self.adopt(entry);
+        self.append_from_leader(entry);
         true
     }
 
-    fn agreement_hint(&self, index: u64) -> u64 {
+    fn conflict_hint(&self, index: u64) -> u64 {
         let before = self.log.before_term_of(index);
         before.min(index - 1).min(self.log.last_index())
     }
 
-    /// The reply to an append.
-    pub(super) fn appended(
+    /// Processes the reply to an append.
+    pub(super) fn handle_append_reply(
         &mut self,
         from: DiskId,
         accepted: bool,
@@ -232,23 +241,23 @@
     ) {
         let last = self.log.last_index();
         self.with_peer(from, |_, _, peer| {
-            peer.heard = Some(now);
-            peer.round = peer.round.max(round);
+            peer.last_heard = Some(now);
+            peer.answered_round = peer.answered_round.max(round);
             match accepted {
-                true if index <= last => peer.accepted(index),
+                true if index <= last => peer.on_accepted(index),
                 true => {}
-                false => peer.refused(index),
+                false => peer.on_rejected(index),
             }
         });
-        self.confirm();
+        self.update_confirmed_round();
         self.advance_commit();
     }
 
-    pub(super) fn confirm(&mut self) {
+    pub(super) fn update_confirmed_round(&mut self) {
         let members = self.members().clone();
         if let Role::Leader(leader) = &mut self.role {
-            leader.confirm(self.id, &members);
+            leader.update_confirmed_round(self.id, &members);
         }
-        self.answer_reads();
+        self.release_confirmed_reads();
     }
 }
--- a/crates/quorum/src/node/serve.rs
+++ b/crates/quorum/src/node/serve.rs
@@ -7,13 +7,13 @@
 use std::time::Instant;
 
 impl Node {
-    /// Orders a command; gives its index and term. It is committed once the
-    /// entry of that index *and* term is handed out; another term there means
-    /// that it never will be.
+    /// Appends a command and returns its index and term. The command is
+    /// committed once [`Node::ready`] returns the entry with that index *and*
+    /// term. If the entry at that index has another term, the command was lost.
     ///
     /// # Errors
     ///
-    /// The replica doesn't lead, or can't be sure that it still does.
+    /// Fails if the replica is not the leader or holds no valid lease.
     ///
     /// ```
     /// # use quorum::*;
@@ -29,17 +29,20 @@
         if !self.has_lease(now) {
             return Err(LeadershipError::NoLease);
         }
-        let index = self.order(EntryBody::Command(data));
-        Ok((index, self.hard.term))
+        let index = self.append_as_leader(EntryBody::Command(data));
+        Ok((index, self.hard_state.term))
     }
 
-    /// Asks for a linearizable read (read-index, section 6.4). The token comes
-    /// back in [`Ready::confirmed_reads`](crate::Ready::confirmed_reads), or refused. The next
-    /// heartbeat or [`Node::start_read_round`] begins the round for it.
+    /// Requests a linearizable read (read-index, section 6.4). The token is
+    /// returned in [`Ready::confirmed_reads`](crate::Ready::confirmed_reads)
+    /// or, if the replica loses its leadership first, in
+    /// [`Ready::refused_reads`](crate::Ready::refused_reads). The next
+    /// heartbeat or [`Node::start_read_round`] starts the round that confirms
+    /// it.
     ///
     /// # Errors
     ///
-    /// The replica doesn't lead.
+    /// Fails if the replica is not the leader.
     ///
     /// ```
     /// # use quorum::*;
@@ -51,41 +54,46 @@
         let Role::Leader(leader) = &mut self.role else {
             return Err(LeadershipError::NotLeader);
         };
-        let begun = None;
-        leader.reads.push(PendingRead { token, begun });
+        let started = None;
+        leader.pending_reads.push(PendingRead { token, started });
         Ok(())
     }
 
-    /// Gives the reads that wait their index and the round to confirm.
+    /// Assigns pending reads their read index and the round that confirms them.
     ///
-    /// Only a leader that has committed an entry of its own term knows what
-    /// is committed; an earlier answer could miss an acknowledged entry.
-    pub(super) fn begin_reads(&mut self) {
-        let own = self.has_committed_in_term();
-        let commit = self.commit;
+    /// Only a leader that has committed an entry of its own term knows the
+    /// current commit index. Before that, a read could miss an acknowledged
+    /// entry.
+    pub(super) fn assign_read_rounds(&mut self) {
+        let committed_in_term = self.has_committed_in_term();
+        let commit = self.commit_index;
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        if !own {
+        if !committed_in_term {
             return;
         }
-        // The round must begin after the read was asked: a reply to an earlier
-        // one may have been sent before another leader was elected.
+        // The round must start after the read was requested. A reply to an
+        // earlier round may have been sent before another leader was elected.
         let round = leader.round + 1;
-        for read in leader.reads.iter_mut().filter(|r| r.begun.is_none()) {
-            read.begun = Some((commit, round));
+        for read in leader
+            .pending_reads
+            .iter_mut()
+            .filter(|r| r.started.is_none())
+        {
+            read.started = Some((commit, round));
         }
     }
 
-    pub(super) fn answer_reads(&mut self) {
+    pub(super) fn release_confirmed_reads(&mut self) {
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
         let confirmed = leader.confirmed_round();
-        let reads = &mut self.reads;
-        leader.reads.retain(|read| match read.begun {
+        let confirmed_reads = &mut self.confirmed_reads;
+        leader.pending_reads.retain(|read| match read.started {
             Some((index, round)) if round <= confirmed => {
-                reads.push((read.token, index));
+                confirmed_reads.push((read.token, index));
                 false
             }
             _ => true,
--- a/crates/quorum/src/persisted_state.rs
+++ b/crates/quorum/src/persisted_state.rs
@@ -1,14 +1,14 @@
-//! What a replica finds on its disk at start.
+//! State that a replica starts from.
 
 use crate::{Entry, HardState, Snapshot};
 
-/// What a replica finds on its disk at start; nothing on a blank one.
+/// State that a replica reads from its disk at start; empty on a blank disk.
 #[derive(Clone, Debug, Default)]
 pub struct PersistedState {
     /// Term and vote.
     pub hard_state: HardState,
-    /// The newest snapshot.
+    /// Latest snapshot.
     pub snapshot: Option<Snapshot>,
-    /// The entries after it.
+    /// Entries after the snapshot.
     pub entries: Vec<Entry>,
 }
--- a/crates/quorum/src/ready.rs
+++ b/crates/quorum/src/ready.rs
@@ -1,27 +1,30 @@
-//! What a replica wants done.
+//! Pending actions of a replica.
 
 use crate::{Entry, Message, Snapshot, Write};
 
-/// What a replica wants done, in the order of the fields.
+/// Actions that the caller carries out for a replica, in the order of the
+/// fields.
 #[derive(Debug, Default)]
 pub struct Ready {
-    /// To be synced; then [`Node::persisted`](crate::Node::persisted) is due.
+    /// Write to persist. Call [`Node::persisted`](crate::Node::persisted) once
+    /// it is synced.
     pub write: Option<Write>,
-    /// To be sent now. What promises something unsynced is not yet here.
+    /// Messages to send now. Messages that depend on unsynced state are
+    /// returned later.
     pub messages: Vec<Message>,
-    /// The state machine starts anew from this.
+    /// Snapshot from which the state machine is restored.
     pub restore: Option<Snapshot>,
-    /// To be applied to the state machine.
+    /// Committed entries to apply to the state machine.
     pub committed: Vec<Entry>,
-    /// Reads that may be answered once the state machine has applied the
-    /// index: (token, index).
+    /// Reads as (token, index). A read may be answered once the state machine
+    /// has applied the entry at the index.
     pub confirmed_reads: Vec<(u64, u64)>,
-    /// Tokens of reads that this replica can't answer any more.
+    /// Tokens of reads that this replica can no longer answer.
     pub refused_reads: Vec<u64>,
 }
 
 impl Ready {
-    /// Whether nothing is wanted.
+    /// Returns whether there is nothing to do.
     ///
     /// ```
     /// assert!(quorum::Ready::default().is_empty());
--- a/crates/quorum/src/snapshot.rs
+++ b/crates/quorum/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! A snapshot of the state machine.
+//! Snapshots of the state machine.
 
 use crate::Members;
 use bytes::Bytes;
@@ -6,18 +6,19 @@
 /// A snapshot of the state machine and of the members.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// Last entry that it covers.
+    /// Index of the last entry that it covers.
     pub index: u64,
     /// Term of that entry.
     pub term: u64,
-    /// Members at that entry.
+    /// Members in force at that entry.
     pub members: Members,
-    /// The state machine's own bytes.
+    /// Encoded state of the state machine.
     pub data: Bytes,
 }
 
 impl Snapshot {
-    /// The snapshot that the first replica of a new cluster starts from.
+    /// Creates the snapshot that the first replica of a new cluster starts
+    /// from.
     ///
     /// ```
     /// let snapshot = quorum::Snapshot::initial(quorum::Members::default());
--- a/crates/quorum/src/status.rs
+++ b/crates/quorum/src/status.rs
@@ -1,39 +1,40 @@
-//! What a replica tells of itself and of the others.
+//! Status of a replica and of the members it knows.
 
 use crate::{DiskId, Peer};
 
-/// What a replica tells of itself and of the others.
+/// Status of a replica and of the members it knows.
 #[derive(Clone, Debug)]
 pub struct Status {
-    /// Own disk.
+    /// Disk of this replica.
     pub id: DiskId,
-    /// Newest term.
+    /// Latest term seen.
     pub term: u64,
     /// The leader, if known.
     pub leader: Option<DiskId>,
-    /// Last entry committed.
+    /// Index of the last committed entry.
     pub commit_index: u64,
-    /// Last entry handed out to be applied.
+    /// Index of the last entry returned for applying.
     pub applied_index: u64,
-    /// Last entry of the log.
+    /// Index of the last entry in the log.
     pub last_index: u64,
-    /// Whether the newest change of the members is committed.
+    /// Whether the latest membership change is committed.
     pub membership_committed: bool,
     /// Members, voters first.
     pub replicas: Vec<ReplicaStatus>,
 }
 
-/// What is known of one member.
+/// Status of one member.
 #[derive(Clone, Debug)]
 pub struct ReplicaStatus {
-    /// Its disk.
+    /// Disk of the member.
     pub id: DiskId,
-    /// Its name and address.
+    /// Name and address of the member.
     pub peer: Peer,
-    /// Whether it votes, or only learns.
+    /// Whether the member is a voter; otherwise it is a learner.
     pub voter: bool,
-    /// Last index known to be synced there; only the leader knows.
+    /// Last index known to be synced on the member; `None` unless this replica
+    /// leads.
     pub match_index: Option<u64>,
-    /// Whether it has answered within the election timeout.
+    /// Whether the member has answered within the election timeout.
     pub active: bool,
 }
--- a/crates/quorum/src/write.rs
+++ b/crates/quorum/src/write.rs
@@ -1,15 +1,14 @@
-//! What a replica wants synced.
+//! Writes to persist.
 
 use crate::{Entry, HardState, Snapshot};
 
-/// What a replica wants synced, as one: the snapshot, the hard state, then
-/// the entries. An entry replaces all of the same index and after.
+/// A write to persist as a unit: the snapshot, then the hard state, then the
+/// entries. An entry replaces all entries at the same and higher indices.
 #[derive(Clone, Debug)]
 pub struct Write {
-    /// Order number, given back to [`Node::persisted`](crate::Node::persisted).
+    /// Sequence number to pass to [`Node::persisted`](crate::Node::persisted).
     pub number: u64,
-    /// A snapshot received from the leader; the log before it goes, and all
-    /// after it as well.
+    /// Snapshot received from the leader. It replaces the whole log.
     pub snapshot: Option<Snapshot>,
     /// Term and vote.
     pub hard_state: HardState,
