--- a/crates/quorum/tests/messages.rs
+++ b/crates/quorum/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Any messages at all.
+//! Arbitrary messages, and messages while a disk is full.
 
 use bytes::Bytes;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -11,12 +11,12 @@
 const DISKS: [u64; 4] = [0, 1, 2, 3];
 
 #[derive(Clone, Debug)]
-struct Any(Message);
+struct AnyMessage(Message);
 
 fn number(g: &mut Gen) -> u64 {
-    let wild = [u64::MAX, u64::MAX - 1, 1 << 60, (1 << 60) - 1];
+    let extreme = [u64::MAX, u64::MAX - 1, 1 << 60, (1 << 60) - 1];
     match u8::arbitrary(g) % 8 {
-        0 => *g.choose(&wild).unwrap(),
+        0 => *g.choose(&extreme).unwrap(),
         _ => u64::arbitrary(g) % 6,
     }
 }
@@ -37,13 +37,13 @@
 fn entries(g: &mut Gen) -> Vec<Entry> {
     let first = number(g);
     let count = u64::from(u8::arbitrary(g) % 4);
-    let entry = |place| {
+    let entry = |offset| {
         let body = match u8::arbitrary(g) % 3 {
             0 => EntryBody::Noop,
             1 => EntryBody::Command(Bytes::from_static(b"x")),
             _ => EntryBody::Members(members(g)),
         };
-        let index = first.wrapping_add(place);
+        let index = first.wrapping_add(offset);
         Entry {
             index,
             term: number(g),
@@ -53,8 +53,8 @@
     (0..count).map(entry).collect()
 }
 
-impl Arbitrary for Any {
-    fn arbitrary(g: &mut Gen) -> Any {
+impl Arbitrary for AnyMessage {
+    fn arbitrary(g: &mut Gen) -> AnyMessage {
         let (pre_vote, flag, round) = (bool::arbitrary(g), bool::arbitrary(g), number(g));
         let body = match u8::arbitrary(g) % 7 {
             0 => MessageBody::VoteRequest {
@@ -98,7 +98,7 @@
             },
         };
         let (from, to, term) = (disk(g), DiskId(1), number(g));
-        Any(Message {
+        AnyMessage(Message {
             from,
             to,
             term,
@@ -107,25 +107,24 @@
     }
 }
 
-/// A replica of another version, or one with a fault, sends nonsense: no
-/// message may end the process, and what it says must not be believed so far
-/// that the log has gaps.
+/// A faulty replica, or one of another version, sends invalid messages. No
+/// message may crash the process or lead to a gap in the log.
 #[test]
 fn step_any_messages() {
-    fn survives(messages: Vec<Any>, voters: u8) -> bool {
+    fn handles_all(messages: Vec<AnyMessage>, voters: u8) -> bool {
         let mut members = Members::default();
         for id in 1..=u64::from(voters % 3) + 1 {
             members.voters.insert(DiskId(id), Peer::default());
         }
         let snapshot = Some(Snapshot::initial(members));
-        let restored = PersistedState {
+        let persisted = PersistedState {
             snapshot,
             ..PersistedState::default()
         };
         let mut now = Instant::now();
-        let mut node = Node::new(DiskId(1), Config::default(), 1, restored, now);
+        let mut node = Node::new(DiskId(1), Config::default(), 1, persisted, now);
         let mut applied = 0;
-        for Any(message) in messages {
+        for AnyMessage(message) in messages {
             now += Duration::from_millis(300);
             node.tick(now);
             node.step(message, now);
@@ -151,11 +150,12 @@
     QuickCheck::new()
         .tests(3_000)
         .rng(Gen::from_size_and_seed(60, 23))
-        .quickcheck(survives as fn(Vec<Any>, u8) -> bool);
+        .quickcheck(handles_all as fn(Vec<AnyMessage>, u8) -> bool);
 }
 
-/// A follower's disk is full for hours, and the leader's heartbeats go on.
-/// The answers that wait for the disk must not fill the memory.
+/// The disk of a follower is full for hours while the leader keeps sending
+/// heartbeats. The replies deferred until the next sync must not fill the
+/// memory.
 #[test]
 fn heartbeats_on_full_disk() {
     const HEARTBEATS: u64 = 100_000;
@@ -164,12 +164,12 @@
         members.voters.insert(DiskId(id), Peer::default());
     }
     let snapshot = Some(Snapshot::initial(members));
-    let restored = PersistedState {
+    let persisted = PersistedState {
         snapshot,
         ..PersistedState::default()
     };
     let now = Instant::now();
-    let mut node = Node::new(DiskId(1), Config::default(), 1, restored, now);
+    let mut node = Node::new(DiskId(1), Config::default(), 1, persisted, now);
     let body = EntryBody::Noop;
     let mut entries = vec![Entry {
         index: 1,
@@ -199,7 +199,7 @@
     }
     assert!(
         node.deferred_messages() < 4,
-        "{} answers wait",
+        "{} messages deferred",
         node.deferred_messages()
     );
 }
--- a/crates/quorum/tests/rules.rs
+++ b/crates/quorum/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Single rules of the log, each with the messages that try to break it.
+//! Tests of single protocol rules, each with messages that would violate it.
 
 use quorum::{
     Config, DiskId, Entry, EntryBody, HardState, LeadershipError, Members, Message, MessageBody,
@@ -10,48 +10,48 @@
 const SECOND: DiskId = DiskId(2);
 const THIRD: DiskId = DiskId(3);
 
-/// A replica among three voters, and the time that it is told.
-struct Bench {
+/// A replica in a cluster of three voters, with a simulated clock.
+struct Fixture {
     node: Node,
     now: Instant,
     cfg: Config,
 }
 
-impl Bench {
-    fn new(hard_state: HardState, entries: Vec<Entry>) -> Bench {
+impl Fixture {
+    fn new(hard_state: HardState, entries: Vec<Entry>) -> Fixture {
         let mut members = Members::default();
         for id in [ME, SECOND, THIRD] {
             members.voters.insert(id, Peer::new(&id.to_string(), ""));
         }
-        let restored = PersistedState {
+        let persisted = PersistedState {
             hard_state,
             snapshot: Some(Snapshot::initial(members)),
             entries,
         };
         let (cfg, now) = (Config::default(), Instant::now());
-        let node = Node::new(ME, cfg.clone(), 7, restored, now);
-        Bench { node, now, cfg }
+        let node = Node::new(ME, cfg.clone(), 7, persisted, now);
+        Fixture { node, now, cfg }
     }
 
-    /// Starts anew with the settings as they were changed.
-    fn rebuild(&mut self) {
+    /// Replaces the replica by a new one with the current configuration.
+    fn restart(&mut self) {
         let mut members = Members::default();
         for id in [ME, SECOND, THIRD] {
             members.voters.insert(id, Peer::new(&id.to_string(), ""));
         }
-        let restored = PersistedState {
+        let persisted = PersistedState {
             snapshot: Some(Snapshot::initial(members)),
             ..PersistedState::default()
         };
-        self.node = Node::new(ME, self.cfg.clone(), 7, restored, self.now);
+        self.node = Node::new(ME, self.cfg.clone(), 7, persisted, self.now);
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         self.now += time;
         self.node.tick(self.now);
     }
 
-    fn hear(&mut self, from: DiskId, term: u64, body: MessageBody) {
+    fn receive(&mut self, from: DiskId, term: u64, body: MessageBody) {
         let to = ME;
         let message = Message {
             from,
@@ -62,7 +62,7 @@
         self.node.step(message, self.now);
     }
 
-    /// Syncs all that is wanted; gives the last readies together.
+    /// Processes all pending actions, syncs all writes and returns the actions.
     fn sync(&mut self) -> Vec<Ready> {
         let mut readies = Vec::new();
         loop {
@@ -77,12 +77,13 @@
         }
     }
 
-    /// Makes the replica leader by the second voter's vote.
-    fn lead(&mut self) -> u64 {
-        self.pass(self.cfg.election_timeout * 2);
+    /// Elects the replica with the vote of the second voter and returns the
+    /// term.
+    fn become_leader(&mut self) -> u64 {
+        self.advance(self.cfg.election_timeout * 2);
         let term = self.node.term() + 1;
         let granted = true;
-        self.hear(
+        self.receive(
             SECOND,
             term,
             MessageBody::VoteReply {
@@ -91,7 +92,7 @@
             },
         );
         self.sync();
-        self.hear(
+        self.receive(
             SECOND,
             term,
             MessageBody::VoteReply {
@@ -104,7 +105,7 @@
         term
     }
 
-    fn accept(&mut self, from: DiskId, index: u64, round: u64) {
+    fn ack_append(&mut self, from: DiskId, index: u64, round: u64) {
         let term = self.node.term();
         let accepted = true;
         let body = MessageBody::AppendReply {
@@ -112,7 +113,7 @@
             index,
             round,
         };
-        self.hear(from, term, body);
+        self.receive(from, term, body);
     }
 }
 
@@ -131,149 +132,155 @@
     }
 }
 
-fn applied(readies: &[Ready]) -> Vec<u64> {
+fn committed_indices(readies: &[Ready]) -> Vec<u64> {
     let entries = readies.iter().flat_map(|ready| &ready.committed);
     entries.map(|entry| entry.index).collect()
 }
 
-/// A leader finds an entry of an earlier term on a majority (figure 3.7 of the
-/// dissertation). A later leader may still replace it, so whoever was told
-/// that it is committed would find it gone.
+/// A leader must not commit an entry of an earlier term just because a majority
+/// holds it (figure 3.7 of the dissertation). A later leader may still replace
+/// the entry, and an acknowledged entry would be lost.
 #[test]
 fn commit_earlier_term() {
-    let hard = HardState {
+    let hard_state = HardState {
         term: 2,
         vote: None,
     };
-    let mut bench = Bench::new(hard, vec![entry(1, 1), entry(2, 2)]);
-    bench.lead();
-    bench.accept(SECOND, 2, 1);
-    assert!(applied(&bench.sync()).is_empty());
-    bench.accept(SECOND, 3, 1);
-    assert_eq!(applied(&bench.sync()), [1, 2, 3]);
+    let mut fixture = Fixture::new(hard_state, vec![entry(1, 1), entry(2, 2)]);
+    fixture.become_leader();
+    fixture.ack_append(SECOND, 2, 1);
+    assert!(committed_indices(&fixture.sync()).is_empty());
+    fixture.ack_append(SECOND, 3, 1);
+    assert_eq!(committed_indices(&fixture.sync()), [1, 2, 3]);
 }
 
-/// What was written is replaced by another leader's entry before its sync is
-/// reported. Taken for the new entry's sync, the report would let a replica
-/// act on what a crash still undoes.
+/// An entry is replaced by another leader before the sync of its write is
+/// reported. The report must not count as a sync of the new entry, which a
+/// crash could still undo.
 #[test]
 fn persisted_replaced_entry() {
-    let mut bench = Bench::new(HardState::default(), Vec::new());
-    bench.hear(SECOND, 1, append((0, 0), 0, vec![entry(1, 1), entry(2, 1)]));
-    let first = bench.node.ready().write.unwrap();
-    bench.hear(THIRD, 2, append((0, 0), 1, vec![entry(1, 2)]));
-    let second = bench.node.ready().write.unwrap();
-    bench.node.persisted(first.number, bench.now);
-    assert!(bench.node.ready().committed.is_empty());
-    bench.node.persisted(second.number, bench.now);
-    assert_eq!(applied(&[bench.node.ready()]), [1]);
+    let mut fixture = Fixture::new(HardState::default(), Vec::new());
+    fixture.receive(SECOND, 1, append((0, 0), 0, vec![entry(1, 1), entry(2, 1)]));
+    let first = fixture.node.ready().write.unwrap();
+    fixture.receive(THIRD, 2, append((0, 0), 1, vec![entry(1, 2)]));
+    let second = fixture.node.ready().write.unwrap();
+    fixture.node.persisted(first.number, fixture.now);
+    assert!(fixture.node.ready().committed.is_empty());
+    fixture.node.persisted(second.number, fixture.now);
+    assert_eq!(committed_indices(&[fixture.node.ready()]), [1]);
 }
 
-/// The disk of the leader is full, and the others have synced a note. The
-/// note is accepted then; whoever asks the leader must not be kept waiting
-/// until somebody has made room.
+/// The disk of the leader is full, but the other voters have synced an entry.
+/// The entry is committed, and reads on the leader must not block until there
+/// is room on its disk.
 #[test]
 fn read_on_full_disk() {
-    let mut bench = Bench::new(HardState::default(), Vec::new());
-    bench.lead();
-    bench.accept(SECOND, 1, 1);
-    bench.sync();
-    let (index, _) = bench.node.propose("note".into(), bench.now).unwrap();
-    let ready = bench.node.ready();
+    let mut fixture = Fixture::new(HardState::default(), Vec::new());
+    fixture.become_leader();
+    fixture.ack_append(SECOND, 1, 1);
+    fixture.sync();
+    let (index, _) = fixture.node.propose("note".into(), fixture.now).unwrap();
+    let ready = fixture.node.ready();
     assert!(ready.write.is_some());
     // The write is never reported as synced.
-    bench.accept(SECOND, index, 1);
-    bench.accept(THIRD, index, 1);
-    assert_eq!(applied(&[bench.node.ready()]).last(), Some(&index));
-    bench.node.read(1).unwrap();
-    bench.node.start_read_round(bench.now);
-    bench.accept(SECOND, index, 2);
-    assert_eq!(bench.node.ready().confirmed_reads, [(1, index)]);
+    fixture.ack_append(SECOND, index, 1);
+    fixture.ack_append(THIRD, index, 1);
+    assert_eq!(
+        committed_indices(&[fixture.node.ready()]).last(),
+        Some(&index)
+    );
+    fixture.node.read(1).unwrap();
+    fixture.node.start_read_round(fixture.now);
+    fixture.ack_append(SECOND, index, 2);
+    assert_eq!(fixture.node.ready().confirmed_reads, [(1, index)]);
 }
 
-/// A vote leaves the process before it is synced, and the host loses power:
-/// the replica would vote again and the term have two leaders.
+/// A vote must not be sent before it is synced. After a power loss the replica
+/// could vote again, and the term could have two leaders.
 #[test]
 fn vote_before_sync() {
-    let mut bench = Bench::new(HardState::default(), Vec::new());
-    bench.now += bench.cfg.election_timeout;
+    let mut fixture = Fixture::new(HardState::default(), Vec::new());
+    fixture.now += fixture.cfg.election_timeout;
     let body = MessageBody::VoteRequest {
         pre_vote: false,
         last_index: 0,
         last_term: 0,
     };
-    bench.hear(SECOND, 1, body);
-    let ready = bench.node.ready();
+    fixture.receive(SECOND, 1, body);
+    let ready = fixture.node.ready();
     assert!(ready.messages.is_empty());
-    bench.node.persisted(ready.write.unwrap().number, bench.now);
-    assert_eq!(bench.node.ready().messages.len(), 1);
+    fixture
+        .node
+        .persisted(ready.write.unwrap().number, fixture.now);
+    assert_eq!(fixture.node.ready().messages.len(), 1);
 }
 
 /// A voter restarts just after it has answered a leader, and a candidate that
-/// can't hear that leader asks for its vote at once. The leader's lease still
-/// counts on that answer; two would hand out leases.
+/// cannot reach the leader requests its vote at once. The lease of the leader
+/// still depends on that answer; granting the vote could lead to two leaders
+/// with a lease.
 #[test]
 fn vote_after_restart() {
-    let mut bench = Bench::new(HardState::default(), Vec::new());
+    let mut fixture = Fixture::new(HardState::default(), Vec::new());
     let body = MessageBody::VoteRequest {
         pre_vote: true,
         last_index: 0,
         last_term: 0,
     };
-    bench.hear(SECOND, 1, body.clone());
-    let sent = bench.node.ready().messages;
+    fixture.receive(SECOND, 1, body.clone());
+    let sent = fixture.node.ready().messages;
     let refused = MessageBody::VoteReply {
         pre_vote: true,
         granted: false,
     };
     assert_eq!(sent[0].body, refused);
-    bench.now += bench.cfg.election_timeout;
-    bench.hear(SECOND, 1, body);
+    fixture.now += fixture.cfg.election_timeout;
+    fixture.receive(SECOND, 1, body);
     let granted = MessageBody::VoteReply {
         pre_vote: true,
         granted: true,
     };
-    assert_eq!(bench.node.ready().messages[0].body, granted);
+    assert_eq!(fixture.node.ready().messages[0].body, granted);
 }
 
-/// A leader is cut off from the others and believes that it still leads. It
-/// must stop ordering before another can be elected, and then give up, so
-/// that callers are sent on instead of being held.
+/// A leader is partitioned from the other voters. It must stop accepting
+/// proposals before another leader can be elected, and then step down, so that
+/// callers are redirected instead of waiting.
 #[test]
-fn propose_cut_off_leader() {
-    let mut bench = Bench::new(HardState::default(), Vec::new());
-    bench.lead();
-    bench.accept(SECOND, 1, 1);
-    assert!(bench.node.propose("one".into(), bench.now).is_ok());
-    bench.pass(bench.cfg.lease_duration());
-    let refused = bench.node.propose("two".into(), bench.now);
+fn propose_isolated_leader() {
+    let mut fixture = Fixture::new(HardState::default(), Vec::new());
+    fixture.become_leader();
+    fixture.ack_append(SECOND, 1, 1);
+    assert!(fixture.node.propose("one".into(), fixture.now).is_ok());
+    fixture.advance(fixture.cfg.lease_duration());
+    let refused = fixture.node.propose("two".into(), fixture.now);
     assert_eq!(refused, Err(LeadershipError::NoLease));
-    bench.pass(bench.cfg.election_timeout);
-    let refused = bench.node.propose("three".into(), bench.now);
+    fixture.advance(fixture.cfg.election_timeout);
+    let refused = fixture.node.propose("three".into(), fixture.now);
     assert_eq!(refused, Err(LeadershipError::NotLeader));
 }
 
-/// A read is asked of a leader that was replaced a moment ago without knowing
-/// it. The answer must wait until a majority has answered a round that began
-/// after the question; it would show an old state otherwise.
+/// A read reaches a leader that has just been replaced without knowing it. The
+/// read must wait until a majority has answered a round that started after the
+/// read; otherwise it could return stale state.
 #[test]
 fn read_needs_later_round() {
-    let mut bench = Bench::new(HardState::default(), Vec::new());
-    bench.lead();
-    bench.accept(SECOND, 1, 1);
-    bench.sync();
-    bench.node.read(9).unwrap();
-    bench.node.start_read_round(bench.now);
-    // A late answer to the earlier round.
-    bench.accept(THIRD, 1, 1);
+    let mut fixture = Fixture::new(HardState::default(), Vec::new());
+    fixture.become_leader();
+    fixture.ack_append(SECOND, 1, 1);
+    fixture.sync();
+    fixture.node.read(9).unwrap();
+    fixture.node.start_read_round(fixture.now);
+    // A delayed reply to the earlier round.
+    fixture.ack_append(THIRD, 1, 1);
     assert!(
-        bench
+        fixture
             .sync()
             .iter()
             .all(|ready| ready.confirmed_reads.is_empty())
     );
-    bench.accept(THIRD, 1, 2);
-    let reads: Vec<_> = bench
+    fixture.ack_append(THIRD, 1, 2);
+    let reads: Vec<_> = fixture
         .sync()
         .into_iter()
         .flat_map(|r| r.confirmed_reads)
@@ -281,15 +288,15 @@
     assert_eq!(reads, [(9, 1)]);
 }
 
-/// The cut-off leader of the test above gives up: its reads must be refused
-/// at once, or their askers would wait for their own timeouts.
+/// When an isolated leader steps down, its pending reads must be refused at
+/// once. Otherwise callers would wait for their own timeouts.
 #[test]
 fn read_refused_on_step_down() {
-    let mut bench = Bench::new(HardState::default(), Vec::new());
-    bench.lead();
-    bench.node.read(9).unwrap();
-    bench.pass(bench.cfg.election_timeout * 2);
-    let refused: Vec<_> = bench
+    let mut fixture = Fixture::new(HardState::default(), Vec::new());
+    fixture.become_leader();
+    fixture.node.read(9).unwrap();
+    fixture.advance(fixture.cfg.election_timeout * 2);
+    let refused: Vec<_> = fixture
         .sync()
         .into_iter()
         .flat_map(|r| r.refused_reads)
@@ -297,39 +304,39 @@
     assert_eq!(refused, [9]);
 }
 
-/// A blank replica answers the leader but holds nothing yet. As a voter it
-/// would be needed for a majority that it can't help to form for long.
+/// A new replica answers the leader but holds no entries yet. If it became a
+/// voter now, a majority could depend on it long before it has caught up.
 #[test]
 fn promote_only_caught_up() {
     let newcomer = DiskId(4);
-    let mut bench = Bench::new(HardState::default(), Vec::new());
-    bench.lead();
-    bench.accept(SECOND, 1, 1);
-    bench.sync();
-    let term = bench.node.term();
+    let mut fixture = Fixture::new(HardState::default(), Vec::new());
+    fixture.become_leader();
+    fixture.ack_append(SECOND, 1, 1);
+    fixture.sync();
+    let term = fixture.node.term();
     let peer = Peer::new("newcomer", "");
-    bench.hear(newcomer, 0, MessageBody::Join { peer });
-    bench.accept(SECOND, 2, 1);
+    fixture.receive(newcomer, 0, MessageBody::Join { peer });
+    fixture.ack_append(SECOND, 2, 1);
     for round in 2..6 {
-        bench.pass(bench.cfg.heartbeat_interval);
-        bench.accept(SECOND, 2, round);
+        fixture.advance(fixture.cfg.heartbeat_interval);
+        fixture.ack_append(SECOND, 2, round);
         let body = MessageBody::AppendReply {
             accepted: false,
             index: 0,
             round,
         };
-        bench.hear(newcomer, term, body);
-        bench.sync();
+        fixture.receive(newcomer, term, body);
+        fixture.sync();
     }
-    assert!(bench.node.members().learners.contains_key(&newcomer));
-    bench.accept(newcomer, 2, 6);
-    bench.pass(bench.cfg.heartbeat_interval);
-    assert!(bench.node.members().voters.contains_key(&newcomer));
+    assert!(fixture.node.members().learners.contains_key(&newcomer));
+    fixture.ack_append(newcomer, 2, 6);
+    fixture.advance(fixture.cfg.heartbeat_interval);
+    assert!(fixture.node.members().voters.contains_key(&newcomer));
 }
 
-/// The leader that took a blank replica in is lost before that is committed.
-/// The replica isn't blank any more, and nobody knows of it: it must ask
-/// again, or its repair would never end.
+/// The leader that added a new replica is lost before the change is committed.
+/// The replica already holds entries, but no other replica knows of it. It must
+/// ask to join again, or it would never become a member.
 #[test]
 fn should_join_after_lost_change() {
     let newcomer = DiskId(9);
@@ -359,11 +366,11 @@
     assert!(node.should_join(now));
 }
 
-/// A message is meant for the disk that the host had before it was lost.
+/// A message addressed to the former disk of the host must be ignored.
 #[test]
 fn step_other_disk() {
-    let mut bench = Bench::new(HardState::default(), Vec::new());
-    bench.now += bench.cfg.election_timeout;
+    let mut fixture = Fixture::new(HardState::default(), Vec::new());
+    fixture.now += fixture.cfg.election_timeout;
     let body = MessageBody::VoteRequest {
         pre_vote: false,
         last_index: 0,
@@ -376,20 +383,20 @@
         term: 1,
         body,
     };
-    bench.node.step(message, bench.now);
-    assert!(bench.node.ready().write.is_none());
+    fixture.node.step(message, fixture.now);
+    assert!(fixture.node.ready().write.is_none());
 }
 
-fn join(bench: &mut Bench, from: DiskId, name: &str) {
+fn join(fixture: &mut Fixture, from: DiskId, name: &str) {
     let peer = Peer::new(name, "");
-    bench.hear(from, 0, MessageBody::Join { peer });
+    fixture.receive(from, 0, MessageBody::Join { peer });
 }
 
-/// Lets the two other voters, or those of them that live, answer a round.
-fn answered_rounds(bench: &mut Bench, live: &[DiskId], rounds: u32) {
+/// Runs heartbeat rounds that the given live replicas answer.
+fn run_rounds(fixture: &mut Fixture, live: &[DiskId], rounds: u32) {
     for _ in 0..rounds {
-        bench.pass(bench.cfg.heartbeat_interval);
-        let readies = bench.sync();
+        fixture.advance(fixture.cfg.heartbeat_interval);
+        let readies = fixture.sync();
         for message in readies.into_iter().flat_map(|ready| ready.messages) {
             let MessageBody::Append {
                 previous_index,
@@ -402,74 +409,75 @@
             };
             if live.contains(&message.to) {
                 let index = previous_index + entries.len() as u64;
-                bench.accept(message.to, index, round);
+                fixture.ack_append(message.to, index, round);
             }
         }
-        bench.sync();
+        fixture.sync();
     }
 }
 
-/// A host is lost for good and a new one comes under another name. Were it
-/// only added, four voters would stand with one of them dead, and the next
-/// loss would stop the cluster.
+/// A host is permanently lost and a replica on a new host joins under another
+/// name. If it were only added, there would be four voters of which one is
+/// lost, and the next loss would stop the cluster.
 #[test]
-fn promote_in_place_of_lost_voter() {
+fn promote_replaces_lost_voter() {
     let lost_after = Duration::from_secs(5);
-    let mut bench = Bench::new(HardState::default(), Vec::new());
-    bench.cfg.voter_replacement = Some(VoterReplacement {
+    let mut fixture = Fixture::new(HardState::default(), Vec::new());
+    fixture.cfg.voter_replacement = Some(VoterReplacement {
         voters: 3,
         lost_after,
     });
-    bench.rebuild();
-    bench.lead();
-    let new = DiskId(9);
-    answered_rounds(&mut bench, &[SECOND], 5);
-    join(&mut bench, new, "host-9");
-    answered_rounds(&mut bench, &[SECOND, new], 20);
-    let members = bench.node.members().clone();
+    fixture.restart();
+    fixture.become_leader();
+    let replacement = DiskId(9);
+    run_rounds(&mut fixture, &[SECOND], 5);
+    join(&mut fixture, replacement, "host-9");
+    run_rounds(&mut fixture, &[SECOND, replacement], 20);
+    let members = fixture.node.members().clone();
     assert!(
         members.voters.contains_key(&THIRD),
-        "not silent for long yet"
+        "third voter replaced too early"
     );
-    assert!(members.learners.contains_key(&new));
-    answered_rounds(&mut bench, &[SECOND, new], 60);
-    let voters: Vec<DiskId> = bench.node.members().voters.keys().copied().collect();
-    assert_eq!(voters, [ME, SECOND, new]);
+    assert!(members.learners.contains_key(&replacement));
+    run_rounds(&mut fixture, &[SECOND, replacement], 60);
+    let voters: Vec<DiskId> = fixture.node.members().voters.keys().copied().collect();
+    assert_eq!(voters, [ME, SECOND, replacement]);
 }
 
-/// With all voters up a further replica waits as a learner, so that a host
-/// that is exchanged on purpose finds its successor ready.
+/// While all voters are up, a further replica remains a learner, so that it is
+/// ready when a host is replaced on purpose.
 #[test]
-fn promote_none_beyond_wanted() {
+fn promote_none_beyond_desired_voters() {
     let lost_after = Duration::from_secs(5);
-    let mut bench = Bench::new(HardState::default(), Vec::new());
-    bench.cfg.voter_replacement = Some(VoterReplacement {
+    let mut fixture = Fixture::new(HardState::default(), Vec::new());
+    fixture.cfg.voter_replacement = Some(VoterReplacement {
         voters: 3,
         lost_after,
     });
-    bench.rebuild();
-    bench.lead();
-    let new = DiskId(9);
-    answered_rounds(&mut bench, &[SECOND, THIRD], 5);
-    join(&mut bench, new, "host-9");
-    answered_rounds(&mut bench, &[SECOND, THIRD, new], 80);
-    assert_eq!(bench.node.members().voters.len(), 3);
-    assert!(bench.node.members().learners.contains_key(&new));
+    fixture.restart();
+    fixture.become_leader();
+    let replacement = DiskId(9);
+    run_rounds(&mut fixture, &[SECOND, THIRD], 5);
+    join(&mut fixture, replacement, "host-9");
+    run_rounds(&mut fixture, &[SECOND, THIRD, replacement], 80);
+    assert_eq!(fixture.node.members().voters.len(), 3);
+    assert!(fixture.node.members().learners.contains_key(&replacement));
 }
 
-/// A voter stands still for so long that another takes its place. It was told
-/// nothing of that, and would ask for votes for ever that nobody gives.
+/// A voter is paused for so long that another replica replaces it. It is not
+/// told, and without a join request it would request votes forever without
+/// getting one.
 #[test]
 fn should_join_after_long_silence() {
     let lost_after = Duration::from_secs(5);
-    let mut bench = Bench::new(HardState::default(), Vec::new());
-    bench.cfg.voter_replacement = Some(VoterReplacement {
+    let mut fixture = Fixture::new(HardState::default(), Vec::new());
+    fixture.cfg.voter_replacement = Some(VoterReplacement {
         voters: 3,
         lost_after,
     });
-    bench.rebuild();
-    bench.pass(bench.cfg.election_timeout);
-    assert!(!bench.node.should_join(bench.now));
-    bench.pass(bench.cfg.election_timeout * 3);
-    assert!(bench.node.should_join(bench.now));
+    fixture.restart();
+    fixture.advance(fixture.cfg.election_timeout);
+    assert!(!fixture.node.should_join(fixture.now));
+    fixture.advance(fixture.cfg.election_timeout * 3);
+    assert!(fixture.node.should_join(fixture.now));
 }
--- a/crates/quorum/tests/schedules/faults.rs
+++ b/crates/quorum/tests/schedules/faults.rs
@@ -1,55 +1,57 @@
-//! Which faults a schedule has, in events for 10,000 steps.
+//! Faults injected by a schedule.
 
-/// Which faults a schedule has.
+/// Rates of the faults injected by a schedule. Unless stated otherwise, a rate
+/// is the number of events per 10,000 steps.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Messages lost and doubled, in 100.
-    pub lost: u32,
-    pub doubled: u32,
-    /// Steps that a message is late at most.
-    pub late: u64,
-    pub cuts: u32,
+    /// Messages lost, in percent.
+    pub loss_percent: u32,
+    /// Messages delivered twice, in percent.
+    pub duplicate_percent: u32,
+    /// Maximum additional delay of a message, in steps.
+    pub max_delay_steps: u64,
+    pub partitions: u32,
     pub kills: u32,
     pub lost_disks: u32,
     pub clock_steps: u32,
-    /// Syncs that take long, in 100.
-    pub slow_syncs: u32,
+    /// Syncs that are slow, in percent.
+    pub slow_sync_percent: u32,
 }
 
 impl Faults {
     pub fn network() -> Faults {
         Faults {
-            lost: 5,
-            doubled: 5,
-            late: 8,
-            cuts: 60,
+            loss_percent: 5,
+            duplicate_percent: 5,
+            max_delay_steps: 8,
+            partitions: 60,
             ..Faults::default()
         }
     }
 
     pub fn restarts() -> Faults {
         Faults {
-            late: 2,
-            cuts: 60,
+            max_delay_steps: 2,
+            partitions: 60,
             kills: 200,
-            slow_syncs: 5,
+            slow_sync_percent: 5,
             ..Faults::default()
         }
     }
 
     pub fn lost_disks() -> Faults {
         Faults {
-            late: 2,
+            max_delay_steps: 2,
             lost_disks: 2_000,
             kills: 30,
-            slow_syncs: 3,
+            slow_sync_percent: 3,
             ..Faults::default()
         }
     }
 
     pub fn clock_steps() -> Faults {
         Faults {
-            cuts: 80,
+            partitions: 80,
             clock_steps: 100,
             ..Faults::default()
         }
@@ -57,14 +59,14 @@
 
     pub fn all() -> Faults {
         Faults {
-            lost: 2,
-            doubled: 3,
-            late: 5,
-            cuts: 30,
+            loss_percent: 2,
+            duplicate_percent: 3,
+            max_delay_steps: 5,
+            partitions: 30,
             kills: 80,
             lost_disks: 500,
             clock_steps: 0,
-            slow_syncs: 3,
+            slow_sync_percent: 3,
         }
     }
 }
--- a/crates/quorum/tests/schedules/host.rs
+++ b/crates/quorum/tests/schedules/host.rs
@@ -1,4 +1,4 @@
-//! A host with its disk and perhaps a running replica.
+//! Simulated hosts with their disks and replicas.
 
 use bytes::Bytes;
 use quorum::{
@@ -12,10 +12,10 @@
 pub const STEP: Duration = Duration::from_millis(10);
 const HEARTBEAT: Duration = Duration::from_millis(40);
 const ELECTION: Duration = Duration::from_millis(400);
-/// Applied entries between two snapshots.
+/// Number of applied entries between two snapshots.
 const SNAPSHOT_EVERY: u64 = 12;
 
-/// What is on the disk, synced.
+/// Synced contents of a disk.
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
     pub id: DiskId,
@@ -24,7 +24,7 @@
     entries: BTreeMap<u64, Entry>,
 }
 
-/// What was asked of the disk and isn't synced yet.
+/// A disk operation that is not synced yet.
 #[derive(Clone, Debug)]
 pub enum Job {
     Write(Write),
@@ -59,7 +59,7 @@
         }
     }
 
-    fn restored(&self) -> PersistedState {
+    fn persisted(&self) -> PersistedState {
         PersistedState {
             hard_state: self.hard_state,
             snapshot: self.snapshot.clone(),
@@ -68,35 +68,36 @@
     }
 }
 
-/// A replica that runs.
+/// A running replica with its state machine.
 pub struct Running {
     pub node: Node,
-    /// Values by index, the state machine.
+    /// State machine: the values by index.
     pub state: BTreeMap<u64, u64>,
     pub applied: u64,
-    /// Proposals that wait: index, term, value.
+    /// Pending proposals: index, term, value.
     pub proposed: Vec<(u64, u64, u64)>,
-    /// Reads that wait: token, and the last index acknowledged when asked.
+    /// Pending reads by token, with the last index acknowledged when the read
+    /// was requested.
     pub reads: BTreeMap<u64, u64>,
     pub confirmed: Vec<(u64, u64)>,
     jobs: VecDeque<(u64, Job)>,
     saving: bool,
 }
 
-/// A host with its disk and perhaps a running replica.
+/// A host with its disk and, unless it is stopped, a running replica.
 pub struct Host {
     pub name: String,
     pub disk: Disk,
     pub running: Option<Running>,
-    /// Share of real time by which the clock runs, in percent.
-    rate: u32,
-    /// Steps forward of the clock.
-    pub stepped: Duration,
+    /// Clock rate in percent of real time.
+    clock_rate_percent: u32,
+    /// Sum of all forward steps of the clock.
+    pub clock_offset: Duration,
 }
 
-/// What came out of a host at one step.
+/// Output of a host in one step.
 #[derive(Default)]
-pub struct Out {
+pub struct Output {
     pub messages: Vec<Message>,
     pub applied: Vec<Entry>,
     pub restored: Option<Snapshot>,
@@ -108,14 +109,14 @@
             name,
             disk,
             running: None,
-            rate: rng.random_range(97..=103),
-            stepped: Duration::ZERO,
+            clock_rate_percent: rng.random_range(97..=103),
+            clock_offset: Duration::ZERO,
         }
     }
 
     pub fn now(&self, start: Instant, step: u64) -> Instant {
         let real = STEP * u32::try_from(step).unwrap();
-        start + real * self.rate / 100 + self.stepped
+        start + real * self.clock_rate_percent / 100 + self.clock_offset
     }
 
     pub fn start(&mut self, now: Instant, rng: &mut StdRng) {
@@ -129,7 +130,7 @@
             ..Config::default()
         };
         let seed = rng.random();
-        let node = Node::new(self.disk.id, cfg, seed, self.disk.restored(), now);
+        let node = Node::new(self.disk.id, cfg, seed, self.disk.persisted(), now);
         self.running = Some(Running {
             node,
             state: BTreeMap::new(),
@@ -142,43 +143,50 @@
         });
     }
 
-    /// Kills the process. Of what wasn't synced, any beginning may have
+    /// Kills the process. Any prefix of the unsynced operations may have
     /// reached the disk.
     pub fn kill(&mut self, rng: &mut StdRng) {
         let Some(running) = self.running.take() else {
             return;
         };
-        let lasts = rng.random_range(0..=running.jobs.len());
+        let survivors = rng.random_range(0..=running.jobs.len());
         let mut jobs = running.jobs.into_iter().map(|(_, job)| job);
-        for job in jobs.by_ref().take(lasts) {
+        for job in jobs.by_ref().take(survivors) {
             self.disk.apply(job);
         }
         if let Some(Job::Write(mut torn)) = jobs.next()
             && torn.snapshot.is_none()
         {
-            let whole = rng.random_range(0..=torn.entries.len());
-            torn.entries.truncate(whole);
+            let complete = rng.random_range(0..=torn.entries.len());
+            torn.entries.truncate(complete);
             self.disk.apply(Job::Write(torn));
         }
     }
 
-    /// Loses the disk; the next start is on a blank one.
+    /// Replaces the disk by a blank one and stops the replica.
     pub fn lose_disk(&mut self, id: DiskId) {
         self.running = None;
         self.disk = Disk::new(id);
     }
 
-    /// Lets time pass: syncs what is due, ticks, carries out what is ready.
-    pub fn advance(&mut self, now: Instant, step: u64, slow: u32, rng: &mut StdRng) -> Out {
-        let mut out = Out::default();
+    /// Runs one step: completes due syncs, ticks the replica and processes its
+    /// output.
+    pub fn advance(
+        &mut self,
+        now: Instant,
+        step: u64,
+        slow_percent: u32,
+        rng: &mut StdRng,
+    ) -> Output {
+        let mut output = Output::default();
         let Some(running) = &mut self.running else {
-            return out;
+            return output;
         };
         running.sync(&mut self.disk, now, step);
         running.node.tick(now);
-        running.carry_out(&mut out, now, (step, slow), rng);
+        running.process_ready(&mut output, now, (step, slow_percent), rng);
         running.snapshot(step);
-        out
+        output
     }
 }
 
@@ -197,8 +205,14 @@
         }
     }
 
-    fn carry_out(&mut self, out: &mut Out, now: Instant, disk: (u64, u32), rng: &mut StdRng) {
-        let (step, slow) = disk;
+    fn process_ready(
+        &mut self,
+        output: &mut Output,
+        now: Instant,
+        disk: (u64, u32),
+        rng: &mut StdRng,
+    ) {
+        let (step, slow_percent) = disk;
         self.node.start_read_round(now);
         loop {
             let ready = self.node.ready();
@@ -207,18 +221,18 @@
             }
             if let Some(write) = ready.write {
                 let due = self.jobs.back().map_or(step, |(due, _)| *due);
-                let long = rng.random_range(0..100) < slow;
-                let due = due + rng.random_range(0..if long { 40 } else { 3 });
+                let slow = rng.random_range(0..100) < slow_percent;
+                let due = due + rng.random_range(0..if slow { 40 } else { 3 });
                 self.jobs.push_back((due.max(step + 1), Job::Write(write)));
             }
-            out.messages.extend(ready.messages);
+            output.messages.extend(ready.messages);
             if let Some(snapshot) = ready.restore {
                 self.restore(&snapshot);
-                out.restored = Some(snapshot);
+                output.restored = Some(snapshot);
             }
             for entry in ready.committed {
                 self.apply(&entry);
-                out.applied.push(entry);
+                output.applied.push(entry);
             }
             self.confirmed.extend(ready.confirmed_reads);
             for token in ready.refused_reads {
@@ -233,7 +247,7 @@
     }
 
     fn apply(&mut self, entry: &Entry) {
-        assert_eq!(entry.index, self.applied + 1, "gap in what is applied");
+        assert_eq!(entry.index, self.applied + 1, "gap in the applied entries");
         self.applied = entry.index;
         if let EntryBody::Command(data) = &entry.body {
             self.state.insert(entry.index, value(data));
--- a/crates/quorum/tests/schedules/network.rs
+++ b/crates/quorum/tests/schedules/network.rs
@@ -1,4 +1,4 @@
-//! Messages between hosts, with their faults.
+//! Simulated network with faults.
 
 use crate::faults::Faults;
 use quorum::Message;
@@ -6,13 +6,13 @@
 use rand::rngs::StdRng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Messages under way and links that are cut.
+/// Messages in flight and links that are cut.
 #[derive(Default)]
 pub struct Network {
-    /// By the step of arrival and an order number.
-    under_way: BTreeMap<(u64, u64), (usize, usize, Message)>,
+    /// Keyed by the step of arrival and a sequence number.
+    in_flight: BTreeMap<(u64, u64), (usize, usize, Message)>,
     sent: u64,
-    /// Pairs of hosts, one way, with the step at which the cut ends.
+    /// Directed links that are cut, with the step at which the cut ends.
     cuts: BTreeMap<(usize, usize), u64>,
 }
 
@@ -26,41 +26,41 @@
         faults: &Faults,
         rng: &mut StdRng,
     ) {
-        if rng.random_range(0..100) < faults.lost {
+        if rng.random_range(0..100) < faults.loss_percent {
             return;
         }
-        let copies = 1 + u64::from(rng.random_range(0..100) < faults.doubled);
+        let copies = 1 + u64::from(rng.random_range(0..100) < faults.duplicate_percent);
         for _ in 0..copies {
             self.sent += 1;
-            let arrives = step + 1 + rng.random_range(0..=faults.late);
-            let place = (arrives, self.sent);
-            self.under_way.insert(place, (from, to, message.clone()));
+            let arrives = step + 1 + rng.random_range(0..=faults.max_delay_steps);
+            let key = (arrives, self.sent);
+            self.in_flight.insert(key, (from, to, message.clone()));
         }
     }
 
-    /// Messages that arrive at this step over links that are up.
-    pub fn arrived(&mut self, step: u64) -> Vec<(usize, Message)> {
+    /// Returns the messages that arrive at this step over links that are up.
+    pub fn deliver(&mut self, step: u64) -> Vec<(usize, Message)> {
         self.cuts.retain(|_, until| *until > step);
-        let later = self.under_way.split_off(&(step + 1, 0));
-        let now = std::mem::replace(&mut self.under_way, later);
-        let whole = now.into_values();
-        let whole = whole.filter(|(from, to, _)| !self.cuts.contains_key(&(*from, *to)));
-        whole.map(|(_, to, message)| (to, message)).collect()
+        let later = self.in_flight.split_off(&(step + 1, 0));
+        let due = std::mem::replace(&mut self.in_flight, later);
+        let delivered = due.into_values();
+        let delivered = delivered.filter(|(from, to, _)| !self.cuts.contains_key(&(*from, *to)));
+        delivered.map(|(_, to, message)| (to, message)).collect()
     }
 
-    /// Cuts a set of hosts off the others, one way or both.
-    pub fn cut(
+    /// Partitions a set of hosts from the others, in one or both directions.
+    pub fn partition(
         &mut self,
-        island: &BTreeSet<usize>,
+        isolated: &BTreeSet<usize>,
         others: &BTreeSet<usize>,
         until: u64,
         rng: &mut StdRng,
     ) {
-        let both = rng.random_range(0..3) > 0;
-        for inside in island {
+        let both_ways = rng.random_range(0..3) > 0;
+        for inside in isolated {
             for outside in others {
                 self.cuts.insert((*inside, *outside), until);
-                if both {
+                if both_ways {
                     self.cuts.insert((*outside, *inside), until);
                 }
             }
--- a/crates/quorum/tests/schedules/schedule.rs
+++ b/crates/quorum/tests/schedules/schedule.rs
@@ -1,15 +1,16 @@
-//! What a random schedule starts from.
+//! Parameters of a random schedule.
 
 use quickcheck::{Arbitrary, Gen};
 
-/// What a random schedule starts from; all else is drawn from its seed.
+/// Parameters of a random schedule; everything else is derived from the seed.
 #[derive(Clone, Debug)]
 pub struct Schedule {
     pub seed: u64,
     pub hosts: usize,
     pub steps: u64,
-    /// Proposals and reads, in 10,000 steps of a leader.
+    /// Proposals per 10,000 steps of a leader.
     pub proposals: u32,
+    /// Reads per 10,000 steps of a leader.
     pub reads: u32,
 }
 
--- a/crates/quorum/tests/schedules/world.rs
+++ b/crates/quorum/tests/schedules/simulation.rs
@@ -1,7 +1,7 @@
-//! Runs a schedule and checks what must hold.
+//! Runs a schedule and checks the invariants.
 
 use crate::faults::Faults;
-use crate::host::{Disk, Host, Out, decode, value};
+use crate::host::{Disk, Host, Output, decode, value};
 use crate::network::Network;
 use crate::schedule::Schedule;
 use quorum::{DiskId, Entry, EntryBody, Members, Message, MessageBody, Peer, Snapshot};
@@ -10,12 +10,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// Steps within which all must be well again once the faults are over.
-const HEALING_STEPS: u64 = 6_000;
+/// Number of steps after the faults within which the cluster must recover.
+const RECOVERY_STEPS: u64 = 6_000;
 
 type Check = Result<(), String>;
 
-struct World<'a> {
+struct Simulation<'a> {
     schedule: &'a Schedule,
     faults: &'a Faults,
     rng: StdRng,
@@ -23,36 +23,36 @@
     step: u64,
     hosts: Vec<Host>,
     network: Network,
-    /// Steps at which killed hosts come back.
-    back: BTreeMap<usize, u64>,
+    /// Steps at which stopped hosts restart.
+    restarts: BTreeMap<usize, u64>,
     next_disk: u64,
     next_value: u64,
     next_token: u64,
     leaders: BTreeMap<u64, DiskId>,
-    /// What any replica applied at an index: term and value.
+    /// First entry applied at each index by any replica: term and value.
     history: BTreeMap<u64, (u64, Option<u64>)>,
     acknowledged: BTreeMap<u64, u64>,
 }
 
-/// Runs a schedule; the error says what didn't hold.
+/// Runs a schedule. The error describes the violated invariant.
 pub fn run(schedule: &Schedule, faults: &Faults) -> Check {
-    let mut world = World::new(schedule, faults);
+    let mut simulation = Simulation::new(schedule, faults);
     for _ in 0..schedule.steps {
-        world.make_trouble();
-        world.ask();
-        world.pass()?;
+        simulation.inject_faults();
+        simulation.send_requests();
+        simulation.advance()?;
     }
-    world.heal()
+    simulation.recover()
 }
 
-impl<'a> World<'a> {
-    fn new(schedule: &'a Schedule, faults: &'a Faults) -> World<'a> {
+impl<'a> Simulation<'a> {
+    fn new(schedule: &'a Schedule, faults: &'a Faults) -> Simulation<'a> {
         let mut rng = StdRng::seed_from_u64(schedule.seed);
         let mut hosts = Vec::new();
         let mut members = Members::default();
-        for place in 0..schedule.hosts {
-            let name = format!("host-{place}");
-            let id = DiskId(place as u64 + 1);
+        for host_index in 0..schedule.hosts {
+            let name = format!("host-{host_index}");
+            let id = DiskId(host_index as u64 + 1);
             members.voters.insert(id, Peer::new(&name, ""));
             let disk = Disk::new(id);
             hosts.push(Host::new(name, disk, &mut rng));
@@ -62,7 +62,7 @@
             host.disk.snapshot = Some(Snapshot::initial(members.clone()));
             host.start(start, &mut rng);
         }
-        World {
+        Simulation {
             schedule,
             faults,
             rng,
@@ -71,7 +71,7 @@
             next_disk: hosts.len() as u64 + 1,
             hosts,
             network: Network::default(),
-            back: BTreeMap::new(),
+            restarts: BTreeMap::new(),
             next_value: 1,
             next_token: 1,
             leaders: BTreeMap::new(),
@@ -88,68 +88,70 @@
         self.rng.random_range(0..self.hosts.len())
     }
 
-    fn make_trouble(&mut self) {
-        if self.chance(self.faults.cuts) {
-            self.cut();
+    fn inject_faults(&mut self) {
+        if self.chance(self.faults.partitions) {
+            self.partition();
         }
         if self.chance(self.faults.kills) {
             let host = self.any_host();
             self.hosts[host].kill(&mut self.rng);
-            // Half of them are back at once: another process took over.
-            let away = if self.chance(5_000) { 3 } else { 80 };
-            let back = self.step + self.rng.random_range(1..away);
-            self.back.insert(host, back);
+            // Half of them restart at once, as if by a supervisor.
+            let max_downtime = if self.chance(5_000) { 3 } else { 80 };
+            let restart = self.step + self.rng.random_range(1..max_downtime);
+            self.restarts.insert(host, restart);
         }
-        if self.chance(self.faults.lost_disks) && self.is_repaired() {
+        if self.chance(self.faults.lost_disks) && self.is_fully_replicated() {
             let host = self.any_host();
             self.hosts[host].lose_disk(DiskId(self.next_disk));
             self.next_disk += 1;
-            let back = self.step + self.rng.random_range(1..40);
-            self.back.insert(host, back);
+            let restart = self.step + self.rng.random_range(1..40);
+            self.restarts.insert(host, restart);
         }
         if self.chance(self.faults.clock_steps) {
             let host = self.any_host();
             let by = Duration::from_millis(self.rng.random_range(1..2_000));
-            self.hosts[host].stepped += by;
+            self.hosts[host].clock_offset += by;
         }
     }
 
-    /// Cuts some hosts off, often the leader alone.
-    fn cut(&mut self) {
-        let mut island = BTreeSet::from([self.any_host()]);
+    /// Partitions some hosts from the others, often only the leader.
+    fn partition(&mut self) {
+        let mut isolated = BTreeSet::from([self.any_host()]);
         let leads = |host: &Host| host.running.as_ref().is_some_and(|r| r.node.is_leader());
         if let Some(leader) = self.hosts.iter().position(leads)
             && self.rng.random_range(0..2) == 0
         {
-            island = BTreeSet::from([leader]);
+            isolated = BTreeSet::from([leader]);
         }
         let until = self.step + self.rng.random_range(5..200);
         let mut outside: BTreeSet<usize> = (0..self.hosts.len()).collect();
         match self.rng.random_range(0..4) {
-            0 => drop(island.insert(self.any_host())),
+            0 => drop(isolated.insert(self.any_host())),
             1 => outside = BTreeSet::from([self.any_host()]),
             _ => {}
         }
-        outside.retain(|host| !island.contains(host));
-        self.network.cut(&island, &outside, until, &mut self.rng);
-        // The clocks of the others step just when the leader can't be heard.
+        outside.retain(|host| !isolated.contains(host));
+        self.network
+            .partition(&isolated, &outside, until, &mut self.rng);
+        // The clocks of the other hosts step while the leader is isolated.
         if self.faults.clock_steps > 0 && self.rng.random_range(0..2) == 0 {
             for host in outside {
-                self.hosts[host].stepped += Duration::from_secs(1);
+                self.hosts[host].clock_offset += Duration::from_secs(1);
             }
         }
     }
 
-    /// Whether a leader that surely leads reports all disks of today as
-    /// voters that hold all that is committed, as an operator would wait for.
-    fn is_repaired(&self) -> bool {
+    /// Returns whether a leader with a lease reports all current disks as
+    /// active voters that hold all committed entries, which is what an operator
+    /// waits for.
+    fn is_fully_replicated(&self) -> bool {
         let disks: BTreeSet<DiskId> = self.hosts.iter().map(|h| h.disk.id).collect();
         let reports = |host: &Host| {
             let now = host.now(self.start, self.step);
             let node = &host.running.as_ref()?.node;
             let status = node.status(now);
             let rows = &status.replicas;
-            let whole = rows
+            let caught_up = rows
                 .iter()
                 .all(|r| r.voter && r.active && r.match_index >= Some(status.commit_index));
             let same = rows.iter().map(|r| r.id).collect::<BTreeSet<_>>() == disks;
@@ -157,23 +159,24 @@
                 node.has_lease(now)
                     && node.has_committed_in_term()
                     && status.membership_committed
-                    && whole
+                    && caught_up
                     && same,
             )
         };
         self.hosts.iter().any(|host| reports(host) == Some(true))
     }
 
-    /// Clients ask whoever says that it leads, an old leader as well.
-    fn ask(&mut self) {
+    /// Sends requests to every replica that considers itself leader, including
+    /// a former one.
+    fn send_requests(&mut self) {
         let last = self.acknowledged.keys().next_back().copied().unwrap_or(0);
-        for place in 0..self.hosts.len() {
-            let now = self.hosts[place].now(self.start, self.step);
+        for host_index in 0..self.hosts.len() {
+            let now = self.hosts[host_index].now(self.start, self.step);
             let (proposes, reads) = (
                 self.chance(self.schedule.proposals),
                 self.chance(self.schedule.reads),
             );
-            let Some(running) = &mut self.hosts[place].running else {
+            let Some(running) = &mut self.hosts[host_index].running else {
                 continue;
             };
             if proposes {
@@ -191,48 +194,48 @@
         }
     }
 
-    /// One step of time.
-    fn pass(&mut self) -> Check {
+    /// Runs one step.
+    fn advance(&mut self) -> Check {
         self.step += 1;
-        self.come_back();
-        for (to, message) in self.network.arrived(self.step) {
+        self.restart_due_hosts();
+        for (to, message) in self.network.deliver(self.step) {
             let now = self.hosts[to].now(self.start, self.step);
             if let Some(running) = &mut self.hosts[to].running {
                 running.node.step(message, now);
             }
         }
-        for place in 0..self.hosts.len() {
-            let host = &mut self.hosts[place];
+        for host_index in 0..self.hosts.len() {
+            let host = &mut self.hosts[host_index];
             let now = host.now(self.start, self.step);
-            let out = host.advance(now, self.step, self.faults.slow_syncs, &mut self.rng);
-            self.take(place, out)?;
-            self.check_reads(place)?;
-            self.join(place);
+            let output = host.advance(now, self.step, self.faults.slow_sync_percent, &mut self.rng);
+            self.handle_output(host_index, output)?;
+            self.check_reads(host_index)?;
+            self.join(host_index);
         }
         self.check_leaders()
     }
 
-    fn come_back(&mut self) {
-        let due = self.back.iter().filter(|(_, step)| **step <= self.step);
+    fn restart_due_hosts(&mut self) {
+        let due = self.restarts.iter().filter(|(_, step)| **step <= self.step);
         let due: Vec<usize> = due.map(|(host, _)| *host).collect();
-        for place in due {
-            self.back.remove(&place);
-            let now = self.hosts[place].now(self.start, self.step);
-            if self.hosts[place].running.is_none() {
-                self.hosts[place].start(now, &mut self.rng);
+        for host_index in due {
+            self.restarts.remove(&host_index);
+            let now = self.hosts[host_index].now(self.start, self.step);
+            if self.hosts[host_index].running.is_none() {
+                self.hosts[host_index].start(now, &mut self.rng);
             }
         }
     }
 
-    fn take(&mut self, place: usize, out: Out) -> Check {
-        for message in out.messages {
-            self.send(place, &message);
+    fn handle_output(&mut self, host_index: usize, output: Output) -> Check {
+        for message in output.messages {
+            self.send(host_index, &message);
         }
-        if let Some(snapshot) = out.restored {
-            self.check_snapshot(place, &snapshot)?;
+        if let Some(snapshot) = output.restored {
+            self.check_snapshot(host_index, &snapshot)?;
         }
-        for entry in out.applied {
-            self.check_applied(place, &entry)?;
+        for entry in output.applied {
+            self.check_applied(host_index, &entry)?;
         }
         Ok(())
     }
@@ -246,23 +249,26 @@
             .send(from, to, message, self.step, self.faults, rng);
     }
 
-    /// A blank replica asks everybody to take it in, now and then.
-    fn join(&mut self, place: usize) {
+    /// Sends join requests of a replica that should join, at regular intervals.
+    fn join(&mut self, host_index: usize) {
         const EVERY: u64 = 10;
-        let now = self.hosts[place].now(self.start, self.step);
-        let running = self.hosts[place].running.as_ref();
+        let now = self.hosts[host_index].now(self.start, self.step);
+        let running = self.hosts[host_index].running.as_ref();
         let should_join = running.is_some_and(|r| r.node.should_join(now));
         if !self.step.is_multiple_of(EVERY) || !should_join {
             return;
         }
-        let (from, name) = (self.hosts[place].disk.id, self.hosts[place].name.clone());
+        let (from, name) = (
+            self.hosts[host_index].disk.id,
+            self.hosts[host_index].name.clone(),
+        );
         let others: Vec<DiskId> = self.hosts.iter().map(|h| h.disk.id).collect();
         for to in others.into_iter().filter(|to| *to != from) {
             let peer = Peer::new(&name, "");
             let body = MessageBody::Join { peer };
             let term = 0;
             self.send(
-                place,
+                host_index,
                 &Message {
                     from,
                     to,
@@ -273,25 +279,25 @@
         }
     }
 
-    fn check_applied(&mut self, place: usize, entry: &Entry) -> Check {
-        let held = match &entry.body {
+    fn check_applied(&mut self, host_index: usize, entry: &Entry) -> Check {
+        let command_value = match &entry.body {
             EntryBody::Command(data) => Some(value(data)),
             EntryBody::Noop | EntryBody::Members(_) => None,
         };
-        let found = (entry.term, held);
+        let found = (entry.term, command_value);
         let first = *self.history.entry(entry.index).or_insert(found);
         if first != found {
             let index = entry.index;
             return Err(format!(
-                "entry {index} was {first:?}, at host {place} {found:?}"
+                "entry {index} was {first:?}, but host {host_index} applied {found:?}"
             ));
         }
-        let Some(running) = &mut self.hosts[place].running else {
+        let Some(running) = &mut self.hosts[host_index].running else {
             return Ok(());
         };
-        let mine = running.proposed.iter().position(|p| p.0 == entry.index);
-        if let Some(mine) = mine {
-            let (index, term, value) = running.proposed.remove(mine);
+        let own = running.proposed.iter().position(|p| p.0 == entry.index);
+        if let Some(own) = own {
+            let (index, term, value) = running.proposed.remove(own);
             if term == entry.term {
                 self.acknowledged.insert(index, value);
             }
@@ -299,19 +305,22 @@
         Ok(())
     }
 
-    fn check_snapshot(&self, place: usize, snapshot: &Snapshot) -> Check {
+    fn check_snapshot(&self, host_index: usize, snapshot: &Snapshot) -> Check {
         let state = decode(&snapshot.data);
         let applied = self.history.range(..=snapshot.index);
         let values = applied.filter_map(|(index, (_, value))| Some((*index, (*value)?)));
         if values.collect::<BTreeMap<_, _>>() != state {
-            return Err(format!("snapshot of another state at host {place}"));
+            return Err(format!(
+                "snapshot at host {host_index} differs from the applied entries"
+            ));
         }
         Ok(())
     }
 
-    /// A read is whole if it shows all that was acknowledged before it.
-    fn check_reads(&mut self, place: usize) -> Check {
-        let Some(running) = &mut self.hosts[place].running else {
+    /// Checks that reads include all entries acknowledged before they were
+    /// requested.
+    fn check_reads(&mut self, host_index: usize) -> Check {
+        let Some(running) = &mut self.hosts[host_index].running else {
             return Ok(());
         };
         let applied = running.applied;
@@ -323,7 +332,9 @@
         for (token, _) in now {
             let acknowledged = running.reads.remove(&token).unwrap_or(0);
             if applied < acknowledged {
-                return Err(format!("read at host {place} lacks entry {acknowledged}"));
+                return Err(format!(
+                    "read at host {host_index} misses entry {acknowledged}"
+                ));
             }
         }
         Ok(())
@@ -347,74 +358,78 @@
                 leased.push(node.term());
             }
         }
-        // A lease rests on clocks that run alike; it can't outlive a step.
+        // Leases depend on clocks that run at similar rates and do not hold
+        // when a clock steps.
         if self.faults.clock_steps == 0 && leased.len() > 1 {
             return Err(format!("leaders of terms {leased:?} hold a lease at once"));
         }
         Ok(())
     }
 
-    /// Ends the faults; all must come together and hold what was acknowledged.
-    fn heal(&mut self) -> Check {
-        let calm = Faults {
-            late: 1,
+    /// Ends the faults and checks that all replicas recover with all
+    /// acknowledged entries.
+    fn recover(&mut self) -> Check {
+        let low_delay = Faults {
+            max_delay_steps: 1,
             ..Faults::default()
         };
         let steady = Faults {
             clock_steps: self.faults.clock_steps,
-            ..calm
+            ..low_delay
         };
-        let mut healed = World {
+        let mut recovery = Simulation {
             faults: &steady,
             rng: StdRng::seed_from_u64(self.step),
             hosts: std::mem::take(&mut self.hosts),
             network: std::mem::take(&mut self.network),
-            back: std::mem::take(&mut self.back),
+            restarts: std::mem::take(&mut self.restarts),
             leaders: std::mem::take(&mut self.leaders),
             history: std::mem::take(&mut self.history),
             acknowledged: std::mem::take(&mut self.acknowledged),
             ..*self
         };
-        healed.network.heal();
-        for host in 0..healed.hosts.len() {
-            healed.back.insert(host, healed.step);
+        recovery.network.heal();
+        for host in 0..recovery.hosts.len() {
+            recovery.restarts.insert(host, recovery.step);
         }
-        let first = healed.next_value;
-        for _ in 0..HEALING_STEPS {
-            let newest = healed.newest(first);
-            if newest.is_none() {
-                healed.ask();
+        let first = recovery.next_value;
+        for _ in 0..RECOVERY_STEPS {
+            let last = recovery.last_acknowledged(first);
+            if last.is_none() {
+                recovery.send_requests();
             }
-            healed.pass()?;
-            if newest.is_some_and(|index| healed.is_whole(index)) {
-                return healed.check_acknowledged();
+            recovery.advance()?;
+            if last.is_some_and(|index| recovery.has_recovered(index)) {
+                return recovery.check_acknowledged();
             }
         }
-        Err("not well again in time".to_owned())
+        Err(format!(
+            "replicas did not recover within {RECOVERY_STEPS} steps"
+        ))
     }
 
-    /// Last acknowledged entry, if its value was proposed after the faults.
-    fn newest(&self, first: u64) -> Option<u64> {
-        let newest = self.acknowledged.iter().next_back();
-        newest
-            .filter(|(_, value)| **value >= first)
+    /// Returns the last acknowledged entry if its value was proposed after the
+    /// faults.
+    fn last_acknowledged(&self, first: u64) -> Option<u64> {
+        let last = self.acknowledged.iter().next_back();
+        last.filter(|(_, value)| **value >= first)
             .map(|(index, _)| *index)
     }
 
-    fn is_whole(&self, index: u64) -> bool {
+    fn has_recovered(&self, index: u64) -> bool {
         let has = |h: &Host| h.running.as_ref().is_some_and(|r| r.applied >= index);
-        self.is_repaired() && self.hosts.iter().all(has)
+        self.is_fully_replicated() && self.hosts.iter().all(has)
     }
 
     fn check_acknowledged(&self) -> Check {
-        for (place, host) in self.hosts.iter().enumerate() {
+        for (host_index, host) in self.hosts.iter().enumerate() {
             let Some(running) = &host.running else {
                 continue;
             };
             for (index, value) in &self.acknowledged {
                 if running.applied >= *index && running.state.get(index) != Some(value) {
                     return Err(format!(
-                        "acknowledged entry {index} is gone at host {place}"
+                        "acknowledged entry {index} is lost at host {host_index}"
                     ));
                 }
             }
