--- a/crates/ledger/src/answer.rs
+++ b/crates/ledger/src/answer.rs
@@ -1,20 +1,20 @@
-//! The stored answer of a call.
+//! Stored answers.
 
 use bytes::Bytes;
 
-/// A target's whole answer, given again to each caller that resends the key.
+/// Complete answer of a target, returned to each caller that resends the key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Header names and values, in the order of the target.
+    /// Header names and values, in the order sent by the target.
     pub headers: Vec<(String, Bytes)>,
     /// Body.
     pub body: Bytes,
 }
 
 impl Answer {
-    /// Bytes that the answer takes in the ledger.
+    /// Returns the size of the answer in the ledger, in bytes.
     ///
     /// ```
     /// let answer = ledger::Answer { status: 200, headers: Vec::new(), body: "lot".into() };
--- a/crates/ledger/src/attempt.rs
+++ b/crates/ledger/src/attempt.rs
@@ -1,13 +1,14 @@
-//! Identity of an attempt.
+//! Identifiers of attempts.
 
 use std::fmt;
 
-/// Random 128 bits that name one attempt at running a request.
+/// Random 128-bit identifier of one attempt to run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Attempt(pub u128);
 
 impl Attempt {
-    /// Reads an attempt from its 16 bytes, most significant first.
+    /// Decodes an attempt from 16 bytes in big-endian order; `None` for another
+    /// length.
     ///
     /// ```
     /// use ledger::Attempt;
@@ -21,7 +22,7 @@
         bytes.try_into().ok().map(u128::from_be_bytes).map(Attempt)
     }
 
-    /// The 16 bytes of the attempt, most significant first.
+    /// Returns the attempt as 16 bytes in big-endian order.
     ///
     /// ```
     /// assert_eq!(ledger::Attempt(1).to_bytes()[15], 1);
--- a/crates/ledger/src/call_key.rs
+++ b/crates/ledger/src/call_key.rs
@@ -1,18 +1,19 @@
-//! Key of a record.
+//! Keys of records.
 
 use bytes::Bytes;
 
-/// Names a non-repeatable call: the client account and its idempotency key.
+/// Identifies a non-repeatable call by client account and idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallKey {
-    /// Client account; two accounts never share a key.
+    /// Client account. Equal idempotency keys of two accounts are different
+    /// keys.
     pub account: String,
-    /// Idempotency key as the caller sent it.
+    /// Idempotency key as sent by the caller.
     pub key: Bytes,
 }
 
 impl CallKey {
-    /// Puts account and key together.
+    /// Creates a key from an account and an idempotency key.
     ///
     /// ```
     /// let key = ledger::CallKey::new("saegewerk-huber", "lot-4711");
--- a/crates/ledger/src/call_outcome.rs
+++ b/crates/ledger/src/call_outcome.rs
@@ -1,13 +1,14 @@
-//! How a call ended.
+//! Outcomes of calls.
 
 use crate::Answer;
 
-/// The result that a finish records.
+/// Outcome recorded by [`Ledger::finish`](crate::Ledger::finish).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The target's whole answer, which proves that the attempt ended.
+    /// Complete answer of the target, which proves that the attempt ended.
     Answer(Answer),
-    /// Nobody can tell whether the call ran or will yet run, and why.
+    /// It is not known whether the call ran or will still run; holds the
+    /// reason.
     Unknown(String),
 }
 
--- a/crates/ledger/src/claim.rs
+++ b/crates/ledger/src/claim.rs
@@ -1,18 +1,19 @@
-//! A claim on a key.
+//! Claims on keys.
 
 use crate::{Attempt, CallKey, Digest};
 
-/// Asks for a key on behalf of one attempt, before anything is sent.
+/// Claims a key for one attempt before anything is sent to the target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claim {
-    /// The call.
+    /// Key of the call.
     pub key: CallKey,
-    /// What it asks for; the same key with another digest is refused.
+    /// Digest of the request. A claim for the same key with another digest is
+    /// refused.
     pub digest: Digest,
-    /// The attempt that will run if the claim is granted.
+    /// Attempt that runs if the claim is granted.
     pub attempt: Attempt,
-    /// Target that the attempt will be sent to.
+    /// Target to which the attempt is sent.
     pub target: String,
-    /// Incarnation of that target's agent.
+    /// Incarnation of the agent of that target.
     pub incarnation: u64,
 }
--- a/crates/ledger/src/digest.rs
+++ b/crates/ledger/src/digest.rs
@@ -1,11 +1,11 @@
-//! Digest of what a call asks for.
+//! Request digests.
 
-/// SHA-256 of method, path and body.
+/// SHA-256 digest of the method, path and body of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Digest(pub [u8; 32]);
 
 impl Digest {
-    /// Reads a digest from its 32 bytes.
+    /// Creates a digest from 32 bytes; `None` for another length.
     ///
     /// ```
     /// use ledger::Digest;
--- a/crates/ledger/src/error.rs
+++ b/crates/ledger/src/error.rs
@@ -1,11 +1,11 @@
-//! Errors of reading a snapshot.
+//! Errors of decoding a snapshot.
 
 use std::fmt;
 
-/// Result of reading a snapshot.
+/// Result of decoding a snapshot.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A snapshot that can't be read.
+/// Error of decoding a snapshot.
 #[derive(Debug)]
 pub struct Error {
     code: Code,
@@ -27,7 +27,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.code {
             Code::Decode(e) => write!(f, "snapshot of the ledger can't be read: {e}"),
-            Code::Record(place) => write!(f, "malformed record at records[{place}]"),
+            Code::Record(position) => write!(f, "malformed record at records[{position}]"),
         }
     }
 }
--- a/crates/ledger/src/holder.rs
+++ b/crates/ledger/src/holder.rs
@@ -1,14 +1,14 @@
-//! Who holds a key.
+//! Holders of keys.
 
 use crate::Attempt;
 
-/// The attempt that holds a key, and where it runs.
+/// Attempt that holds a key, and the target to which it was sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holder {
-    /// The attempt.
+    /// Attempt that holds the key.
     pub attempt: Attempt,
-    /// Target that it was sent to.
+    /// Target to which the attempt was sent.
     pub target: String,
-    /// Incarnation of that target's agent.
+    /// Incarnation of the agent of that target.
     pub incarnation: u64,
 }
--- a/crates/ledger/src/key_status.rs
+++ b/crates/ledger/src/key_status.rs
@@ -1,21 +1,21 @@
-//! What stands in the ledger for a key.
+//! Status of a key.
 
 use crate::{Answer, Holder, UnknownOutcome};
 
-/// The answer to a claim, and what stands after a finish or release.
+/// Result of a claim, and status of a key after a finish or release.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyStatus {
-    /// The key belongs to the attempt that asked; it may be sent.
+    /// The attempt holds the key and may be sent.
     Claimed,
-    /// Another attempt holds the key: attach to it at its agent.
+    /// Another attempt holds the key. The caller can attach to it at its agent.
     Running(Holder),
-    /// The call ran and this is its answer.
+    /// The call ran with this answer.
     Finished(Answer),
-    /// Whether the call ran isn't known.
+    /// It is not known whether the call ran.
     Unknown(UnknownOutcome),
-    /// The key was used for a call that asked for something else.
+    /// The key was used for a call with another digest.
     Mismatch,
-    /// The ledger is full; nothing was recorded.
+    /// The ledger is full. Nothing was recorded.
     Full,
     /// There is no record of the key.
     Absent,
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -1,34 +1,35 @@
-//! The state machine.
+//! The ledger state machine.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::record::{Record, State, ended};
+use crate::record::{Record, State, ended_state};
 use crate::{Attempt, CallKey, CallOutcome, Claim, Holder, KeyStatus, Limits, UnprovedCall};
 
-/// Reason of a claim whose attempt was never reported on.
-const OUTLIVED: &str = "nothing was heard of the attempt in time";
+/// Reason stored for a claim whose attempt was not reported in time.
+const NO_RESULT_IN_TIME: &str = "nothing was heard of the attempt in time";
 
-/// At most one attempt for each key, bounded in number, bytes and time.
+/// Record of at most one attempt per key, bounded in number, bytes and time.
 ///
-/// Each call first brings the ledger up to `now_ms`: claims that run for too
-/// long become unknown, records of calls that ended go once they have been
-/// kept long enough. A time before the latest one seen counts as the latest
-/// one. What nobody proved to have ended goes by no time.
+/// Each operation first advances the ledger to `now_ms`: claims that have been
+/// running for too long become unknown, and records of ended calls expire after
+/// their retention time. A time before the latest one seen is treated as the
+/// latest one. Records of calls not proved to have ended never expire.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ledger {
     limits: Limits,
     now_ms: u64,
     bytes: usize,
     records: BTreeMap<CallKey, Record>,
-    /// The same keys by the time at which something falls due.
+    /// Keys ordered by the time at which their record is due.
     due: BTreeSet<(u64, CallKey)>,
-    /// Counted as they change, since each claim asks.
+    /// Number of running records, maintained because each claim needs it.
     running: usize,
+    /// Number of unproved records, maintained because each claim needs it.
     unproved: usize,
 }
 
 impl Ledger {
-    /// An empty ledger.
+    /// Creates an empty ledger.
     ///
     /// ```
     /// assert!(ledger::Ledger::new(ledger::Limits::default()).is_empty());
@@ -48,9 +49,9 @@
 
     /// Claims a key for an attempt.
     ///
-    /// The same claim again, by an entry that lost the answer, is granted
-    /// again while it stands: it names the same attempt, which an agent
-    /// starts once at most.
+    /// While an attempt runs, a claim by the same attempt is granted again, so
+    /// that an entry that lost the reply can retry. An agent starts an attempt
+    /// at most once.
     ///
     /// ```
     /// # use ledger::*;
@@ -69,7 +70,7 @@
     pub fn claim(&mut self, claim: Claim, now_ms: u64) -> KeyStatus {
         self.expire(now_ms);
         if let Some(record) = self.records.get(&claim.key) {
-            return status_for(record, &claim);
+            return claim_status(record, &claim);
         }
         let record = Record {
             digest: claim.digest,
@@ -89,12 +90,11 @@
         KeyStatus::Claimed
     }
 
-    /// Records how an attempt ended; the first result stays, but for an
-    /// answer, which takes the place of "unknown": it proves that the attempt
-    /// ended, and the caller is better served with it.
+    /// Records the outcome of an attempt. The first outcome is kept, except
+    /// that an answer replaces an unknown outcome, because it proves that the
+    /// attempt ended and is more useful to the caller.
     ///
-    /// Returns whether this result is the one that was stored, and what
-    /// stands for the key.
+    /// Returns whether this outcome was stored, and the status of the key.
     ///
     /// ```
     /// # use ledger::*;
@@ -114,18 +114,19 @@
         let Some(record) = self.records.get(key) else {
             return (false, KeyStatus::Absent);
         };
-        if record.holder.attempt != attempt || !record.takes(&outcome) {
+        if record.holder.attempt != attempt || !record.accepts(&outcome) {
             return (false, record.status());
         }
-        self.end(key, outcome);
+        self.record_outcome(key, outcome);
         (true, self.status(key))
     }
 
     /// Frees a key whose attempt was barred at its agent before it started.
+    /// Returns whether the key was freed, and the status of the key.
     ///
-    /// Only the attempt that holds the key frees it, and only while nothing
-    /// is recorded: a late release of a former attempt must not free a key
-    /// that another one has claimed since, or two would run.
+    /// Only the attempt that holds the key can free it, and only while it has
+    /// no outcome. A delayed release of a former attempt must not free a key
+    /// that another attempt has claimed since, or two attempts could run.
     ///
     /// ```
     /// # use ledger::*;
@@ -138,20 +139,20 @@
         let Some(record) = self.records.get(key) else {
             return (false, KeyStatus::Absent);
         };
-        let runs = matches!(record.state, State::Running { .. });
-        if !runs || record.holder.attempt != attempt {
+        let running = matches!(record.state, State::Running { .. });
+        if !running || record.holder.attempt != attempt {
             return (false, record.status());
         }
         self.remove(key);
         (true, KeyStatus::Absent)
     }
 
-    /// Frees the key of a call whose outcome is unknown, by the word of an
-    /// operator who has made sure that it can't run any more. Returns the
-    /// call, if there is one with this attempt.
+    /// Frees the key of a call whose outcome is unknown, on request of an
+    /// operator who has made sure that it can no longer run. Returns the key,
+    /// if there is an unproved call with this attempt.
     ///
-    /// The attempt is named and not the key, so that a word given twice can't
-    /// free a key that was claimed anew in between.
+    /// The call is identified by its attempt and not by its key, so that a
+    /// repeated request cannot free a key that was claimed again in between.
     ///
     /// ```
     /// # use ledger::*;
@@ -166,7 +167,7 @@
         Some(key)
     }
 
-    /// Brings the ledger up to `now_ms`.
+    /// Advances the ledger to `now_ms` and processes all due records.
     ///
     /// ```
     /// # use ledger::*;
@@ -181,11 +182,11 @@
                 break;
             }
             let key = key.clone();
-            self.fall_due(&key);
+            self.expire_key(&key);
         }
     }
 
-    /// What stands for a key, without a change.
+    /// Returns the status of a key without changing the ledger.
     ///
     /// ```
     /// # use ledger::*;
@@ -199,8 +200,7 @@
             .map_or(KeyStatus::Absent, Record::status)
     }
 
-    /// The calls of which nobody proved that they ended, in the order of
-    /// their keys.
+    /// Returns the calls that are not proved to have ended, ordered by key.
     ///
     /// ```
     /// # use ledger::*;
@@ -220,49 +220,50 @@
             })
     }
 
-    /// Number of claims that may run.
+    /// Returns the number of claims that may be running.
     #[must_use]
     pub fn running(&self) -> usize {
         self.running
     }
 
-    /// Number of calls of which nobody proved that they ended.
+    /// Returns the number of calls that are not proved to have ended.
     #[must_use]
     pub fn unproved_len(&self) -> usize {
         self.unproved
     }
 
-    /// The latest time seen, in milliseconds.
+    /// Returns the latest time seen, in milliseconds.
     #[must_use]
     pub fn now_ms(&self) -> u64 {
         self.now_ms
     }
 
-    /// Number of records.
+    /// Returns the number of records.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether there is no record.
+    /// Returns whether there is no record.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Bytes of all records, room for the answers of running claims included.
+    /// Returns the size of all records in bytes, including the space reserved
+    /// for the answers of running claims.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The bounds of this ledger.
+    /// Returns the limits of this ledger.
     #[must_use]
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// Puts other bounds in force; records keep the times that they have.
+    /// Replaces the limits. Existing records keep their times.
     ///
     /// ```
     /// # use ledger::*;
@@ -314,12 +315,12 @@
         Some(record)
     }
 
-    fn end(&mut self, key: &CallKey, outcome: CallOutcome) {
+    fn record_outcome(&mut self, key: &CallKey, outcome: CallOutcome) {
         let Some(mut record) = self.remove(key) else {
             return;
         };
         let limits = &self.limits;
-        record.state = ended(
+        record.state = ended_state(
             outcome,
             limits.max_answer_bytes,
             self.now_ms,
@@ -328,16 +329,16 @@
         self.insert(key.clone(), record);
     }
 
-    /// A running claim whose attempt was never reported on may have run, or
-    /// may run yet, so it isn't freed here: a resend would run it a second
-    /// time.
-    fn fall_due(&mut self, key: &CallKey) {
+    /// Processes a due record: an ended call is removed, and a running claim
+    /// becomes unproved. The attempt of such a claim may have run or may still
+    /// run, so its key is not freed; a resend could run the call a second time.
+    fn expire_key(&mut self, key: &CallKey) {
         let Some(mut record) = self.remove(key) else {
             return;
         };
         if let State::Running { until_ms } = record.state {
             record.state = State::Unproved {
-                reason: OUTLIVED.into(),
+                reason: NO_RESULT_IN_TIME.into(),
                 since_ms: until_ms,
             };
             self.insert(key.clone(), record);
@@ -348,8 +349,8 @@
         2 * key.size() + record.size(self.limits.max_answer_bytes)
     }
 
-    /// Each claim that runs may turn out never to be proved over, so it needs
-    /// its place among those from the start.
+    /// Returns whether the record fits within the limits. Any running claim may
+    /// remain unproved, so running claims count towards `max_unproved`.
     fn has_room(&self, key: &CallKey, record: &Record) -> bool {
         self.running + self.unproved < self.limits.max_unproved
             && self.records.len() < self.limits.max_records
@@ -357,12 +358,12 @@
     }
 }
 
-fn status_for(record: &Record, claim: &Claim) -> KeyStatus {
+fn claim_status(record: &Record, claim: &Claim) -> KeyStatus {
     if record.digest != claim.digest {
         return KeyStatus::Mismatch;
     }
-    let runs = matches!(record.state, State::Running { .. });
-    if runs && record.holder.attempt == claim.attempt {
+    let running = matches!(record.state, State::Running { .. });
+    if running && record.holder.attempt == claim.attempt {
         return KeyStatus::Claimed;
     }
     record.status()
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,18 +1,19 @@
 //! At-most-once record of non-repeatable calls.
 //!
-//! A caller names a non-repeatable call by an idempotency key. Before
-//! anything is sent to a target, the key is claimed for one attempt; the
-//! result is recorded before the caller is answered. A key that is claimed
-//! is never free again but by [`Ledger::release`], which needs proof that
-//! the attempt was barred before it started; by expiry of its record a stated
-//! time after its answer proved that it ended; or by [`Ledger::forget`], an
-//! operator's word. Time alone frees nothing that was not proved to be over.
+//! A caller identifies a non-repeatable call by an idempotency key. The key is
+//! claimed for one attempt before anything is sent to a target, and the result
+//! is recorded before the caller is answered. A claimed key becomes free again
+//! in three ways only: by [`Ledger::release`], which requires proof that the
+//! attempt was barred before it started; by expiry of its record, a retention
+//! time after its answer proved that the attempt ended; or by
+//! [`Ledger::forget`], on request of an operator. A key whose attempt is not
+//! proved to have ended never expires.
 //!
-//! The state machine is replicated: it reads no clock, and the same calls
-//! with the same times give the same state everywhere.
+//! The state machine is replicated. It reads no clock, and the same calls with
+//! the same times lead to the same state on every replica.
 //!
 //! ```
-//! use ledger::{Answer, Attempt, CallKey, Claim, KeyStatus, Digest, Ledger, Limits};
+//! use ledger::{Answer, Attempt, CallKey, Claim, Digest, KeyStatus, Ledger, Limits};
 //!
 //! let mut ledger = Ledger::new(Limits::default());
 //! let key = CallKey::new("saegewerk-huber", "lot-4711");
--- a/crates/ledger/src/limits.rs
+++ b/crates/ledger/src/limits.rs
@@ -1,23 +1,25 @@
-//! Bounds of a ledger.
+//! Limits of a ledger.
 
-/// How much a ledger holds and for how long.
+/// Size and time limits of a ledger.
 ///
-/// The limits are part of the replicated state: they travel with a snapshot,
-/// since replicas with other limits would come to other states.
+/// The limits are part of the replicated state and of its snapshots, because
+/// replicas with different limits would reach different states.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Records at most.
+    /// Maximum number of records.
     pub max_records: usize,
-    /// Bytes of all records at most, room for the answers of running claims
-    /// included.
+    /// Maximum size of all records in bytes, including the space reserved for
+    /// the answers of running claims.
     pub max_bytes: usize,
-    /// Bytes of one answer at most; a larger one is recorded as unknown.
+    /// Maximum size of one answer in bytes. If an answer is larger, the outcome
+    /// is recorded as unknown.
     pub max_answer_bytes: usize,
-    /// Calls at most that run, or of which nobody proved that they ended.
+    /// Maximum number of calls that are running or not proved to have ended.
     pub max_unproved: usize,
-    /// Time in milliseconds that the record of a call that ended is kept.
+    /// Time for which the record of an ended call is kept, in milliseconds.
     pub keep_ms: u64,
-    /// Time in milliseconds after which a running claim becomes unknown.
+    /// Time after which the outcome of a running claim becomes unknown, in
+    /// milliseconds.
     pub running_ms: u64,
 }
 
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -1,14 +1,15 @@
-//! One record.
+//! Ledger records.
 
 use crate::{CallOutcome, Digest, Holder, KeyStatus, UnknownOutcome};
 
-/// Fixed part of a record, with the nodes of both maps, in bytes.
-const OVERHEAD: usize = 256;
+/// Size of the fixed part of a record in bytes, including its nodes in both
+/// maps.
+const OVERHEAD_BYTES: usize = 256;
 
-/// Reasons are cut to this many bytes, so that they can't fill the ledger.
-const MAX_REASON: usize = 256;
+/// Longer reasons are truncated, so that they cannot fill the ledger.
+const MAX_REASON_BYTES: usize = 256;
 
-/// What the ledger keeps for one key.
+/// Ledger entry of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Record {
     pub digest: Digest,
@@ -16,21 +17,22 @@
     pub state: State,
 }
 
-/// How far a call has come.
+/// State of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum State {
-    /// The attempt may run; from that time on its outcome is unknown.
+    /// The attempt may run. At `until_ms` its outcome becomes unknown.
     Running { until_ms: u64 },
-    /// The attempt ended; the record goes at that time.
+    /// The attempt ended. The record expires at `until_ms`.
     Ended { outcome: CallOutcome, until_ms: u64 },
-    /// Nobody proved that the attempt ended: it may be written to its target
-    /// at any later time, by an agent or a host that stood still. The record
-    /// goes by no time, or a resend would run the call beside it.
+    /// The attempt is not proved to have ended. A paused agent or host may
+    /// still send it to its target at any later time. The record does not
+    /// expire, because a resend could otherwise run the call a second time.
     Unproved { reason: String, since_ms: u64 },
 }
 
 impl State {
-    /// When something falls due by time alone.
+    /// Returns when the state changes or the record expires, if it does by time
+    /// alone.
     pub fn due_ms(&self) -> Option<u64> {
         match self {
             State::Running { until_ms } | State::Ended { until_ms, .. } => Some(*until_ms),
@@ -57,9 +59,10 @@
         }
     }
 
-    /// Whether a result of the attempt is still taken: any while it runs, and
-    /// an answer, which proves that it ended, at any time.
-    pub fn takes(&self, outcome: &CallOutcome) -> bool {
+    /// Returns whether an outcome of the attempt is still accepted: any outcome
+    /// while it runs, and afterwards, while it is unproved, only an answer,
+    /// which proves that it ended.
+    pub fn accepts(&self, outcome: &CallOutcome) -> bool {
         match self.state {
             State::Running { .. } => true,
             State::Unproved { .. } => matches!(outcome, CallOutcome::Answer(_)),
@@ -67,23 +70,24 @@
         }
     }
 
-    /// Bytes of the record beside its key; a running one counts with the
-    /// room that its answer may need, or a finish could find no room.
+    /// Returns the size of the record without its key, in bytes. A running
+    /// record includes space for the largest answer, so that a finish always
+    /// fits.
     pub fn size(&self, max_answer_bytes: usize) -> usize {
         let state = match &self.state {
-            State::Running { .. } => max_answer_bytes.max(MAX_REASON),
+            State::Running { .. } => max_answer_bytes.max(MAX_REASON_BYTES),
             State::Ended { outcome, .. } => match outcome {
                 CallOutcome::Answer(answer) => answer.size(),
                 CallOutcome::Unknown(reason) => reason.len(),
             },
             State::Unproved { reason, .. } => reason.len(),
         };
-        OVERHEAD + self.holder.target.len() + state
+        OVERHEAD_BYTES + self.holder.target.len() + state
     }
 }
 
-/// The state that a result leads to, within the bounds of a record.
-pub(crate) fn ended(
+/// Returns the state for an outcome, within the size limits of a record.
+pub(crate) fn ended_state(
     outcome: CallOutcome,
     max_answer_bytes: usize,
     now_ms: u64,
@@ -98,7 +102,7 @@
         }
         answer @ CallOutcome::Answer(_) => answer,
         CallOutcome::Unknown(mut reason) => {
-            reason.truncate(reason.floor_char_boundary(MAX_REASON));
+            reason.truncate(reason.floor_char_boundary(MAX_REASON_BYTES));
             return State::Unproved {
                 reason,
                 since_ms: now_ms,
--- a/crates/ledger/src/snapshot.rs
+++ b/crates/ledger/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots, encoded as Protocol Buffers.
+//! Snapshots encoded as Protocol Buffers.
 
 use bytes::Bytes;
 use prost::Message;
@@ -22,14 +22,14 @@
     #[prost(uint64, tag = "6")]
     running_ms: u64,
     #[prost(message, repeated, tag = "7")]
-    records: Vec<Row>,
-    /// 0 in snapshots that were written before there was such a limit.
+    records: Vec<RecordRow>,
+    /// 0 in snapshots of versions without this limit.
     #[prost(uint64, tag = "8")]
     max_unproved: u64,
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct Row {
+struct RecordRow {
     #[prost(string, tag = "1")]
     account: String,
     #[prost(bytes = "bytes", tag = "2")]
@@ -42,15 +42,15 @@
     target: String,
     #[prost(uint64, tag = "6")]
     incarnation: u64,
-    /// When it falls due, or since when its outcome is unknown.
+    /// Time at which the record is due, or since which its outcome is unknown.
     #[prost(uint64, tag = "7")]
     time_ms: u64,
     #[prost(message, optional, tag = "8")]
     answer: Option<AnswerRow>,
     #[prost(string, optional, tag = "9")]
     unknown: Option<String>,
-    /// Of an unknown outcome: whether the attempt is proved to have ended.
-    /// Earlier versions didn't tell, so without it nothing is proved.
+    /// For an unknown outcome, whether the attempt is proved to have ended.
+    /// Earlier versions did not store it, so a missing value means not proved.
     #[prost(bool, tag = "10")]
     ended: bool,
 }
@@ -68,7 +68,7 @@
 }
 
 impl Ledger {
-    /// Writes the whole state; equal ledgers give equal bytes.
+    /// Encodes the complete state. Equal ledgers have equal encodings.
     ///
     /// ```
     /// use ledger::{Ledger, Limits};
@@ -89,16 +89,17 @@
             keep_ms: limits.keep_ms,
             running_ms: limits.running_ms,
             max_unproved: limits.max_unproved as u64,
-            records: self.records().iter().map(row).collect(),
+            records: self.records().iter().map(record_row).collect(),
         };
         snapshot.encode_to_vec()
     }
 
-    /// Reads a state that [`Ledger::to_bytes`] wrote.
+    /// Decodes a state encoded by [`Ledger::to_bytes`].
     ///
     /// # Errors
     ///
-    /// Fails when the bytes are no snapshot, naming the record at fault.
+    /// Fails if the bytes are not a valid snapshot; the error names the invalid
+    /// record.
     ///
     /// ```
     /// assert!(ledger::Ledger::from_slice(b"not a snapshot").is_err());
@@ -106,21 +107,21 @@
     pub fn from_slice(bytes: &[u8]) -> Result<Self> {
         let snapshot = Snapshot::decode(bytes).map_err(Code::Decode)?;
         let limits = Limits {
-            max_records: clamp(snapshot.max_records),
-            max_bytes: clamp(snapshot.max_bytes),
-            max_answer_bytes: clamp(snapshot.max_answer_bytes),
+            max_records: clamp_to_usize(snapshot.max_records),
+            max_bytes: clamp_to_usize(snapshot.max_bytes),
+            max_answer_bytes: clamp_to_usize(snapshot.max_answer_bytes),
             max_unproved: match snapshot.max_unproved {
                 0 => Limits::default().max_unproved,
-                limit => clamp(limit),
+                limit => clamp_to_usize(limit),
             },
             keep_ms: snapshot.keep_ms,
             running_ms: snapshot.running_ms,
         };
         let mut ledger = Ledger::restore(limits, snapshot.now_ms);
-        for (place, row) in snapshot.records.into_iter().enumerate() {
-            let (key, record) = parse(row).ok_or(Code::Record(place))?;
+        for (position, row) in snapshot.records.into_iter().enumerate() {
+            let (key, record) = parse_record(row).ok_or(Code::Record(position))?;
             if ledger.records().contains_key(&key) {
-                return Err(Code::Record(place).into());
+                return Err(Code::Record(position).into());
             }
             ledger.insert(key, record);
         }
@@ -128,13 +129,13 @@
     }
 }
 
-fn clamp(value: u64) -> usize {
-    // Far below the largest value, so that sums of sizes can't overflow.
-    const MOST: usize = usize::MAX >> 16;
-    usize::try_from(value).unwrap_or(MOST).min(MOST)
+fn clamp_to_usize(value: u64) -> usize {
+    // Far below the largest value, so that sums of sizes cannot overflow.
+    const MAX: usize = usize::MAX >> 16;
+    usize::try_from(value).unwrap_or(MAX).min(MAX)
 }
 
-fn row((key, record): (&CallKey, &Record)) -> Row {
+fn record_row((key, record): (&CallKey, &Record)) -> RecordRow {
     let (answer, unknown) = match &record.state {
         State::Running { .. } => (None, None),
         State::Ended { outcome, .. } => match outcome {
@@ -147,7 +148,7 @@
         State::Running { until_ms } | State::Ended { until_ms, .. } => until_ms,
         State::Unproved { since_ms, .. } => since_ms,
     };
-    Row {
+    RecordRow {
         account: key.account.clone(),
         key: key.key.clone(),
         digest: Bytes::copy_from_slice(&record.digest.0),
@@ -170,7 +171,7 @@
     }
 }
 
-fn parse(row: Row) -> Option<(CallKey, Record)> {
+fn parse_record(row: RecordRow) -> Option<(CallKey, Record)> {
     let until_ms = row.time_ms;
     let state = match (row.answer, row.unknown) {
         (None, None) => State::Running { until_ms },
--- a/crates/ledger/src/unknown_outcome.rs
+++ b/crates/ledger/src/unknown_outcome.rs
@@ -1,13 +1,13 @@
-//! An outcome that nobody knows.
+//! Unknown outcomes.
 
 use crate::Holder;
 
-/// Whether the call ran isn't known.
+/// Unknown outcome of a call: it is not known whether the call ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnknownOutcome {
-    /// Why.
+    /// Why the outcome is unknown.
     pub reason: String,
-    /// The attempt, if nobody has proved that it ended: its answer would
-    /// still be taken, and the key isn't free before.
+    /// The attempt, if it is not proved to have ended. Its answer is still
+    /// accepted, and the key stays claimed until then.
     pub holder: Option<Holder>,
 }
--- a/crates/ledger/src/unproved_call.rs
+++ b/crates/ledger/src/unproved_call.rs
@@ -1,17 +1,17 @@
-//! A call that nobody proved to have ended.
+//! Calls that are not proved to have ended.
 
 use crate::{CallKey, Holder};
 
-/// A call whose outcome is unknown and that may even run yet, as operators
-/// see it.
+/// A call whose outcome is unknown and which may still run, as listed for
+/// operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnprovedCall<'a> {
-    /// The call.
+    /// Key of the call.
     pub key: &'a CallKey,
-    /// Its attempt and where that was sent.
+    /// Attempt and the target to which it was sent.
     pub holder: &'a Holder,
-    /// Why nothing is known of it.
+    /// Why the outcome is unknown.
     pub reason: &'a str,
-    /// Since when, in the time of the ledger.
+    /// Ledger time since which the outcome is unknown, in milliseconds.
     pub since_ms: u64,
 }
--- a/crates/ledger/tests/ledger.rs
+++ b/crates/ledger/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Claims, finishes, releases and expiry, and schedules of them.
+//! Tests of claim, finish, release and expiry, and of random sequences of them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -35,9 +35,9 @@
 }
 
 #[test]
-fn claim_same_key_other_body() {
-    // A caller uses one key for two reservations by mistake. It must learn
-    // so, and not be given the answer of the first for the second.
+fn claim_same_key_other_digest() {
+    // A caller uses one key for two different requests by mistake. The second
+    // must be refused and not get the answer of the first.
     let mut ledger = Ledger::new(limits());
     assert_eq!(ledger.claim(claim(1, 1), 0), KeyStatus::Claimed);
     let other = Claim {
@@ -48,9 +48,9 @@
 }
 
 #[test]
-fn release_former_attempt() {
-    // A release is delayed on its way while the key is freed and claimed
-    // anew. Were it to free the new claim, a second reservation would run.
+fn release_by_former_attempt() {
+    // A release is delayed while the key is freed and claimed again. If it
+    // freed the new claim, the call could run twice.
     let mut ledger = Ledger::new(limits());
     let key = claim(1, 1).key;
     ledger.claim(claim(1, 1), 0);
@@ -64,22 +64,22 @@
 }
 
 #[test]
-fn finish_second_result() {
-    // Two entries finish the same attempt, one with the answer and one that
-    // gave up. Both callers must be told what was stored first.
+fn finish_second_outcome() {
+    // Two entries finish the same attempt, one with the answer and one after
+    // giving up. Both callers must get the outcome that was stored first.
     let mut ledger = Ledger::new(limits());
     let key = claim(1, 1).key;
     ledger.claim(claim(1, 1), 0);
     assert!(ledger.finish(&key, Attempt(1), answer("a").into(), 1).0);
-    let (stored, stands) = ledger.finish(&key, Attempt(1), CallOutcome::Unknown("late".into()), 2);
+    let (stored, status) = ledger.finish(&key, Attempt(1), CallOutcome::Unknown("late".into()), 2);
     assert!(!stored);
-    assert_eq!(stands, KeyStatus::Finished(answer("a")));
+    assert_eq!(status, KeyStatus::Finished(answer("a")));
 }
 
 #[test]
 fn expire_running_claim() {
-    // An entry dies after its claim and nobody reports on the attempt. A
-    // resend must be told that the outcome is unknown, not be run again.
+    // An entry crashes after its claim and the attempt is never reported. A
+    // resend must get an unknown outcome and not run the call again.
     let mut ledger = Ledger::new(limits());
     ledger.claim(claim(1, 1), 0);
     assert!(matches!(
@@ -98,14 +98,14 @@
 
 #[test]
 fn expire_unproved() {
-    // A host is paused just before its agent writes a call to the target, for
-    // longer than any record is kept. The caller asks again; were the key free
-    // by then, the call would run, and once more when the host goes on.
-    for told in [false, true] {
+    // A host is paused just before its agent sends a call to the target, for
+    // longer than any record is kept. If the key were free when the caller
+    // resends the call, it would run then and again when the host resumes.
+    for reported in [false, true] {
         let mut ledger = Ledger::new(limits());
         let key = claim(1, 1).key;
         ledger.claim(claim(1, 1), 0);
-        if told {
+        if reported {
             let lost = CallOutcome::Unknown("the target was restarted".into());
             assert!(ledger.finish(&key, Attempt(1), lost, 1).0);
         }
@@ -121,8 +121,9 @@
 
 #[test]
 fn finish_unproved_with_answer() {
-    // The paused host goes on and the call runs after all. Its answer proves
-    // that it ended: the caller gets it, and the record goes in due time.
+    // The paused host resumes and the call runs. Its answer proves that it
+    // ended: the caller gets the answer, and the record expires after its
+    // retention.
     let mut ledger = Ledger::new(limits());
     let key = claim(1, 1).key;
     ledger.claim(claim(1, 1), 0);
@@ -140,8 +141,8 @@
 
 #[test]
 fn release_unproved() {
-    // A release comes long after its claim became unknown. The agent whose
-    // word it carries may have forgotten by then that it ran the call.
+    // A release arrives after its claim became unknown. The agent that reported
+    // it may no longer remember that it ran the call.
     let mut ledger = Ledger::new(limits());
     let key = claim(1, 1).key;
     ledger.claim(claim(1, 1), 0);
@@ -154,8 +155,8 @@
 
 #[test]
 fn forget_twice() {
-    // An operator gives the word for a call, loses the answer and gives it
-    // again, after the key was claimed anew. The new claim must stand.
+    // An operator forgets a call, loses the reply and repeats the request after
+    // the key was claimed again. The new claim must be kept.
     let mut ledger = Ledger::new(limits());
     let key = claim(1, 1).key;
     ledger.claim(claim(1, 1), 0);
@@ -171,8 +172,9 @@
 
 #[test]
 fn claim_unproved_full() {
-    // Calls whose outcome is unknown pile up and no operator looks at them.
-    // New calls are refused before they run, rather than old ones forgotten.
+    // Unproved calls accumulate without being resolved by an operator. New
+    // calls must be refused before they run, and no unproved call may be
+    // dropped.
     let limits = Limits {
         max_records: 100,
         max_bytes: 1 << 20,
@@ -190,10 +192,10 @@
 }
 
 #[test]
-fn from_slice_first_version() {
-    // Control is upgraded; its snapshot has no limit of unproved calls and no
-    // word on which outcomes were proved. What it remembers of calls whose outcome is
-    // unknown must not become free by that.
+fn from_slice_without_unproved_limit() {
+    // A snapshot of an earlier version contains neither the limit of unproved
+    // calls nor which attempts are proved to have ended. Keys of calls with an
+    // unknown outcome must not become free after an upgrade.
     let mut ledger = Ledger::new(limits());
     let key = claim(1, 1).key;
     ledger.claim(claim(1, 1), 0);
@@ -207,14 +209,14 @@
         restored.limits().max_unproved,
         Limits::default().max_unproved
     );
-    let stands = restored.claim(claim(1, 2), 1_000_000);
-    assert!(matches!(stands, KeyStatus::Unknown(_)));
+    let status = restored.claim(claim(1, 2), 1_000_000);
+    assert!(matches!(status, KeyStatus::Unknown(_)));
 }
 
 #[test]
 fn expire_long_gap() {
-    // The cluster stood still for longer than both times together. A claim
-    // that ran before must still be seen as unknown once.
+    // The cluster is stopped for longer than the running time and the retention
+    // time together. A claim that was running must become unknown, not expire.
     let mut ledger = Ledger::new(limits());
     ledger.claim(claim(1, 1), 0);
     assert!(matches!(
@@ -225,8 +227,8 @@
 
 #[test]
 fn claim_when_full() {
-    // More calls run than the ledger has room for. The next one is refused
-    // before it runs; none that was accepted loses its record.
+    // The ledger is full of running calls. The next call must be refused before
+    // it runs, and no accepted call may lose its record.
     let mut ledger = Ledger::new(limits());
     for key in 1..=4 {
         assert_eq!(ledger.claim(claim(key, 1), 0), KeyStatus::Claimed);
@@ -239,20 +241,20 @@
 
 #[test]
 fn finish_answer_too_large() {
-    // A service sends a page where a short answer was expected. The call
-    // did run, so a resend is told so and doesn't run it again.
+    // A target sends an answer above the size limit. The call did run, so a
+    // resend must get an unknown outcome and not run the call again.
     let mut ledger = Ledger::new(limits());
     let key = claim(1, 1).key;
     ledger.claim(claim(1, 1), 0);
     let large = answer(&"x".repeat(2_000));
-    let (stored, stands) = ledger.finish(&key, Attempt(1), large.into(), 1);
+    let (stored, status) = ledger.finish(&key, Attempt(1), large.into(), 1);
     assert!(stored);
-    assert!(matches!(stands, KeyStatus::Unknown(_)));
+    assert!(matches!(status, KeyStatus::Unknown(_)));
 }
 
 #[test]
 fn from_slice_damaged() {
-    // A damaged snapshot must be refused with its place, never half read.
+    // A truncated or corrupted snapshot must not crash the decoder.
     let mut ledger = Ledger::new(limits());
     ledger.claim(claim(1, 1), 0);
     let bytes = ledger.to_bytes();
@@ -283,20 +285,20 @@
     }
 }
 
-/// Keeps its own account of the attempts that may write to their target now or
-/// at any later time: an attempt that was granted its key stays among them,
-/// however long it is stopped, until it was barred, until its answer came, or
-/// until an operator has made sure that it is over.
-fn at_most_one(steps: Vec<Step>) -> bool {
+/// Models the attempts that may send to their target now or at any later time.
+/// An attempt stays in the model after it was granted its key, however long it
+/// is paused, until it was barred, its answer arrived or an operator has made
+/// sure that it is over.
+fn at_most_one_attempt_per_key(steps: Vec<Step>) -> bool {
     let limits = limits();
     let mut ledger = Ledger::new(limits);
-    let mut may_write: BTreeMap<u8, BTreeSet<u128>> = BTreeMap::new();
+    let mut may_send: BTreeMap<u8, BTreeSet<u128>> = BTreeMap::new();
     let mut now = 0;
     for step in steps {
         now += u64::from(step.wait) * u64::from(step.wait);
         let key = claim(step.key, 0).key;
         let attempt = Attempt(step.attempt.into());
-        let live = may_write.entry(step.key).or_default();
+        let live = may_send.entry(step.key).or_default();
         match step.kind {
             0..=3 => {
                 if ledger.claim(claim(step.key, attempt.0), now) == KeyStatus::Claimed {
@@ -317,7 +319,7 @@
             }
             7 => {
                 if let Some(key) = ledger.forget(attempt, now) {
-                    let live = may_write.entry(key.key[0]).or_default();
+                    let live = may_send.entry(key.key[0]).or_default();
                     if !live.remove(&attempt.0) {
                         return false;
                     }
@@ -325,7 +327,7 @@
             }
             _ => ledger.expire(now.saturating_sub(40)),
         }
-        if may_write.values().any(|live| live.len() > 1) {
+        if may_send.values().any(|live| live.len() > 1) {
             return false;
         }
         if ledger.len() > limits.max_records
@@ -334,7 +336,7 @@
         {
             return false;
         }
-        // A replica that restores here goes on exactly as this one does.
+        // A replica restored from a snapshot must continue in the same way.
         match Ledger::from_slice(&ledger.to_bytes()) {
             Ok(copy) if copy == ledger => ledger = copy,
             _ => return false,
@@ -345,12 +347,12 @@
 
 #[test]
 fn claim_any_schedule() {
-    // Claims, finishes, releases and operators' words on several attempts
-    // arrive in any order and late, and an attempt may be stopped before it
-    // writes to its target and go on at any later time. Two that may both
-    // write would send the same crew twice.
+    // Operations on several attempts arrive delayed and in any order, and an
+    // attempt may be paused before it sends to its target and resume at any
+    // later time. If two attempts of a key could both send, the call could run
+    // twice.
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(120, 4711))
         .tests(2_000)
-        .quickcheck(at_most_one as fn(Vec<Step>) -> bool);
+        .quickcheck(at_most_one_attempt_per_key as fn(Vec<Step>) -> bool);
 }
