--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -1,14 +1,15 @@
-//! What is written as one.
+//! Batches of log writes.
 
 use crate::{HardState, Record, Snapshot};
 
-/// What is written as one.
+/// Data written with one call of [`Disk::write`](crate::Disk::write).
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
-    /// A snapshot from elsewhere that replaces the whole log.
+    /// Snapshot received from another replica, which replaces the whole log.
     pub snapshot: Option<Snapshot>,
     /// Term and vote.
     pub hard_state: HardState,
-    /// Records; one replaces all of its index and after.
+    /// Records to append. A record replaces all records at the same and higher
+    /// indices.
     pub records: Vec<Record>,
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,13 +1,13 @@
-//! What goes wrong with a disk.
+//! Errors of disk operations.
 
 use std::fmt;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Result with this crate's error.
+/// Result with the error type of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// What goes wrong with a disk.
+/// Error of a disk operation.
 #[derive(Debug)]
 pub struct Error {
     code: Code,
@@ -27,7 +27,7 @@
 }
 
 impl Error {
-    pub(crate) fn io(doing: &'static str, path: &Path, e: io::Error) -> Error {
+    pub(crate) fn io(operation: &'static str, path: &Path, e: io::Error) -> Error {
         let path = path.to_owned();
         let full = matches!(
             e.kind(),
@@ -36,14 +36,14 @@
         let code = if full {
             Code::Full(path)
         } else {
-            Code::Io(doing, path, e)
+            Code::Io(operation, path, e)
         };
         Error { code }
     }
 
-    /// A sync that failed. Even for want of room it can't be tried again: the
-    /// system may have dropped what it couldn't write, and the next sync would
-    /// report success without it.
+    /// Error of a failed sync. A sync must not be retried, not even if the disk
+    /// was full: the operating system may have dropped the data that it could
+    /// not write, and the next sync would succeed without it.
     pub(crate) fn sync(path: &Path, e: io::Error) -> Error {
         let code = Code::Sync(path.to_owned(), e);
         Error { code }
@@ -83,8 +83,8 @@
         Error { code }
     }
 
-    /// Whether the disk is full: nothing was written, and the same may be
-    /// tried again.
+    /// Returns whether the disk is full. Nothing was written, and the operation
+    /// can be retried.
     ///
     /// ```
     /// # let folder = tempfile::tempdir().unwrap();
@@ -96,7 +96,7 @@
         matches!(self.code, Code::Full(_))
     }
 
-    /// Whether what is on the disk can't be trusted.
+    /// Returns whether the data on the disk is damaged.
     ///
     /// ```
     /// # let folder = tempfile::tempdir().unwrap();
@@ -108,8 +108,8 @@
         matches!(self.code, Code::Damaged(..))
     }
 
-    /// Whether a sync failed in this folder before: what can be read of it
-    /// now need not be what is on the disk.
+    /// Returns whether an earlier sync failed in this folder. Data that can be
+    /// read from it may not be on the disk.
     ///
     /// ```
     /// # let folder = tempfile::tempdir().unwrap();
@@ -121,7 +121,7 @@
         matches!(self.code, Code::Untrusted(_))
     }
 
-    /// Whether another process has the folder open.
+    /// Returns whether another process has the folder open.
     ///
     /// ```
     /// # let folder = tempfile::tempdir().unwrap();
@@ -133,7 +133,7 @@
         matches!(self.code, Code::InUse(_))
     }
 
-    /// Whether the folder was never formatted.
+    /// Returns whether the folder was never formatted.
     ///
     /// ```
     /// # let folder = tempfile::tempdir().unwrap();
@@ -149,7 +149,9 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.code {
-            Code::Io(doing, path, e) => write!(f, "{doing} failed: {e} at {}", path.display()),
+            Code::Io(operation, path, e) => {
+                write!(f, "{operation} failed: {e} at {}", path.display())
+            }
             Code::Full(path) => write!(f, "disk is full at {}", path.display()),
             Code::Damaged(path, offset, what) => {
                 write!(f, "{what} at {}, byte {offset}", path.display())
@@ -157,8 +159,8 @@
             Code::Sync(path, e) => write!(f, "sync failed: {e} at {}", path.display()),
             Code::Untrusted(path) => write!(
                 f,
-                "a sync failed here and what lasts is not known; start with a blank data folder, \
-                 or check the disk, restart the host and remove {}",
+                "a sync failed here, so data may be missing from the disk; start with a blank data \
+                 folder, or check the disk, restart the host and remove {}",
                 path.display()
             ),
             Code::Stopped => f.write_str("an earlier sync failed, what it covered is not known"),
--- a/crates/store/src/hard_state.rs
+++ b/crates/store/src/hard_state.rs
@@ -1,10 +1,11 @@
 //! Term and vote.
 
-/// Term and vote, kept in the log so that one sync covers them as well.
+/// Term and vote. Stored in the log, so that one sync covers them and the
+/// records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HardState {
-    /// Newest term.
+    /// Latest term.
     pub term: u64,
-    /// Disk that was voted for in it.
+    /// Disk that this replica voted for in that term.
     pub vote: Option<u64>,
 }
--- a/crates/store/src/identity.rs
+++ b/crates/store/src/identity.rs
@@ -1,4 +1,4 @@
-//! The identity of a disk.
+//! Identity of a disk.
 
 use crate::{Error, Ops, Result, snapshot};
 use serde::{Deserialize, Serialize};
@@ -7,20 +7,20 @@
 
 pub(crate) const IDENTITY_FILE: &str = "identity.json";
 
-/// The identity of a disk: a new one with each format.
+/// Identity of a disk, created when its folder is formatted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// Random number made by the format; never 0.
+    /// Random number chosen when the disk was formatted; never 0.
     pub disk: u64,
-    /// Name of the replica that the disk was formatted for.
+    /// Name of the replica for which the disk was formatted.
     pub name: String,
 }
 
-/// Gives a blank folder an identity.
+/// Formats a blank folder by giving it an identity.
 ///
 /// # Errors
 ///
-/// The folder is formatted already, or can't be written.
+/// Fails if the folder is already formatted, holds a log or cannot be written.
 ///
 /// ```
 /// use store::Ops;
@@ -38,8 +38,8 @@
         Ok(_) => return Err(Error::formatted(folder)),
     }
     if has_log(folder)? {
-        // Without its identity file a folder with a log would get a new
-        // identity and keep promises that the old one made.
+        // The identity file of a log is missing. A new identity must not take
+        // over the votes and entries of the old one.
         return Err(Error::damaged(folder, 0, "log without an identity"));
     }
     let identity = Identity {
@@ -52,11 +52,11 @@
     Ok(identity)
 }
 
-/// The identity of a formatted folder.
+/// Reads the identity of a formatted folder.
 ///
 /// # Errors
 ///
-/// The folder is blank, can't be read, or holds something else.
+/// Fails if the folder is blank, cannot be read or holds an invalid identity.
 ///
 /// ```
 /// let folder = tempfile::tempdir().unwrap();
@@ -75,16 +75,16 @@
         .ok_or_else(|| Error::damaged(&path, 0, "not an identity"))
 }
 
-/// Whether a folder holds anything of a log.
+/// Returns whether a folder holds log segments or a snapshot.
 ///
 /// # Errors
 ///
-/// The folder can't be read.
+/// Fails if the folder cannot be read or its latest snapshot is damaged.
 ///
 /// ```
 /// let folder = tempfile::tempdir().unwrap();
 /// assert!(!store::has_log(folder.path()).unwrap());
 /// ```
 pub fn has_log(folder: &Path) -> Result<bool> {
-    Ok(!crate::segment::numbers(folder)?.is_empty() || snapshot::newest(folder)?.is_some())
+    Ok(!crate::segment::numbers(folder)?.is_empty() || snapshot::latest(folder)?.is_some())
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,9 +1,8 @@
 //! Write-ahead log, snapshots and the identity of a disk.
 //!
-//! A [`Disk`] is a folder with an identity made when it was formatted, a log
-//! in segments and the newest snapshot. What was written lasts once
-//! [`Disk::sync`] has returned, and one sync covers all that was written
-//! before it.
+//! A [`Disk`] is a data folder that holds an identity created when it was
+//! formatted, a segmented log and the latest snapshot. Written data is durable
+//! once [`Disk::sync`] has returned; one sync covers all writes before it.
 //!
 //! ```
 //! use store::{Batch, Disk, HardState, Ops, Record};
@@ -34,7 +33,7 @@
 mod scan;
 mod segment;
 mod snapshot;
-mod trust;
+mod sync_failure;
 
 pub use batch::Batch;
 pub use disk::Disk;
--- a/crates/store/src/ops.rs
+++ b/crates/store/src/ops.rs
@@ -1,4 +1,4 @@
-//! The file operations that matter for what lasts.
+//! File operations that affect durability.
 
 use std::fmt;
 use std::fs::{self, File, OpenOptions};
@@ -6,35 +6,34 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Does something to a path.
-pub type OnPath<T = ()> = dyn Fn(&Path) -> io::Result<T> + Send + Sync;
-/// Does something to two paths.
-pub type OnPaths = dyn Fn(&Path, &Path) -> io::Result<()> + Send + Sync;
-/// Writes to the file that is open at a path.
-pub type OnWrite = dyn Fn(&Path, &mut File, &[u8]) -> io::Result<()> + Send + Sync;
-/// Does something to the file that is open at a path.
-pub type OnFile = dyn Fn(&Path, &File) -> io::Result<()> + Send + Sync;
-/// Sets the length of the file that is open at a path.
-pub type OnLength = dyn Fn(&Path, &File, u64) -> io::Result<()> + Send + Sync;
+/// Operation on a path.
+pub type PathOp<T = ()> = dyn Fn(&Path) -> io::Result<T> + Send + Sync;
+/// Operation that renames the first path to the second.
+pub type RenameOp = dyn Fn(&Path, &Path) -> io::Result<()> + Send + Sync;
+/// Operation that writes to an open file at a path.
+pub type WriteOp = dyn Fn(&Path, &mut File, &[u8]) -> io::Result<()> + Send + Sync;
+/// Operation on an open file at a path.
+pub type FileOp = dyn Fn(&Path, &File) -> io::Result<()> + Send + Sync;
+/// Operation that sets the length of an open file at a path.
+pub type TruncateOp = dyn Fn(&Path, &File, u64) -> io::Result<()> + Send + Sync;
 
-/// The file operations that matter for what lasts, each to be replaced where
-/// a test wants it to fail.
+/// File operations that affect durability. Tests replace them to inject faults.
 #[derive(Clone)]
 pub struct Ops {
-    /// Makes a new file and opens it.
-    pub create: Arc<OnPath<File>>,
-    /// Writes all the bytes at the file's place.
-    pub write: Arc<OnWrite>,
-    /// Makes what was written to the file last.
-    pub sync: Arc<OnFile>,
-    /// Makes the names of a folder's files last.
-    pub sync_folder: Arc<OnPath>,
-    /// Cuts a file to a length.
-    pub truncate: Arc<OnLength>,
-    /// Renames a file, over another of that name.
-    pub rename: Arc<OnPaths>,
+    /// Creates a file, truncating an existing one, and opens it.
+    pub create: Arc<PathOp<File>>,
+    /// Writes all bytes at the current position of the file.
+    pub write: Arc<WriteOp>,
+    /// Syncs the data written to the file.
+    pub sync: Arc<FileOp>,
+    /// Syncs the directory entries of a folder.
+    pub sync_folder: Arc<PathOp>,
+    /// Truncates a file to a length.
+    pub truncate: Arc<TruncateOp>,
+    /// Renames a file, replacing an existing one.
+    pub rename: Arc<RenameOp>,
     /// Removes a file.
-    pub remove: Arc<OnPath>,
+    pub remove: Arc<PathOp>,
 }
 
 impl Default for Ops {
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -1,16 +1,16 @@
-//! A record of the log.
+//! Log records.
 
 use bytes::Bytes;
 
 /// A record of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Place in the log.
+    /// Position in the log.
     pub index: u64,
-    /// Term of the leader that ordered it.
+    /// Term of the leader that appended it.
     pub term: u64,
-    /// What `data` is, to be told by the user of the log.
+    /// Kind of `data`, defined by the user of the log.
     pub kind: u8,
-    /// The bytes.
+    /// Content of the record.
     pub data: Bytes,
 }
--- a/crates/store/src/recovered.rs
+++ b/crates/store/src/recovered.rs
@@ -1,18 +1,19 @@
-//! What a disk held when it was opened.
+//! Contents recovered from a disk.
 
 use crate::{HardState, Identity, Record, Snapshot};
 
-/// What a disk held when it was opened.
+/// Contents of a disk when it was opened.
 #[derive(Clone, Debug)]
 pub struct Recovered {
-    /// Who the disk is.
+    /// Identity of the disk.
     pub identity: Identity,
     /// Term and vote.
     pub hard_state: HardState,
-    /// The newest snapshot.
+    /// Latest snapshot.
     pub snapshot: Option<Snapshot>,
-    /// The records after it, without gap.
+    /// Records after the snapshot, without gaps.
     pub records: Vec<Record>,
-    /// Bytes of a torn write that were cut off the end of the log.
+    /// Number of bytes of a torn write that were truncated from the end of the
+    /// log.
     pub truncated_bytes: u64,
 }
--- a/crates/store/src/replay.rs
+++ b/crates/store/src/replay.rs
@@ -1,22 +1,23 @@
-//! From the segments and the snapshot to the log as it stands.
+//! Recovery of the log from segments and a snapshot.
 
 use crate::frame::{Frame, FrameKind};
 use crate::{Error, HardState, Record, Result, Snapshot, scan, segment};
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// The log as the segments have it.
+/// Log recovered from the segments.
 #[derive(Debug, Default)]
 pub(crate) struct Replay {
     pub(crate) hard_state: HardState,
     pub(crate) records: Vec<Record>,
     /// Index before the first record, once one is known.
     base: Option<u64>,
-    /// Highest index that each segment holds.
-    pub(crate) highest: BTreeMap<u64, u64>,
-    /// Length of the last segment that is whole, and what is torn behind it.
-    pub(crate) whole: u64,
-    pub(crate) torn: u64,
+    /// Highest index in each segment.
+    pub(crate) highest_indices: BTreeMap<u64, u64>,
+    /// Length of the valid part of the last segment, in bytes.
+    pub(crate) valid_len: u64,
+    /// Length of a torn write after it, in bytes.
+    pub(crate) torn_bytes: u64,
 }
 
 impl Replay {
@@ -24,24 +25,25 @@
     pub(crate) fn run(folder: &Path) -> Result<Replay> {
         let mut replay = Replay::default();
         let numbers = segment::numbers(folder)?;
-        for (place, number) in numbers.iter().enumerate() {
+        for (position, number) in numbers.iter().enumerate() {
             let path = segment::path(folder, *number);
-            if place > 0 && numbers[place - 1] + 1 != *number {
+            if position > 0 && numbers[position - 1] + 1 != *number {
                 return Err(Error::damaged(&path, 0, "missing segment before"));
             }
-            let scan = scan::segment(&path)?;
-            let torn = scan.length - scan.whole;
-            if torn > 0 && place + 1 < numbers.len() {
-                return Err(Error::damaged(&path, scan.whole, "damaged record"));
+            let scan = scan::scan_segment(&path)?;
+            let torn_bytes = scan.file_len - scan.valid_len;
+            if torn_bytes > 0 && position + 1 < numbers.len() {
+                return Err(Error::damaged(&path, scan.valid_len, "damaged record"));
             }
-            replay.highest.insert(*number, 0);
-            // Without its first record the segment lacks the hard state.
-            replay.whole = if scan.frames.is_empty() {
+            replay.highest_indices.insert(*number, 0);
+            // Without its first record the segment holds no hard state and is
+            // not used.
+            replay.valid_len = if scan.frames.is_empty() {
                 0
             } else {
-                scan.whole
+                scan.valid_len
             };
-            replay.torn = torn;
+            replay.torn_bytes = torn_bytes;
             for frame in scan.frames {
                 replay.apply(*number, frame, &path)?;
             }
@@ -61,7 +63,7 @@
                 self.base = Some(frame.index);
             }
             FrameKind::Entry(kind) => {
-                let highest = self.highest.entry(number).or_default();
+                let highest = self.highest_indices.entry(number).or_default();
                 *highest = frame.index.max(*highest);
                 let record = Record {
                     index: frame.index,
@@ -69,38 +71,39 @@
                     kind,
                     data: frame.data,
                 };
-                return self.put(record, path);
+                return self.insert(record, path);
             }
         }
         Ok(())
     }
 
-    /// Puts a record in the place of all of its index and after. It may lie
-    /// before all that is left of the log, if the segments before were dropped
-    /// and a later one replaces records of theirs.
-    fn put(&mut self, record: Record, path: &Path) -> Result<()> {
+    /// Inserts a record, replacing all records at the same and higher indices.
+    /// Its index may be before the rest of the log if earlier segments were
+    /// removed and a later segment replaces records of theirs.
+    fn insert(&mut self, record: Record, path: &Path) -> Result<()> {
         let before = record.index.saturating_sub(1);
         let base = self.base.unwrap_or(before).min(before);
         self.base = Some(base);
-        let place = usize::try_from(before - base).unwrap_or(usize::MAX);
-        let follows = self.records.first().is_none_or(|r| r.index == base + 1);
-        if place > 0 && (place > self.records.len() || !follows) {
+        let position = usize::try_from(before - base).unwrap_or(usize::MAX);
+        let contiguous = self.records.first().is_none_or(|r| r.index == base + 1);
+        if position > 0 && (position > self.records.len() || !contiguous) {
             return Err(Error::damaged(path, 0, "missing records before an index"));
         }
-        self.records.truncate(place);
+        self.records.truncate(position);
         self.records.push(record);
         Ok(())
     }
 
-    /// Whether there are records, but not those from the first on.
-    pub(crate) fn begins_late(&self) -> bool {
+    /// Returns whether the log is known to start after index 1.
+    pub(crate) fn starts_after_first_index(&self) -> bool {
         self.base.is_some_and(|base| base > 0)
     }
 
-    /// Leaves only the records after the snapshot. Returns false if the log
-    /// does not reach or contradicts the snapshot, which is the newer one: it
-    /// came from a leader, and a crash came before the log was reset.
-    pub(crate) fn start_after(&mut self, snapshot: &Snapshot, folder: &Path) -> Result<bool> {
+    /// Removes the records that the snapshot covers. Returns false if the log
+    /// does not reach or contradicts the snapshot. In that case the snapshot is
+    /// newer: it was received from a leader, and a crash occurred before the
+    /// log was reset.
+    pub(crate) fn skip_covered(&mut self, snapshot: &Snapshot, folder: &Path) -> Result<bool> {
         let Some(base) = self.base else {
             return Ok(true);
         };
@@ -111,12 +114,12 @@
             return Ok(true);
         }
         let mut at = self.records.iter().filter(|r| r.index == snapshot.index);
-        let agrees = at.next().is_some_and(|r| r.term == snapshot.term);
-        if agrees {
+        let matches = at.next().is_some_and(|r| r.term == snapshot.term);
+        if matches {
             self.records.retain(|r| r.index > snapshot.index);
         } else {
             self.records.clear();
         }
-        Ok(agrees)
+        Ok(matches)
     }
 }
--- a/crates/store/src/scan.rs
+++ b/crates/store/src/scan.rs
@@ -1,4 +1,4 @@
-//! Reading a segment.
+//! Reading of segments.
 
 use crate::frame::{Frame, MAGIC};
 use crate::{Error, Result};
@@ -6,26 +6,25 @@
 use std::fs;
 use std::path::Path;
 
-/// What a segment holds.
+/// Contents of a segment file.
 #[derive(Debug)]
 pub(crate) struct Scan {
     pub(crate) frames: Vec<Frame>,
-    /// Length up to which it is whole.
-    pub(crate) whole: u64,
-    /// Length of the file.
-    pub(crate) length: u64,
+    /// Length of the valid part, in bytes.
+    pub(crate) valid_len: u64,
+    /// Length of the file, in bytes.
+    pub(crate) file_len: u64,
 }
 
-/// Reads a segment up to its end, or to what a crash has torn.
+/// Reads a segment up to its end or to a torn write.
 ///
-/// A record that is not whole and was synced is damage: what comes after it
-/// was acknowledged too, and a log that leaves it out would contradict what
-/// this replica has promised. It is refused with its place, so that an
-/// operator replaces the disk.
-pub(crate) fn segment(path: &Path) -> Result<Scan> {
+/// An invalid record that had been synced is damage. The records after it may
+/// have been acknowledged, so the log must not be truncated there. The error
+/// names the offset, so that an operator can replace the disk.
+pub(crate) fn scan_segment(path: &Path) -> Result<Scan> {
     let bytes = fs::read(path).map_err(|e| Error::io("reading", path, e))?;
     let bytes = Bytes::from(bytes);
-    let length = bytes.len() as u64;
+    let file_len = bytes.len() as u64;
     let mut frames = Vec::new();
     let mut at = 0;
     if bytes.starts_with(MAGIC) {
@@ -35,25 +34,25 @@
             at += len;
         }
     }
-    if let Some(later) = synced_after(&bytes, at) {
-        return Err(Error::damaged(path, later, "damaged record"));
+    if let Some(offset) = find_synced_damage(&bytes, at) {
+        return Err(Error::damaged(path, offset, "damaged record"));
     }
     Ok(Scan {
         frames,
-        whole: at as u64,
-        length,
+        valid_len: at as u64,
+        file_len,
     })
 }
 
-/// Looks behind a record that is not whole for one that was written after it
-/// had been synced; gives the place of the damage.
-fn synced_after(bytes: &Bytes, bad: usize) -> Option<u64> {
-    let place = bad as u64;
-    for at in bad + 1..bytes.len() {
-        let claimed = Frame::claimed_synced(&bytes[at..]).unwrap_or(0);
-        let plausible = claimed > place && claimed <= at as u64;
+/// Searches after an invalid record for a record that was written after it had
+/// been synced, and returns the offset of the damage.
+fn find_synced_damage(bytes: &Bytes, invalid: usize) -> Option<u64> {
+    let offset = invalid as u64;
+    for at in invalid + 1..bytes.len() {
+        let synced = Frame::peek_synced(&bytes[at..]).unwrap_or(0);
+        let plausible = synced > offset && synced <= at as u64;
         if plausible && Frame::decode(&bytes.slice(at..)).is_some() {
-            return Some(place);
+            return Some(offset);
         }
     }
     None
--- a/crates/store/src/segment.rs
+++ b/crates/store/src/segment.rs
@@ -1,4 +1,4 @@
-//! The segment that is being written.
+//! The segment being written.
 
 use crate::frame::{Frame, FrameKind, MAGIC};
 use crate::{Error, HardState, Ops, Result};
@@ -9,20 +9,22 @@
 
 const SUFFIX: &str = ".log";
 
-/// The segment that is being written.
+/// The segment being written.
 #[derive(Debug)]
 pub(crate) struct Segment {
     pub(crate) number: u64,
     path: PathBuf,
     file: File,
-    /// Length that is written, and length that is synced.
-    written: u64,
-    synced: u64,
+    /// Length of the written data, in bytes.
+    written_len: u64,
+    /// Length of the synced data, in bytes.
+    synced_len: u64,
 }
 
 impl Segment {
-    /// Starts a segment, with the hard state, so that no earlier one is needed
-    /// for it, and perhaps with a reset. It lasts when this returns.
+    /// Creates a segment that starts with the hard state, so that no earlier
+    /// segment is needed for it, and optionally with a reset. The segment is
+    /// durable on return.
     pub(crate) fn create(
         folder: &Path,
         number: u64,
@@ -36,8 +38,8 @@
             number,
             path,
             file,
-            written: 0,
-            synced: 0,
+            written_len: 0,
+            synced_len: 0,
         };
         let mut buf = MAGIC.to_vec();
         segment.hard_state_frame(hard_state).encode(&mut buf);
@@ -53,25 +55,25 @@
         Ok(segment)
     }
 
-    /// Opens the last segment after a start, cut to what is whole.
+    /// Opens the last segment after a start and truncates it to its valid part.
     ///
-    /// What is there may have been written and never synced; it is synced
-    /// before anything rests on it.
-    pub(crate) fn open(folder: &Path, number: u64, whole: u64, ops: &Ops) -> Result<Segment> {
+    /// The data may have been written but never synced, so it is synced before
+    /// anything depends on it.
+    pub(crate) fn open(folder: &Path, number: u64, valid_len: u64, ops: &Ops) -> Result<Segment> {
         let path = path(folder, number);
         let mut open = OpenOptions::new();
         let opened = open.read(true).write(true).open(&path);
         let mut file = opened.map_err(|e| Error::io("opening", &path, e))?;
-        let cut = (ops.truncate)(&path, &file, whole);
-        cut.map_err(|e| Error::io("truncation", &path, e))?;
-        let placed = file.seek(SeekFrom::Start(whole));
-        placed.map_err(|e| Error::io("seeking", &path, e))?;
+        let truncated = (ops.truncate)(&path, &file, valid_len);
+        truncated.map_err(|e| Error::io("truncation", &path, e))?;
+        let sought = file.seek(SeekFrom::Start(valid_len));
+        sought.map_err(|e| Error::io("seeking", &path, e))?;
         let mut segment = Segment {
             number,
             path,
             file,
-            written: whole,
-            synced: 0,
+            written_len: valid_len,
+            synced_len: 0,
         };
         segment.sync(ops)?;
         Ok(segment)
@@ -79,7 +81,7 @@
 
     pub(crate) fn frame(&self, kind: FrameKind, index: u64, term: u64, data: Bytes) -> Frame {
         Frame {
-            synced: self.synced,
+            synced_len: self.synced_len,
             kind,
             index,
             term,
@@ -92,18 +94,18 @@
         self.frame(FrameKind::HardState, vote, hard_state.term, Bytes::new())
     }
 
-    /// Writes the bytes; if that fails, the segment is as before.
+    /// Writes the bytes. If that fails, the segment is left as before.
     pub(crate) fn write(&mut self, bytes: &[u8], ops: &Ops) -> Result<()> {
         let Err(e) = (ops.write)(&self.path, &mut self.file, bytes) else {
-            self.written += bytes.len() as u64;
+            self.written_len += bytes.len() as u64;
             return Ok(());
         };
         let error = Error::io("writing", &self.path, e);
-        // A part may have been written; a later record behind it would be
-        // lost at the next start.
-        let cut = (ops.truncate)(&self.path, &self.file, self.written)
-            .and_then(|()| self.file.seek(SeekFrom::Start(self.written)));
-        match cut {
+        // A part may have been written. A later record after it would be lost
+        // at the next start.
+        let truncated = (ops.truncate)(&self.path, &self.file, self.written_len)
+            .and_then(|()| self.file.seek(SeekFrom::Start(self.written_len)));
+        match truncated {
             Ok(_) => Err(error),
             Err(e) => Err(Error::io("truncation", &self.path, e)),
         }
@@ -111,16 +113,16 @@
 
     pub(crate) fn sync(&mut self, ops: &Ops) -> Result<()> {
         (ops.sync)(&self.path, &self.file).map_err(|e| Error::sync(&self.path, e))?;
-        self.synced = self.written;
+        self.synced_len = self.written_len;
         Ok(())
     }
 
     pub(crate) fn length(&self) -> u64 {
-        self.written
+        self.written_len
     }
 
     pub(crate) fn has_unsynced(&self) -> bool {
-        self.synced < self.written
+        self.synced_len < self.written_len
     }
 }
 
@@ -128,7 +130,7 @@
     folder.join(format!("{number:016}{SUFFIX}"))
 }
 
-/// Numbers of the segments in a folder, in order.
+/// Returns the numbers of the segments in a folder in ascending order.
 pub(crate) fn numbers(folder: &Path) -> Result<Vec<u64>> {
     let entries = fs::read_dir(folder).map_err(|e| Error::io("listing", folder, e))?;
     let mut numbers = Vec::new();
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots: whole files that appear at once.
+//! Snapshot files, written atomically.
 
 use crate::{Error, Ops, Result};
 use bytes::{Buf, BufMut, Bytes};
@@ -6,24 +6,24 @@
 use std::path::{Path, PathBuf};
 
 const SUFFIX: &str = ".snapshot";
-const TEMPORARY: &str = "tmp";
+const TEMP_EXTENSION: &str = "tmp";
 const MAGIC: &[u8; 8] = b"lovsnp01";
-const HEAD: usize = 8 + 4 + 8 + 8;
+const HEADER_LEN: usize = 8 + 4 + 8 + 8;
 
 /// A snapshot of the state up to an index.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// Last index that it covers.
+    /// Index of the last record that it covers.
     pub index: u64,
-    /// Term of that index.
+    /// Term of that record.
     pub term: u64,
-    /// The bytes.
+    /// Encoded state.
     pub data: Bytes,
 }
 
 impl Snapshot {
     fn encode(&self) -> Vec<u8> {
-        let mut buf = Vec::with_capacity(HEAD + self.data.len());
+        let mut buf = Vec::with_capacity(HEADER_LEN + self.data.len());
         buf.put_slice(MAGIC);
         buf.put_u32_le(0);
         buf.put_u64_le(self.index);
@@ -35,7 +35,7 @@
     }
 
     fn decode(bytes: &Bytes) -> Option<Snapshot> {
-        let mut head = bytes.get(..HEAD)?.strip_prefix(MAGIC)?;
+        let mut head = bytes.get(..HEADER_LEN)?.strip_prefix(MAGIC)?;
         let crc = head.get_u32_le();
         if crc32c::crc32c(&bytes[12..]) != crc {
             return None;
@@ -43,17 +43,18 @@
         Some(Snapshot {
             index: head.get_u64_le(),
             term: head.get_u64_le(),
-            data: bytes.slice(HEAD..),
+            data: bytes.slice(HEADER_LEN..),
         })
     }
 }
 
-/// Writes a file so that it is there whole or not at all: a temporary one is
-/// written, synced and renamed, and then the folder is synced.
+/// Writes a file atomically: a temporary file is written, synced and renamed,
+/// and then the folder is synced.
 ///
 /// # Errors
 ///
-/// The file can't be written; what was there before still is.
+/// Fails if the file cannot be written. Before the rename, an existing file is
+/// left unchanged.
 ///
 /// ```
 /// let folder = tempfile::tempdir().unwrap();
@@ -62,20 +63,20 @@
 /// assert_eq!(std::fs::read(path).unwrap(), b"whole");
 /// ```
 pub fn write_atomic(path: &Path, bytes: &[u8], ops: &Ops) -> Result<()> {
-    let temporary = path.with_extension(TEMPORARY);
-    let written = write_temporary(&temporary, bytes, ops);
+    let temp_path = path.with_extension(TEMP_EXTENSION);
+    let written = write_temp_file(&temp_path, bytes, ops);
     if let Err(e) = written {
-        // On a full disk the piece that was written would take the place that
-        // the log needs. It may be gone already, and is harmless otherwise.
-        let _ = (ops.remove)(&temporary);
+        // On a full disk a partial file would take space that the log needs. A
+        // file that cannot be removed is harmless.
+        let _ = (ops.remove)(&temp_path);
         return Err(e);
     }
-    (ops.rename)(&temporary, path).map_err(|e| Error::io("renaming", path, e))?;
+    (ops.rename)(&temp_path, path).map_err(|e| Error::io("renaming", path, e))?;
     let folder = path.parent().unwrap_or(Path::new("."));
     (ops.sync_folder)(folder).map_err(|e| Error::sync(folder, e))
 }
 
-fn write_temporary(path: &Path, bytes: &[u8], ops: &Ops) -> Result<()> {
+fn write_temp_file(path: &Path, bytes: &[u8], ops: &Ops) -> Result<()> {
     let mut file = (ops.create)(path).map_err(|e| Error::io("creation", path, e))?;
     (ops.write)(path, &mut file, bytes).map_err(|e| Error::io("writing", path, e))?;
     (ops.sync)(path, &file).map_err(|e| Error::io("sync", path, e))
@@ -85,10 +86,10 @@
     write_atomic(&path(folder, snapshot.index), &snapshot.encode(), ops)
 }
 
-/// The newest snapshot. One that is not whole is damage: the log before it
-/// may be gone already.
-pub(crate) fn newest(folder: &Path) -> Result<Option<Snapshot>> {
-    let Some(index) = indices(folder)?.pop() else {
+/// Reads the latest snapshot. An invalid snapshot is damage, because the log
+/// before it may have been removed already.
+pub(crate) fn latest(folder: &Path) -> Result<Option<Snapshot>> {
+    let Some(index) = snapshot_indices(folder)?.pop() else {
         return Ok(None);
     };
     let path = path(folder, index);
@@ -98,16 +99,16 @@
     snapshot.map(Some).ok_or_else(damaged)
 }
 
-/// Removes the snapshots before the newest, and what was left half written.
-pub(crate) fn remove_old(folder: &Path, ops: &Ops) -> Result<()> {
-    let mut old = indices(folder)?;
+/// Removes all snapshots but the latest, and temporary files left by a crash.
+pub(crate) fn remove_obsolete(folder: &Path, ops: &Ops) -> Result<()> {
+    let mut old = snapshot_indices(folder)?;
     old.pop();
     for index in old {
         let path = path(folder, index);
         (ops.remove)(&path).map_err(|e| Error::io("removal", &path, e))?;
     }
-    for index in indices_of(folder, &format!(".{TEMPORARY}"))? {
-        let path = path(folder, index).with_extension(TEMPORARY);
+    for index in indices_with_suffix(folder, &format!(".{TEMP_EXTENSION}"))? {
+        let path = path(folder, index).with_extension(TEMP_EXTENSION);
         (ops.remove)(&path).map_err(|e| Error::io("removal", &path, e))?;
     }
     Ok(())
@@ -117,11 +118,11 @@
     folder.join(format!("{index:020}{SUFFIX}"))
 }
 
-fn indices(folder: &Path) -> Result<Vec<u64>> {
-    indices_of(folder, SUFFIX)
+fn snapshot_indices(folder: &Path) -> Result<Vec<u64>> {
+    indices_with_suffix(folder, SUFFIX)
 }
 
-fn indices_of(folder: &Path, suffix: &str) -> Result<Vec<u64>> {
+fn indices_with_suffix(folder: &Path, suffix: &str) -> Result<Vec<u64>> {
     let entries = fs::read_dir(folder).map_err(|e| Error::io("listing", folder, e))?;
     let mut indices = Vec::new();
     for entry in entries {
