--- a/crates/store/tests/disk/damage.rs
+++ b/crates/store/tests/disk/damage.rs
@@ -1,4 +1,4 @@
-//! Disks that don't give back what was written.
+//! Damaged or missing data on the disk.
 
 use crate::model::Contents;
 use quickcheck::{Gen, QuickCheck};
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use store::{Batch, Disk, HardState, Ops, Record};
 
-const RECORDS: u64 = 6;
+const RECORD_COUNT: u64 = 6;
 
 fn record(index: u64) -> Record {
     let data = format!("record {index}").into();
@@ -18,15 +18,15 @@
     }
 }
 
-/// Writes records, each with its own sync; gives the file of the segment.
-fn written(folder: &Path) -> PathBuf {
+/// Writes records, each with its own sync, and returns the path of the segment.
+fn write_records(folder: &Path) -> PathBuf {
     store::format(folder, "one", &Ops::default()).unwrap();
     let (mut disk, _) = Disk::open(folder, Ops::default()).unwrap();
     let hard_state = HardState {
         term: 1,
         vote: Some(3),
     };
-    for index in 1..=RECORDS {
+    for index in 1..=RECORD_COUNT {
         let records = vec![record(index)];
         disk.write(&Batch {
             snapshot: None,
@@ -39,52 +39,55 @@
     folder.join("0000000000000001.log")
 }
 
-/// A byte of the log rots. If it was followed by a later sync, the disk must
-/// be refused with the place: cutting the log there would forget what was
-/// acknowledged. In the last record it can't be told from a torn write.
+/// One byte of the log is damaged. If a later record was synced, opening must
+/// fail with the offset, because truncating the log there would lose
+/// acknowledged data. In the last record the damage looks like a torn write.
 #[test]
 fn open_any_byte_damaged() {
     let folder = tempfile::tempdir().unwrap();
-    let file = written(folder.path());
-    let good = fs::read(&file).unwrap();
-    let last_record = good.len() - (33 + "record 6".len());
-    for place in 0..good.len() {
-        let mut bad = good.clone();
-        bad[place] ^= 0x20;
-        fs::write(&file, &bad).unwrap();
+    let file = write_records(folder.path());
+    let valid = fs::read(&file).unwrap();
+    let last_record = valid.len() - (33 + "record 6".len());
+    for offset in 0..valid.len() {
+        let mut damaged = valid.clone();
+        damaged[offset] ^= 0x20;
+        fs::write(&file, &damaged).unwrap();
         match Disk::open(folder.path(), Ops::default()) {
             Err(e) => assert!(e.is_damage() && e.to_string().contains("byte"), "{e}"),
             Ok((_, recovered)) => {
-                assert!(place >= last_record, "byte {place} went unnoticed");
-                assert_eq!(recovered.records.len() as u64, RECORDS - 1);
+                assert!(
+                    offset >= last_record,
+                    "damage at byte {offset} was not detected"
+                );
+                assert_eq!(recovered.records.len() as u64, RECORD_COUNT - 1);
             }
         }
     }
 }
 
-/// The end of the log is missing, at any length: as after a crash before the
-/// sync. The whole records before it are used.
+/// The log is truncated at any length, as after a crash before a sync. The
+/// complete records before that offset must be recovered.
 #[test]
 fn open_any_length() {
     let folder = tempfile::tempdir().unwrap();
-    let file = written(folder.path());
-    let good = fs::read(&file).unwrap();
-    for length in (0..good.len()).rev() {
-        fs::write(&file, &good[..length]).unwrap();
+    let file = write_records(folder.path());
+    let valid = fs::read(&file).unwrap();
+    for length in (0..valid.len()).rev() {
+        fs::write(&file, &valid[..length]).unwrap();
         let (_, recovered) = Disk::open(folder.path(), Ops::default()).unwrap();
         let indices: Vec<u64> = recovered.records.iter().map(|r| r.index).collect();
         assert_eq!(indices, (1..=indices.len() as u64).collect::<Vec<_>>());
     }
 }
 
-/// The snapshot is damaged or missing, and the log before it is gone.
+/// The snapshot is damaged or missing, and the log before it has been removed.
 #[test]
 fn open_damaged_snapshot() {
     let folder = tempfile::tempdir().unwrap();
     store::format(folder.path(), "one", &Ops::default()).unwrap();
     let (mut disk, _) = Disk::open(folder.path(), Ops::default()).unwrap();
     disk.set_segment_bytes(1);
-    for index in 1..=RECORDS {
+    for index in 1..=RECORD_COUNT {
         let records = vec![record(index)];
         disk.write(&Batch {
             records,
@@ -106,8 +109,8 @@
     drop(disk);
 
     let snapshot = folder.path().join("00000000000000000002.snapshot");
-    let good = fs::read(&snapshot).unwrap();
-    fs::write(&snapshot, &good[..good.len() - 1]).unwrap();
+    let valid = fs::read(&snapshot).unwrap();
+    fs::write(&snapshot, &valid[..valid.len() - 1]).unwrap();
     assert!(
         Disk::open(folder.path(), Ops::default())
             .unwrap_err()
@@ -119,11 +122,11 @@
             .unwrap_err()
             .is_damage()
     );
-    fs::write(&snapshot, &good).unwrap();
+    fs::write(&snapshot, &valid).unwrap();
 }
 
-/// A segment is missing that replaced the end of the log: without it records
-/// of a former leader would stand before those of the next.
+/// A segment that replaced the end of the log is missing. Without it, records
+/// of a former leader would precede those of the next one.
 #[test]
 fn open_missing_segment() {
     let folder = tempfile::tempdir().unwrap();
@@ -145,14 +148,14 @@
     assert!(refused.to_string().contains("missing segment"), "{refused}");
 }
 
-/// Any bytes at all in the place of a segment and a snapshot: the replica
-/// starts or refuses, and doesn't crash.
+/// A segment and a snapshot contain arbitrary bytes. Opening must succeed or
+/// fail, but not crash.
 #[test]
 fn open_any_bytes() {
-    fn opens(segment: Vec<u8>, snapshot: Vec<u8>, whole_start: bool) -> bool {
+    fn opens(segment: Vec<u8>, snapshot: Vec<u8>, valid_start: bool) -> bool {
         let folder = tempfile::tempdir().unwrap();
-        let file = written(folder.path());
-        let mut bytes = if whole_start {
+        let file = write_records(folder.path());
+        let mut bytes = if valid_start {
             fs::read(&file).unwrap()
         } else {
             Vec::new()
--- a/crates/store/tests/disk/refusal.rs
+++ b/crates/store/tests/disk/errors.rs
@@ -1,4 +1,4 @@
-//! Disks that refuse.
+//! Errors of disk operations.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -19,18 +19,18 @@
     }
 }
 
-/// The disk is full, in the midst of a record. The operator frees some room;
-/// until then nothing is taken and all that was there can be read, and
-/// afterwards the log goes on without a trace of the broken record.
+/// The disk becomes full in the middle of a record. Until an operator frees
+/// space, writes must fail and existing data must stay readable. Afterwards the
+/// log must continue without any part of the incomplete record.
 #[test]
 fn write_disk_full() {
     let folder = tempfile::tempdir().unwrap();
     store::format(folder.path(), "one", &Ops::default()).unwrap();
-    let full = Arc::new(AtomicBool::new(false));
-    let asked = Arc::clone(&full);
+    let disk_full = Arc::new(AtomicBool::new(false));
+    let flag = Arc::clone(&disk_full);
     let ops = Ops {
         write: Arc::new(move |_, file, bytes| {
-            if asked.load(Ordering::Relaxed) {
+            if flag.load(Ordering::Relaxed) {
                 file.write_all(&bytes[..bytes.len() / 2])?;
                 return Err(io::ErrorKind::StorageFull.into());
             }
@@ -40,7 +40,7 @@
     };
     let (mut disk, _) = Disk::open(folder.path(), ops).unwrap();
     disk.write(&batch(1, 9)).unwrap();
-    full.store(true, Ordering::Relaxed);
+    disk_full.store(true, Ordering::Relaxed);
     for _ in 0..3 {
         assert!(disk.write(&batch(2, 500)).unwrap_err().is_full());
     }
@@ -48,7 +48,7 @@
     let snapshot = Snapshot { index, term, data };
     assert!(disk.save_snapshot(&snapshot).unwrap_err().is_full());
     disk.sync().unwrap();
-    full.store(false, Ordering::Relaxed);
+    disk_full.store(false, Ordering::Relaxed);
     disk.write(&batch(2, 9)).unwrap();
     disk.sync().unwrap();
     disk.save_snapshot(&snapshot).unwrap();
@@ -59,18 +59,18 @@
     assert_eq!(recovered.records, batch(2, 9).records);
 }
 
-/// A sync fails. The system may have dropped the bytes, and the next sync
-/// reports success without them: the replica would acknowledge what is not
-/// there. So nothing is written any more.
+/// A sync fails. The operating system may have dropped the data, and the next
+/// sync would succeed without it, so a replica could acknowledge lost data.
+/// Nothing may be written after a failed sync.
 #[test]
 fn sync_error_is_final() {
     let folder = tempfile::tempdir().unwrap();
     store::format(folder.path(), "one", &Ops::default()).unwrap();
     let failing = Arc::new(AtomicBool::new(false));
-    let asked = Arc::clone(&failing);
+    let flag = Arc::clone(&failing);
     let ops = Ops {
         sync: Arc::new(move |_, file| {
-            if asked.swap(false, Ordering::Relaxed) {
+            if flag.swap(false, Ordering::Relaxed) {
                 return Err(io::Error::other("input/output error"));
             }
             file.sync_data()
@@ -85,13 +85,13 @@
     assert!(disk.write(&batch(2, 9)).is_err());
 }
 
-/// Syncs that fail once with an error, when asked to.
-fn failing_once(kind: io::ErrorKind) -> (Arc<AtomicBool>, Ops) {
+/// Returns file operations of which one sync fails once the flag is set.
+fn fail_one_sync(kind: io::ErrorKind) -> (Arc<AtomicBool>, Ops) {
     let failing = Arc::new(AtomicBool::new(false));
-    let asked = Arc::clone(&failing);
+    let flag = Arc::clone(&failing);
     let ops = Ops {
         sync: Arc::new(move |_, file| {
-            if asked.swap(false, Ordering::Relaxed) {
+            if flag.swap(false, Ordering::Relaxed) {
                 return Err(kind.into());
             }
             file.sync_data()
@@ -101,15 +101,15 @@
     (failing, ops)
 }
 
-/// A sync fails and the process ends; a supervisor starts it again at once.
-/// The system still shows what it never wrote, so the folder must not be
-/// opened as if nothing had been: what a replica promises on it is gone after
-/// a power cut.
+/// A sync fails, the process ends and a supervisor restarts it at once. The
+/// operating system still returns data that it never wrote. Opening the folder
+/// must fail, because data acknowledged on that basis would be lost in a power
+/// failure.
 #[test]
 fn open_after_failed_sync() {
     let folder = tempfile::tempdir().unwrap();
     store::format(folder.path(), "one", &Ops::default()).unwrap();
-    let (failing, ops) = failing_once(io::ErrorKind::Other);
+    let (failing, ops) = fail_one_sync(io::ErrorKind::Other);
     let (mut disk, _) = Disk::open(folder.path(), ops).unwrap();
     disk.write(&batch(1, 9)).unwrap();
     failing.store(true, Ordering::Relaxed);
@@ -126,9 +126,8 @@
     assert!(Disk::open(folder.path(), Ops::default()).is_ok());
 }
 
-/// A replica was killed with bytes that were not synced, and the sync at its
-/// next start fails. The start after that would find a system that reports
-/// success without them.
+/// A replica was killed with unsynced data, and the sync at its next start
+/// fails. At the start after that, a sync would succeed without the data.
 #[test]
 fn open_after_failed_sync_at_open() {
     let folder = tempfile::tempdir().unwrap();
@@ -136,33 +135,33 @@
     let (mut disk, _) = Disk::open(folder.path(), Ops::default()).unwrap();
     disk.write(&batch(1, 9)).unwrap();
     drop(disk);
-    let (failing, ops) = failing_once(io::ErrorKind::Other);
+    let (failing, ops) = fail_one_sync(io::ErrorKind::Other);
     failing.store(true, Ordering::Relaxed);
     assert!(Disk::open(folder.path(), ops).is_err());
     let refused = Disk::open(folder.path(), Ops::default()).unwrap_err();
     assert!(refused.is_untrusted(), "{refused}");
 }
 
-/// Some file systems find only at the sync that there is no room, and may
-/// have dropped the bytes by then. A write that waited for room and was tried
-/// again would be reported as synced without them.
+/// Some file systems report a full disk only at the sync and may have dropped
+/// the data by then. If the write were retried once there is space, it would be
+/// reported as synced although its data is missing.
 #[test]
 fn sync_without_room_is_final() {
     let folder = tempfile::tempdir().unwrap();
     store::format(folder.path(), "one", &Ops::default()).unwrap();
-    let (failing, ops) = failing_once(io::ErrorKind::StorageFull);
+    let (failing, ops) = fail_one_sync(io::ErrorKind::StorageFull);
     let (mut disk, _) = Disk::open(folder.path(), ops).unwrap();
     disk.set_segment_bytes(0);
     disk.write(&batch(1, 9)).unwrap();
     failing.store(true, Ordering::Relaxed);
-    // The next segment is begun, which syncs the one before.
+    // Starting the next segment syncs the previous one.
     let refused = disk.write(&batch(2, 9)).unwrap_err();
     assert!(!refused.is_full(), "{refused}");
     assert!(disk.write(&batch(2, 9)).is_err());
 }
 
-/// A second process is started on the same folder by mistake. Both would
-/// write to one log.
+/// A second process is started on the same folder by mistake. Both would write
+/// to the same log.
 #[test]
 fn open_folder_in_use() {
     let folder = tempfile::tempdir().unwrap();
@@ -177,8 +176,8 @@
     assert!(Disk::open(folder.path(), Ops::default()).is_ok());
 }
 
-/// The identity of a disk in use is gone. A new one must not take over a log
-/// that holds the promises of the old.
+/// The identity file of a disk with a log is missing. A new identity must not
+/// take over the votes and entries of the old one.
 #[test]
 fn format_log_without_identity() {
     let folder = tempfile::tempdir().unwrap();
--- a/crates/store/tests/disk/faulty.rs
+++ b/crates/store/tests/disk/fault_injector.rs
@@ -1,4 +1,5 @@
-//! File operations that end at a chosen one, as by a crash, and a power cut.
+//! File operations that crash at a chosen operation, and simulated power
+//! failures.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -9,7 +10,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use store::Ops;
 
-/// What a power cut may undo.
+/// Directory operations that a power failure may undo.
 enum Undo {
     Created(PathBuf),
     Renamed(PathBuf, PathBuf),
@@ -18,30 +19,30 @@
 
 struct State {
     rng: StdRng,
-    /// Operations until the crash.
-    left: u64,
+    /// Number of operations until the crash.
+    operations_left: u64,
     crashed: bool,
-    /// Length of each file that is synced.
+    /// Synced length of each file.
     synced: BTreeMap<PathBuf, u64>,
-    names: Vec<Undo>,
+    unsynced_names: Vec<Undo>,
 }
 
-/// Operations that end at a chosen one.
+/// File operations that crash at a chosen operation.
 #[derive(Clone)]
-pub struct Faulty {
+pub struct FaultInjector {
     state: Arc<Mutex<State>>,
 }
 
-impl Faulty {
-    pub fn new(operations: u64, seed: u64) -> Faulty {
+impl FaultInjector {
+    pub fn new(operations: u64, seed: u64) -> FaultInjector {
         let state = State {
             rng: StdRng::seed_from_u64(seed),
-            left: operations,
+            operations_left: operations,
             crashed: false,
             synced: BTreeMap::new(),
-            names: Vec::new(),
+            unsynced_names: Vec::new(),
         };
-        Faulty {
+        FaultInjector {
             state: Arc::new(Mutex::new(state)),
         }
     }
@@ -54,16 +55,17 @@
         self.state.lock().unwrap()
     }
 
-    /// Counts an operation; an error if the crash comes with it.
-    fn begin(&self) -> io::Result<MutexGuard<'_, State>> {
+    /// Counts an operation and fails if it is the one that crashes or a later
+    /// one.
+    fn count_operation(&self) -> io::Result<MutexGuard<'_, State>> {
         let mut state = self.state();
-        if state.left == 0 {
+        if state.operations_left == 0 {
             state.crashed = true;
         }
         if state.crashed {
             return Err(io::Error::other("crashed"));
         }
-        state.left -= 1;
+        state.operations_left -= 1;
         Ok(state)
     }
 
@@ -80,54 +82,56 @@
         );
         Ops {
             create: Arc::new(move |path| {
-                let mut state = create.begin()?;
+                let mut state = create.count_operation()?;
                 if !path.exists() {
-                    state.names.push(Undo::Created(path.to_owned()));
+                    state.unsynced_names.push(Undo::Created(path.to_owned()));
                 }
                 state.synced.insert(path.to_owned(), 0);
                 (real.create)(path)
             }),
             write: Arc::new(move |_, file, bytes| write.write(file, bytes)),
             sync: Arc::new(move |path, file| {
-                let mut state = sync.begin()?;
+                let mut state = sync.count_operation()?;
                 let length = file.metadata()?.len();
                 state.synced.insert(path.to_owned(), length);
                 Ok(())
             }),
             sync_folder: Arc::new(move |_| {
-                folder.begin()?.names.clear();
+                folder.count_operation()?.unsynced_names.clear();
                 Ok(())
             }),
             truncate: Arc::new(move |path, file, length| {
-                let mut state = truncate.begin()?;
-                // What was there before the first operation lasts.
+                let mut state = truncate.count_operation()?;
+                // Data that existed before the first operation is durable.
                 let before = file.metadata()?.len();
                 let synced = state.synced.entry(path.to_owned()).or_insert(before);
                 *synced = length.min(*synced);
                 file.set_len(length)
             }),
             rename: Arc::new(move |from, to| {
-                let mut state = rename.begin()?;
+                let mut state = rename.count_operation()?;
                 let synced = state.synced.remove(from).unwrap_or_default();
                 state.synced.insert(to.to_owned(), synced);
                 state
-                    .names
+                    .unsynced_names
                     .push(Undo::Renamed(from.to_owned(), to.to_owned()));
                 fs::rename(from, to)
             }),
             remove: Arc::new(move |path| {
-                let mut state = remove.begin()?;
+                let mut state = remove.count_operation()?;
                 let bytes = fs::read(path)?;
-                state.names.push(Undo::Removed(path.to_owned(), bytes));
+                state
+                    .unsynced_names
+                    .push(Undo::Removed(path.to_owned(), bytes));
                 fs::remove_file(path)
             }),
         }
     }
 
-    /// The crash may come after a part of the bytes.
+    /// Writes the bytes. If this operation crashes, only a prefix is written.
     fn write(&self, file: &mut File, bytes: &[u8]) -> io::Result<()> {
         let crashed_before = self.crashed();
-        match self.begin() {
+        match self.count_operation() {
             Ok(_) => file.write_all(bytes),
             Err(e) => {
                 if !crashed_before {
@@ -139,24 +143,27 @@
         }
     }
 
-    /// Ends the crash, as for the next process; the system is the same.
-    pub fn revive(&self) {
+    /// Lets the next process run. The operating system keeps unsynced data.
+    pub fn restart_process(&self) {
         let mut state = self.state();
         state.crashed = false;
-        state.left = u64::MAX;
+        state.operations_left = u64::MAX;
     }
 
-    /// Undoes by chance what wasn't synced: the ends of files are missing or
-    /// hold zeros, and names are as before.
-    pub fn cut_power(&self) {
+    /// Randomly undoes unsynced changes: the ends of files are missing or
+    /// zeroed, and directory operations are undone.
+    pub fn fail_power(&self) {
         let mut state = self.state();
         let State {
-            rng, synced, names, ..
+            rng,
+            synced,
+            unsynced_names,
+            ..
         } = &mut *state;
         for (path, synced) in synced.iter() {
-            lose_end(path, *synced, rng);
+            lose_unsynced_tail(path, *synced, rng);
         }
-        for undo in names.drain(..).rev() {
+        for undo in unsynced_names.drain(..).rev() {
             if rng.random_range(0..2) == 0 {
                 continue;
             }
@@ -169,7 +176,7 @@
     }
 }
 
-fn lose_end(path: &Path, synced: u64, rng: &mut StdRng) {
+fn lose_unsynced_tail(path: &Path, synced: u64, rng: &mut StdRng) {
     let Ok(mut file) = OpenOptions::new().write(true).open(path) else {
         return;
     };
--- a/crates/store/tests/disk/main.rs
+++ b/crates/store/tests/disk/main.rs
@@ -1,7 +1,7 @@
-//! What lasts on a disk, and what is said when it doesn't.
+//! Tests of durability after crashes, damage and errors.
 
 mod crash;
 mod damage;
-mod faulty;
+mod errors;
+mod fault_injector;
 mod model;
-mod refusal;
--- a/crates/store/tests/disk/model.rs
+++ b/crates/store/tests/disk/model.rs
@@ -1,11 +1,11 @@
-//! What the disk should hold, frame by frame.
+//! Model of the expected disk contents.
 
 use rand::RngExt;
 use rand::rngs::StdRng;
 use std::collections::BTreeMap;
 use store::{Batch, Disk, HardState, Record, Recovered, Result, Snapshot};
 
-/// What the disk holds.
+/// Contents of a disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Contents {
     pub hard_state: HardState,
@@ -33,12 +33,12 @@
     }
 }
 
-/// What is asked of the disk.
+/// Operation on a disk.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// Batches, then one sync.
+    /// Writes batches, then syncs once.
     Write(Vec<Batch>),
-    /// A snapshot of what the log holds.
+    /// Saves a snapshot of the current state.
     Save(Snapshot),
 }
 
@@ -55,43 +55,44 @@
         }
     }
 
-    /// The contents after each frame that may last on its own.
-    pub fn frames(&self, before: &Contents) -> Vec<Contents> {
-        let mut frames = vec![before.clone()];
+    /// Returns the contents after each part of the step that can become durable
+    /// on its own.
+    pub fn durable_states(&self, before: &Contents) -> Vec<Contents> {
+        let mut states = vec![before.clone()];
         match self {
             Step::Save(snapshot) => {
                 let mut after = before.clone();
                 after.records = after.records.split_off(&(snapshot.index + 1));
                 after.snapshot = Some(snapshot.clone());
-                frames.push(after);
+                states.push(after);
             }
             Step::Write(batches) => {
                 for batch in batches {
-                    write_frames(batch, &mut frames);
+                    push_durable_states(batch, &mut states);
                 }
             }
         }
-        frames
+        states
     }
 }
 
-fn write_frames(batch: &Batch, frames: &mut Vec<Contents>) {
-    let mut now = frames.last().unwrap().clone();
+fn push_durable_states(batch: &Batch, states: &mut Vec<Contents>) {
+    let mut now = states.last().unwrap().clone();
     if let Some(snapshot) = &batch.snapshot {
         now.records.clear();
         now.snapshot = Some(snapshot.clone());
-        frames.push(now.clone());
+        states.push(now.clone());
     }
     now.hard_state = batch.hard_state;
-    frames.push(now.clone());
+    states.push(now.clone());
     for record in &batch.records {
         now.records.split_off(&record.index);
         now.records.insert(record.index, record.clone());
-        frames.push(now.clone());
+        states.push(now.clone());
     }
 }
 
-/// A random step that follows from the contents.
+/// Returns a random step that is valid for the contents.
 pub fn random_step(contents: &Contents, rng: &mut StdRng) -> Step {
     let mut now = contents.clone();
     if rng.random_range(0..6) == 0 && now.last() > now.covered() {
@@ -103,9 +104,9 @@
     let mut batches = Vec::new();
     for _ in 0..rng.random_range(1..4) {
         let batch = random_batch(&now, rng);
-        let mut frames = vec![now];
-        write_frames(&batch, &mut frames);
-        now = frames.pop().unwrap();
+        let mut states = vec![now];
+        push_durable_states(&batch, &mut states);
+        now = states.pop().unwrap();
         batches.push(batch);
     }
     Step::Write(batches)
