--- /dev/null
+++ b/crates/quorum/src/leadership_error.rs
@@ -0,0 +1,24 @@
+//! Errors of requests that need a leader.
+
+use std::fmt;
+
+/// Reason why a replica rejects a proposal or a read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LeadershipError {
+    /// This replica is not the leader.
+    NotLeader,
+    /// This replica leads, but no majority has answered within the lease, so
+    /// another replica may have been elected.
+    NoLease,
+}
+
+impl fmt::Display for LeadershipError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            LeadershipError::NotLeader => "this replica does not lead",
+            LeadershipError::NoLease => "no majority of replicas answers",
+        })
+    }
+}
+
+impl std::error::Error for LeadershipError {}
--- a/crates/quorum/src/node/inspect.rs
+++ b/crates/quorum/src/node/inspect.rs
@@ -1,21 +1,22 @@
-//! What a replica knows and is at the moment.
+//! Accessors for the state of a replica.
 
 use super::{Node, Role};
 use crate::{DiskId, Members, ReplicaStatus, Status};
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// Elections that a voter waits through before it takes itself for replaced.
-/// It goes on to vote meanwhile; to ask costs one message an election.
+/// Number of election timeouts without a leader after which a voter assumes
+/// that it has been replaced. It still votes in the meantime, and a join
+/// request costs one message per election timeout.
 const ELECTIONS_UNTIL_REPLACED: u32 = 3;
 
 impl Node {
-    /// Own disk.
+    /// Returns the disk of this replica.
     ///
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
     /// assert_eq!(node.id(), DiskId(1));
     /// ```
     #[must_use]
@@ -23,26 +24,26 @@
         self.id
     }
 
-    /// Newest term heard of; of a leader, its fencing number.
+    /// Returns the latest term seen. On a leader it is the fencing number.
     ///
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
     /// assert_eq!(node.term(), 0);
     /// ```
     #[must_use]
     pub fn term(&self) -> u64 {
-        self.hard.term
+        self.hard_state.term
     }
 
-    /// Whether this replica leads, or still believes so; see
-    /// [`Node::leased`].
+    /// Returns whether this replica is the leader of its term. Another replica
+    /// may lead a later term already; see [`Node::has_lease`].
     ///
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
     /// assert!(!node.is_leader());
     /// ```
     #[must_use]
@@ -50,63 +51,65 @@
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Whether this replica leads and no other can: a majority has answered
-    /// so lately that it gives no vote yet (sections 6.2 and 6.4.1).
+    /// Returns whether this replica leads and no other replica can: a majority
+    /// has answered so recently that it does not vote yet (sections 6.2 and
+    /// 6.4.1).
     ///
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
-    /// assert!(!node.leased(now));
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
+    /// assert!(!node.has_lease(now));
     /// ```
     #[must_use]
-    pub fn leased(&self, now: Instant) -> bool {
+    pub fn has_lease(&self, now: Instant) -> bool {
         match &self.role {
-            Role::Leader(leader) => leader.leased(now, self.cfg.lease()),
+            Role::Leader(leader) => leader.has_lease(now, self.cfg.lease_duration()),
             _ => false,
         }
     }
 
-    /// Whether this leader has committed an entry of its own term, and so
-    /// holds all that was ever acknowledged (section 6.4).
+    /// Returns whether this leader has committed an entry of its own term, and
+    /// therefore knows of all acknowledged entries (section 6.4).
     ///
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
-    /// assert!(!node.has_committed_own());
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
+    /// assert!(!node.has_committed_in_term());
     /// ```
     #[must_use]
-    pub fn has_committed_own(&self) -> bool {
+    pub fn has_committed_in_term(&self) -> bool {
         match &self.role {
-            Role::Leader(leader) => self.commit >= leader.noop,
+            Role::Leader(leader) => self.commit_index >= leader.noop_index,
             _ => false,
         }
     }
 
-    /// Whether all that this leader has found committed was handed out to be
-    /// applied, so that the state machine lacks nothing acknowledged before it.
+    /// Returns whether this leader has returned an entry of its own term for
+    /// applying, so that the state machine contains all entries acknowledged by
+    /// earlier leaders.
     ///
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
-    /// assert!(!node.has_applied_own());
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
+    /// assert!(!node.has_applied_in_term());
     /// ```
     #[must_use]
-    pub fn has_applied_own(&self) -> bool {
+    pub fn has_applied_in_term(&self) -> bool {
         match &self.role {
-            Role::Leader(leader) => self.applied >= leader.noop,
+            Role::Leader(leader) => self.applied_index >= leader.noop_index,
             _ => false,
         }
     }
 
-    /// The leader, if known.
+    /// Returns the leader, if known.
     ///
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
     /// assert_eq!(node.leader(), None);
     /// ```
     #[must_use]
@@ -114,12 +117,12 @@
         self.leader
     }
 
-    /// The members as of the end of the log.
+    /// Returns the members in force at the end of the log.
     ///
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
     /// assert!(node.members().voters.is_empty());
     /// ```
     #[must_use]
@@ -128,80 +131,82 @@
             voters: BTreeMap::new(),
             learners: BTreeMap::new(),
         };
-        self.members.last().map_or(NONE, |(_, members)| members)
+        self.membership_history
+            .last()
+            .map_or(NONE, |(_, members)| members)
     }
 
-    /// Whether this replica should ask to be taken in: it hears no leader
-    /// and is no voter, or was one for so long without a leader that its
-    /// place may be another's by now.
+    /// Returns whether this replica should ask to join the cluster: it is not a
+    /// voter and hears from no leader, or it is a voter that has been without a
+    /// leader for so long that it may have been replaced.
     ///
-    /// A blank one is so. One that was being taken in may be so as well: the
-    /// change that made it a learner can be lost with the leader that ordered
-    /// it, and then nobody knows of this replica any more.
+    /// This applies to a replica with a blank disk. It can also apply to a
+    /// learner: the entry that added it can be lost with the leader that
+    /// appended it, and then no other replica knows of this one.
     ///
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
-    /// assert!(node.wants_in(now));
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
+    /// assert!(node.should_join(now));
     /// ```
     #[must_use]
-    pub fn wants_in(&self, now: Instant) -> bool {
-        let silence = now.saturating_duration_since(self.heard);
-        let silent = silence >= self.cfg.election;
-        let replaced = self.cfg.replace.is_some()
+    pub fn should_join(&self, now: Instant) -> bool {
+        let silence = now.saturating_duration_since(self.leader_heard_at);
+        let silent = silence >= self.cfg.election_timeout;
+        let replaced = self.cfg.voter_replacement.is_some()
             && !self.is_leader()
-            && silence >= self.cfg.election * ELECTIONS_UNTIL_REPLACED;
+            && silence >= self.cfg.election_timeout * ELECTIONS_UNTIL_REPLACED;
         replaced || !self.is_voter() && (self.leader.is_none() || silent)
     }
 
-    /// Last entry handed out to be applied, and its term.
+    /// Returns the index and term of the last entry returned for applying.
     ///
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
-    /// assert_eq!(node.applied(), (0, 0));
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
+    /// assert_eq!(node.last_applied(), (0, 0));
     /// ```
     #[must_use]
-    pub fn applied(&self) -> (u64, u64) {
-        let term = self.log.term_at(self.applied);
-        (self.applied, term.unwrap_or(self.snapshot.term))
+    pub fn last_applied(&self) -> (u64, u64) {
+        let term = self.log.term_at(self.applied_index);
+        (self.applied_index, term.unwrap_or(self.snapshot.term))
     }
 
-    /// Members as of an entry that is still in the log.
+    /// Returns the members in force at an entry that is still in the log.
     ///
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
     /// assert_eq!(&node.members_at(0), node.members());
     /// ```
     #[must_use]
     pub fn members_at(&self, index: u64) -> Members {
-        let mut before = self.members.iter().rev();
-        let found = before.find(|(set, _)| *set <= index);
+        let mut newest_first = self.membership_history.iter().rev();
+        let found = newest_first.find(|(changed_at, _)| *changed_at <= index);
         found.map_or_else(Members::default, |(_, members)| members.clone())
     }
 
-    /// What is known of this replica and the others.
+    /// Returns the status of this replica and of the members it knows.
     ///
     /// ```
     /// # use quorum::*;
     /// # let now = std::time::Instant::now();
-    /// let node = Node::new(DiskId(1), Config::default(), 7, Restored::default(), now);
-    /// assert_eq!(node.status(now).commit, 0);
+    /// let node = Node::new(DiskId(1), Config::default(), 7, PersistedState::default(), now);
+    /// assert_eq!(node.status(now).commit_index, 0);
     /// ```
     #[must_use]
     pub fn status(&self, now: Instant) -> Status {
         Status {
             id: self.id,
-            term: self.hard.term,
+            term: self.hard_state.term,
             leader: self.leader,
-            commit: self.commit,
-            applied: self.applied,
-            last: self.log.last_index(),
-            settled: self.members_settled(),
+            commit_index: self.commit_index,
+            applied_index: self.applied_index,
+            last_index: self.log.last_index(),
+            membership_committed: self.membership_committed(),
             replicas: self.replicas(now),
         }
     }
@@ -214,13 +219,13 @@
                 id,
                 peer: members.peer(id).cloned().unwrap_or_default(),
                 voter: members.voters.contains_key(&id),
-                matched: None,
+                match_index: None,
                 active: id == self.id,
             };
             if let Role::Leader(leader) = &self.role {
-                let matched = leader.peers.get(&id).map(|p| p.matched);
-                row.matched = matched.or((id == self.id).then_some(self.stable));
-                row.active |= leader.active(id, now, self.cfg.election);
+                let match_index = leader.peers.get(&id).map(|p| p.match_index);
+                row.match_index = match_index.or((id == self.id).then_some(self.synced_index));
+                row.active |= leader.is_active(id, now, self.cfg.election_timeout);
             }
             rows.push(row);
         }
