--- a/crates/control/src/roster.rs
+++ b/crates/control/src/roster.rs
@@ -2,7 +2,7 @@
 
 use crate::node_info::{encode_role, parse, shown};
 use member::{Member, NodeKey, Registry, Renewal};
-use route::{Exchange, Use, WHOLE};
+use route::{FULL_QUOTA, QuotaAllocator, QuotaUsage};
 use std::collections::BTreeSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::{Duration, Instant};
@@ -27,7 +27,7 @@
     registry: Registry,
     /// Leases of incarnations that were replaced, with their notes.
     former: Vec<(NodeKey, u64, Instant)>,
-    exchange: Exchange,
+    exchange: QuotaAllocator,
 }
 
 /// How far the accepted notes have come.
@@ -54,7 +54,7 @@
             term,
             registry: Registry::new(term, now, lease),
             former: Vec::new(),
-            exchange: Exchange::new(now, lease),
+            exchange: QuotaAllocator::new(now, lease),
         }
     }
 
@@ -151,7 +151,7 @@
     /// let entry = NodeInfo { role: Role::Entry.into(), ..NodeInfo::default() };
     /// let used = AccountUse { account: 7, demand: 20, held: 0 };
     /// let parts = roster.share(&entry, 1, &[used], now + lease);
-    /// assert_eq!(parts[0].part, route::WHOLE);
+    /// assert_eq!(parts[0].part, route::FULL_QUOTA);
     /// ```
     pub fn share(
         &mut self,
@@ -166,12 +166,12 @@
         // Distinct for each run of each entry, within this leader.
         let mut key = DefaultHasher::new();
         (&entry.name, entry.incarnation).hash(&mut key);
-        let uses = uses.iter().map(|used| Use {
+        let uses = uses.iter().map(|used| QuotaUsage {
             account: used.account,
-            demand: used.demand.min(WHOLE),
-            held: used.held.min(WHOLE),
+            demand: used.demand.min(FULL_QUOTA),
+            held: used.held.min(FULL_QUOTA),
         });
-        let uses: Vec<Use> = uses.collect();
+        let uses: Vec<QuotaUsage> = uses.collect();
         let parts = self.exchange.report(key.finish(), sequence, &uses, now);
         let parts = parts.into_iter().map(|granted| AccountPart {
             account: granted.account,
--- a/crates/direct/src/dispatch_attempts.rs
+++ b/crates/direct/src/dispatch_attempts.rs
@@ -9,7 +9,7 @@
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::StatusCode;
-use route::Outcome;
+use route::DispatchOutcome;
 use std::pin::pin;
 use std::time::Instant;
 use tokio::time::{sleep, timeout};
@@ -44,7 +44,7 @@
         let head = match sent {
             Ok(head) => head,
             Err(miss) => {
-                permit.set(Outcome::Failed);
+                permit.set(DispatchOutcome::Failed);
                 return AttemptOutcome::Missed(self.failed_attempt(&permit, &miss));
             }
         };
@@ -168,9 +168,9 @@
             }
         };
         permit.set(if failed || broken.is_some() {
-            Outcome::Failed
+            DispatchOutcome::Failed
         } else {
-            Outcome::Answered
+            DispatchOutcome::Answered
         });
         if let Some(why) = broken {
             self.log_miss(&permit, "broken off", &why);
@@ -182,10 +182,10 @@
 }
 
 /// How an answer that says that the request did not run is counted.
-fn declined(word: Verdict) -> Option<(&'static str, Outcome)> {
+fn declined(word: Verdict) -> Option<(&'static str, DispatchOutcome)> {
     match word {
-        Verdict::NotRun => Some(("declined", Outcome::Declined)),
-        Verdict::Replaced => Some(("replaced", Outcome::Replaced)),
+        Verdict::NotRun => Some(("declined", DispatchOutcome::Declined)),
+        Verdict::Replaced => Some(("replaced", DispatchOutcome::Replaced)),
         Verdict::Vouched | Verdict::Unvouched | Verdict::Foreign => None,
     }
 }
--- a/crates/direct/src/permit.rs
+++ b/crates/direct/src/permit.rs
@@ -2,7 +2,7 @@
 
 use crate::placer::Placer;
 use crate::service_targets::Endpoint;
-use route::{LoadEstimate, Outcome, ReportedLoad, TargetKey};
+use route::{DispatchOutcome, LoadEstimate, ReportedLoad, TargetKey};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -13,7 +13,7 @@
     service: String,
     key: TargetKey,
     endpoint: Endpoint,
-    outcome: Outcome,
+    outcome: DispatchOutcome,
     /// When its place was taken.
     since: Instant,
     /// The target's load as it was known when it was chosen.
@@ -33,7 +33,7 @@
             service: service.to_owned(),
             key,
             endpoint,
-            outcome: Outcome::Abandoned,
+            outcome: DispatchOutcome::Abandoned,
             since: Instant::now(),
             seen,
         }
@@ -69,11 +69,11 @@
     }
 
     /// How it went; without a word it counts as abandoned by its caller.
-    pub(crate) fn ended(mut self, outcome: Outcome) {
+    pub(crate) fn ended(mut self, outcome: DispatchOutcome) {
         self.outcome = outcome;
     }
 
-    pub(crate) fn set(&mut self, outcome: Outcome) {
+    pub(crate) fn set(&mut self, outcome: DispatchOutcome) {
         self.outcome = outcome;
     }
 }
--- a/crates/direct/src/placer.rs
+++ b/crates/direct/src/placer.rs
@@ -5,7 +5,7 @@
 use crate::timing::Timing;
 use node::KnownTarget;
 use rand::rngs::SmallRng;
-use route::{Outcome, ReportedLoad, TargetKey, TimeUsed};
+use route::{DispatchOutcome, ElapsedWait, ReportedLoad, TargetKey};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -32,7 +32,7 @@
     rng: SmallRng,
     services: BTreeMap<String, ServiceTargets>,
     /// Time that callers of each route have used before they come.
-    used: BTreeMap<String, TimeUsed>,
+    used: BTreeMap<String, ElapsedWait>,
 }
 
 /// Why no target is given.
@@ -167,7 +167,7 @@
     pub(crate) fn time_used(&self, route: &str, patience: Duration, now: Instant) -> Duration {
         let mut inner = self.inner();
         if !inner.used.contains_key(route) {
-            inner.used.insert(route.to_owned(), TimeUsed::new(now));
+            inner.used.insert(route.to_owned(), ElapsedWait::new(now));
         }
         let used = inner.used.get_mut(route);
         used.map_or(Duration::ZERO, |used| used.observe(patience, now))
@@ -244,19 +244,22 @@
         &self,
         service: &str,
         key: TargetKey,
-        (outcome, time): (Outcome, Duration),
+        (outcome, time): (DispatchOutcome, Duration),
         now: Instant,
     ) {
         if let Some(held) = self.inner().services.get_mut(service) {
             held.set.end(key, outcome, now);
-            if !matches!(outcome, Outcome::Declined | Outcome::Replaced) {
+            if !matches!(
+                outcome,
+                DispatchOutcome::Declined | DispatchOutcome::Replaced
+            ) {
                 held.returns.ended(now);
             }
-            if outcome == Outcome::Answered {
+            if outcome == DispatchOutcome::Answered {
                 held.set.ran(time);
             }
         }
-        if outcome == Outcome::Declined {
+        if outcome == DispatchOutcome::Declined {
             // Others wait for the end of its trial.
             self.news.send_replace(());
         }
--- a/crates/direct/src/service_targets.rs
+++ b/crates/direct/src/service_targets.rs
@@ -6,8 +6,8 @@
 use node::KnownTarget;
 use outlet::{ClientSettings, Connection, Pool};
 use route::{
-    Distance, LoadEstimate, Pace, RetryBudget, ReturnSchedule, TargetKey, TargetSet,
-    TargetSetTuning,
+    LoadEstimate, Locality, RetryAfterSchedule, RetryBudget, StepTimeModel, TargetKey, TargetSet,
+    TargetSetSettings,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
 pub(crate) struct ServiceTargets {
     pub(crate) set: TargetSet,
     pub(crate) budget: RetryBudget,
-    pub(crate) returns: ReturnSchedule,
+    pub(crate) returns: RetryAfterSchedule,
     pub(crate) endpoints: BTreeMap<String, (TargetKey, Endpoint)>,
     /// Since when requests have found no target that takes work.
     pub(crate) absent: Option<Instant>,
@@ -63,7 +63,7 @@
             set: TargetSet::new(tuning(service)),
             budget: RetryBudget::new(RETRY_RATIO, RETRY_RESERVE, now)
                 .bounded(RETRY_EARNED, RETRY_REFILL),
-            returns: ReturnSchedule::new(retry_full),
+            returns: RetryAfterSchedule::new(retry_full),
             endpoints: BTreeMap::new(),
             absent: None,
         }
@@ -134,9 +134,9 @@
     fn insert(&mut self, known: &KnownTarget, zone: &str, kept: Duration) {
         let told = &known.told;
         let distance = if told.zone == zone {
-            Distance::Near
+            Locality::Near
         } else {
-            Distance::Far
+            Locality::Far
         };
         let key = self.set.insert(told.slots, distance);
         let endpoint = Endpoint {
@@ -157,14 +157,14 @@
 
 /// A plain service's requests take a fifth of their objective, so that one
 /// round may wait; a stream takes several times its objective.
-fn tuning(service: &table::Service) -> TargetSetTuning {
+fn tuning(service: &table::Service) -> TargetSetSettings {
     let Some(engine) = service.engine else {
-        return TargetSetTuning::default();
+        return TargetSetSettings::default();
     };
-    TargetSetTuning {
+    TargetSetSettings {
         waiting: ENGINE_WAITING,
-        pace: Some(Pace::new(engine.step, engine.step_per_request)),
-        ..TargetSetTuning::default()
+        pace: Some(StepTimeModel::new(engine.step, engine.step_per_request)),
+        ..TargetSetSettings::default()
     }
 }
 
--- a/crates/direct/src/stream.rs
+++ b/crates/direct/src/stream.rs
@@ -10,7 +10,7 @@
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::{Frame, Incoming};
 use outlet::Connection;
-use route::Outcome;
+use route::DispatchOutcome;
 use std::io;
 use std::time::Instant;
 use table::Kind;
@@ -170,7 +170,7 @@
             ..
         } = self.source.take()?;
         crate::service_targets::keep(permit.endpoint(), conn, &reading, &self.dispatch.timing);
-        permit.ended(Outcome::Answered);
+        permit.ended(DispatchOutcome::Answered);
         if self.events.is_between() {
             return None;
         }
@@ -208,7 +208,7 @@
     async fn go_on(&mut self, why: &str) -> io::Result<()> {
         if let Some(source) = self.source.take() {
             self.dispatch.log_miss(&source.permit, "stream broken", why);
-            source.permit.ended(Outcome::Failed);
+            source.permit.ended(DispatchOutcome::Failed);
         }
         if !self.can_go_on() {
             return Err(self.broken_off(why));
--- a/crates/direct/src/timing.rs
+++ b/crates/direct/src/timing.rs
@@ -1,6 +1,6 @@
 //! Times of requests.
 
-use route::Absence;
+use route::StartupGrace;
 use std::time::Duration;
 
 /// Times of requests straight to targets.
@@ -25,7 +25,7 @@
     /// time in which a target or entry that starts is known.
     pub retry_absent: Duration,
     /// How long requests wait for a table or target of which none is known.
-    pub absence: Absence,
+    pub absence: StartupGrace,
 }
 
 impl Default for Timing {
@@ -36,7 +36,7 @@
             kept: Duration::from_secs(2),
             retry_full: Duration::from_secs(1),
             retry_absent: Duration::from_secs(1),
-            absence: Absence::default(),
+            absence: StartupGrace::default(),
         }
     }
 }
--- a/crates/entry/src/http/front.rs
+++ b/crates/entry/src/http/front.rs
@@ -315,7 +315,7 @@
 }
 
 fn refused(refusal: route::Refusal) -> Problem {
-    use route::Reason as Why;
+    use route::RefusalReason as Why;
     let (status, detail) = match refusal.reason {
         Why::RequestRate => (429, "the account's rate in requests is used up"),
         Why::TokenRate => (429, "the account's rate in tokens is used up"),
--- a/crates/entry/src/links/roster.rs
+++ b/crates/entry/src/links/roster.rs
@@ -6,7 +6,7 @@
 
 use node::Follower;
 use ractor::{Actor, ActorProcessingErr, ActorRef};
-use route::{RankReport, Reach, Report, Standing, SubsetSettings};
+use route::{RankLoadReport, Reachability, SubsetSettings, TargetLoadReport, TargetStatus};
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 use wire::proto::LoadReport;
@@ -191,8 +191,8 @@
         let mut linked = self.subsets.linked(|target| {
             let down = self.held.get(target).and_then(|held| held.down);
             match down {
-                Some(since) if now >= since + patience => Reach::Down,
-                _ => Reach::Unknown,
+                Some(since) if now >= since + patience => Reachability::Down,
+                _ => Reachability::Unknown,
             }
         });
         self.next_look = None;
@@ -266,11 +266,11 @@
     fn member(&self, row: &Announced, entries: u32) -> Option<Member> {
         let held = self.held.get(&row.target)?;
         let standing = if row.leaving || held.leaving {
-            Standing::Leaving
+            TargetStatus::Leaving
         } else if held.is_fit(row) {
-            Standing::Ready
+            TargetStatus::Ready
         } else {
-            Standing::Absent
+            TargetStatus::Absent
         };
         Some(Member {
             agent: Arc::clone(&held.agent),
@@ -292,22 +292,22 @@
     fn load(&self, agent: &Arc<Agent>, report: &LoadReport) {
         let age = Duration::from_millis(u64::from(report.age_ms));
         let now = Instant::now();
-        let ranks = report.ranks.iter().map(|rank| RankReport {
+        let ranks = report.ranks.iter().map(|rank| RankLoadReport {
             rank: rank.rank,
             running: rank.running,
             queued_tokens: rank.queued_tokens,
             kv_used_permille: rank.kv_used_permille,
             step: Duration::from_micros(u64::from(rank.step_us)),
         });
-        let mut ranks: Vec<RankReport> = ranks.collect();
+        let mut ranks: Vec<RankLoadReport> = ranks.collect();
         if ranks.is_empty() {
             // A plain service reports itself as a whole.
-            ranks.push(RankReport {
+            ranks.push(RankLoadReport {
                 running: report.running,
-                ..RankReport::default()
+                ..RankLoadReport::default()
             });
         }
-        let report = Report {
+        let report = TargetLoadReport {
             taken: now.checked_sub(age).unwrap_or(now),
             limit: report.limit,
             queued: report.queued,
--- a/crates/entry/src/links/subsets.rs
+++ b/crates/entry/src/links/subsets.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use note::{Catalogue, Offer};
-use route::{Reach, Site, Subset, SubsetSettings};
+use route::{Reachability, Subset, SubsetSettings, ZonedNode};
 use wire::proto::MemberView;
 
 use super::Announced;
@@ -77,11 +77,11 @@
         }
         let cfg = self.cfg();
         let classes = classes.into_values().map(|rows| {
-            let sites = rows.iter().map(|row| Site {
+            let sites = rows.iter().map(|row| ZonedNode {
                 name: &row.target,
                 zone: &row.zone,
             });
-            let sites: Vec<Site<'_>> = sites.collect();
+            let sites: Vec<ZonedNode<'_>> = sites.collect();
             Class {
                 subset: Subset::of(cfg, me, &entries, &sites),
                 targets: rows.iter().map(|row| row.target.clone()).collect(),
@@ -91,7 +91,7 @@
     }
 
     /// The targets to link now, and how many entries link each of them.
-    pub(super) fn linked(&self, reach: impl Fn(&str) -> Reach) -> BTreeMap<String, u32> {
+    pub(super) fn linked(&self, reach: impl Fn(&str) -> Reachability) -> BTreeMap<String, u32> {
         let mut linked = BTreeMap::new();
         for class in &self.classes {
             let name = |target: usize| class.targets[target].as_str();
@@ -106,18 +106,18 @@
 
     /// Entries that serve callers, this one included: it may not be in the view
     /// yet, or may be leaving and still serve those who hold its address.
-    fn entries<'a>(&'a self, view: &'a MemberView) -> Vec<Site<'a>> {
+    fn entries<'a>(&'a self, view: &'a MemberView) -> Vec<ZonedNode<'a>> {
         let nodes = view.nodes.iter();
         let others = nodes.filter(|node| {
             node.role() == wire::Role::Entry && !node.leaving && node.name != self.name
         });
-        let mut entries: Vec<Site<'_>> = others
-            .map(|node| Site {
+        let mut entries: Vec<ZonedNode<'_>> = others
+            .map(|node| ZonedNode {
                 name: &node.name,
                 zone: &node.zone,
             })
             .collect();
-        entries.push(Site {
+        entries.push(ZonedNode {
             name: &self.name,
             zone: &self.zone,
         });
--- a/crates/entry/src/placement/allowance.rs
+++ b/crates/entry/src/placement/allowance.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use route::{AccountLimits, Ration, Refusal, Usage, WHOLE, account_number};
+use route::{AccountDemand, AccountLimiter, AccountLimits, FULL_QUOTA, Refusal, account_hash};
 use wire::proto::AccountUse;
 
 /// What this entry may give out of one account's limits, and has given out.
@@ -10,8 +10,8 @@
 pub(super) struct Allowance {
     number: u32,
     whole: AccountLimits,
-    ration: Ration,
-    usage: Usage,
+    ration: AccountLimiter,
+    usage: AccountDemand,
     /// The part that was granted, while it is acted on.
     granted: Option<u32>,
 }
@@ -20,15 +20,15 @@
     pub(super) fn new(account: &note::Account, part: f64, now: Instant) -> Self {
         let whole = whole(account);
         Allowance {
-            number: account_number(&account.name),
+            number: account_hash(&account.name),
             whole,
-            ration: Ration::new(part_of(&whole, part), now),
-            usage: Usage::default(),
+            ration: AccountLimiter::new(part_of(&whole, part), now),
+            usage: AccountDemand::default(),
             granted: None,
         }
     }
 
-    pub(super) fn ration(&mut self) -> &mut Ration {
+    pub(super) fn ration(&mut self) -> &mut AccountLimiter {
         &mut self.ration
     }
 
@@ -53,7 +53,7 @@
     /// still hold all there is, lets in what it would without any exchange.
     pub(super) fn set_part(&mut self, granted: Option<u32>, own: f64, now: Instant) {
         self.granted = granted;
-        let granted = f64::from(granted.unwrap_or(0)) / f64::from(WHOLE);
+        let granted = f64::from(granted.unwrap_or(0)) / f64::from(FULL_QUOTA);
         let limits = part_of(&self.whole, granted.max(own));
         if *self.ration.limits() != limits {
             self.ration.set_limits(limits, now);
@@ -81,7 +81,7 @@
             return 0;
         }
         let part = f64::from(self.ration.present()) / f64::from(self.whole.concurrent);
-        to_u32((part * f64::from(WHOLE)).ceil()).min(WHOLE)
+        to_u32((part * f64::from(FULL_QUOTA)).ceil()).min(FULL_QUOTA)
     }
 }
 
--- a/crates/entry/src/placement/inner.rs
+++ b/crates/entry/src/placement/inner.rs
@@ -9,7 +9,8 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use route::{
-    AdmissionSettings, Fingerprint, Reason, Refusal, RetryBudget, Suspicion, TicketKey, Tuning,
+    AdmissionSettings, Fingerprint, PoolSettings, Refusal, RefusalReason, RetryBudget, Suspicion,
+    TicketKey,
 };
 use wire::proto::{AccountUse, Quarantine};
 
@@ -114,7 +115,7 @@
             let state = self
                 .pools
                 .entry(name.clone())
-                .or_insert_with(|| PoolState::new(Tuning::default(), self.admission, now));
+                .or_insert_with(|| PoolState::new(PoolSettings::default(), self.admission, now));
             let distance = |row: &Announced| distance(&self.zone, row, self.zone_distance);
             state.update(now, members, distance);
             state.advance(now);
@@ -253,7 +254,7 @@
     /// The refusal of a request for which there is no room.
     pub(super) fn shed() -> Refusal {
         Refusal {
-            reason: Reason::Shed,
+            reason: RefusalReason::Shed,
             retry_after: AdmissionSettings::default().retry_after,
         }
     }
--- a/crates/entry/src/placement/member.rs
+++ b/crates/entry/src/placement/member.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use route::Standing;
+use route::TargetStatus;
 
 use crate::links::{Agent, Announced};
 
@@ -11,7 +11,7 @@
 pub(crate) struct Member {
     pub(crate) agent: Arc<Agent>,
     pub(crate) announced: Announced,
-    pub(crate) standing: Standing,
+    pub(crate) standing: TargetStatus,
     /// Entries that send it work, this one included.
     pub(crate) entries: u32,
 }
--- a/crates/entry/src/placement/mod.rs
+++ b/crates/entry/src/placement/mod.rs
@@ -12,7 +12,7 @@
 
 use node::Parts;
 use note::Catalogue;
-use route::{Fingerprint, Refusal, Report, Suspicion};
+use route::{Fingerprint, Refusal, Suspicion, TargetLoadReport};
 use tokio::sync::oneshot;
 use wire::proto::{AccountUse, CacheEvents, Quarantine};
 
@@ -90,7 +90,7 @@
         self.lock().crashed(Instant::now(), fingerprint);
     }
 
-    pub(crate) fn report(&self, agent: &Arc<Agent>, report: &Report) {
+    pub(crate) fn report(&self, agent: &Arc<Agent>, report: &TargetLoadReport) {
         let mut inner = self.lock();
         for state in inner.pools.values_mut() {
             if let Some(key) = state.key_of(agent) {
--- a/crates/entry/src/placement/placed.rs
+++ b/crates/entry/src/placement/placed.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use route::{AttemptKey, Ending};
+use route::{AttemptKey, AttemptResult};
 
 use super::Placement;
 use crate::links::Agent;
@@ -45,7 +45,7 @@
     placement: Arc<Placement>,
     pool: PoolName,
     found: Found,
-    ended: Option<Ending>,
+    ended: Option<AttemptResult>,
 }
 
 impl Placed {
@@ -79,14 +79,14 @@
     }
 
     /// Ends the attempt.
-    pub(crate) fn end(mut self, ending: Ending) {
+    pub(crate) fn end(mut self, ending: AttemptResult) {
         self.ended = Some(ending);
     }
 }
 
 impl Drop for Placed {
     fn drop(&mut self) {
-        let ending = self.ended.unwrap_or(Ending::Dropped);
+        let ending = self.ended.unwrap_or(AttemptResult::Dropped);
         let mut inner = self.placement.lock();
         if let Some(state) = inner.pools.get_mut(&self.pool) {
             state.pool.end(Instant::now(), self.found.attempt, ending);
--- a/crates/entry/src/placement/pool_state.rs
+++ b/crates/entry/src/placement/pool_state.rs
@@ -8,8 +8,8 @@
 use prometheus_client::metrics::gauge::Gauge;
 use rand::rngs::SmallRng;
 use route::{
-    AccountKey, AccountLimits, Admission, AdmissionSettings, Arrival, Demand, Pool, Refusal,
-    Standing, TargetKey, TicketKey, Tuning,
+    AccountKey, AccountLimits, Admission, AdmissionSettings, PlacementRequest, Pool, PoolSettings,
+    Refusal, StartState, TargetKey, TargetStatus, TicketKey,
 };
 use tokio::sync::oneshot;
 
@@ -49,7 +49,7 @@
 }
 
 impl PoolState {
-    pub(super) fn new(tuning: Tuning, settings: AdmissionSettings, now: Instant) -> Self {
+    pub(super) fn new(tuning: PoolSettings, settings: AdmissionSettings, now: Instant) -> Self {
         PoolState {
             pool: Pool::new(tuning),
             admission: Admission::new(settings),
@@ -82,7 +82,11 @@
         distance: impl Fn(&Announced) -> Duration,
     ) {
         let known = now.saturating_duration_since(self.created) < GETTING_TO_KNOW;
-        let arrival = if known { Arrival::Warm } else { Arrival::Fresh };
+        let arrival = if known {
+            StartState::Warm
+        } else {
+            StartState::Fresh
+        };
         for member in members {
             let name = &member.announced.target;
             let key = if let Some(slot) = self.slots.get(name) {
@@ -113,7 +117,7 @@
             {
                 return true;
             }
-            pool.set_standing(slot.key, Standing::Absent);
+            pool.set_standing(slot.key, TargetStatus::Absent);
             let busy = pool.running(slot.key) > 0 && !slot.agent.gone.is_cancelled();
             if !busy {
                 pool.remove(slot.key);
@@ -143,14 +147,14 @@
         self.count_places(now);
         let admission = &mut self.admission;
         match admission.enter(now, account, job.tokens, job.priority, until) {
-            route::Admitted::Now(ticket) => Ok((ticket, false)),
-            route::Admitted::Queued(ticket) => {
+            route::AdmissionDecision::Now(ticket) => Ok((ticket, false)),
+            route::AdmissionDecision::Queued(ticket) => {
                 self.waiters.insert(ticket, turn);
                 // It may have shed another one.
                 self.advance(now);
                 Ok((ticket, true))
             }
-            route::Admitted::Refused(refusal) => Err(refusal),
+            route::AdmissionDecision::Refused(refusal) => Err(refusal),
         }
     }
 
@@ -209,7 +213,7 @@
     ) -> Option<Found> {
         let unfit = self.slots.values().filter(|slot| !fits(slot, job, wanted));
         let avoid: Vec<TargetKey> = unfit.map(|slot| slot.key).collect();
-        let demand = Demand {
+        let demand = PlacementRequest {
             tokens: job.prompt_tokens,
             prefix: job.prefix,
             suspicion: job.suspicion,
--- a/crates/entry/src/work/course.rs
+++ b/crates/entry/src/work/course.rs
@@ -5,7 +5,7 @@
 
 use admin::{Problem, Ran};
 use hyper::StatusCode;
-use route::Ending;
+use route::AttemptResult;
 use tokio::time::sleep;
 use tracing::Span;
 use wire::proto::Refusal;
@@ -82,22 +82,26 @@
                     });
                 }
                 Started::Refused(Refusal::Note) => {
-                    placed.end(Ending::Dropped);
+                    placed.end(AttemptResult::Dropped);
                     self.attempts -= 1;
                     self.refresh().await?;
                     continue;
                 }
                 Started::Refused(refusal) => {
                     let full = refusal == Refusal::Full;
-                    placed.end(if full { Ending::Full } else { Ending::Dropped });
+                    placed.end(if full {
+                        AttemptResult::Full
+                    } else {
+                        AttemptResult::Dropped
+                    });
                     Failure::NotRun
                 }
                 Started::NotRun => {
-                    placed.end(Ending::Failed);
+                    placed.end(AttemptResult::Failed);
                     Failure::NotRun
                 }
                 Started::Lost => {
-                    placed.end(Ending::Failed);
+                    placed.end(AttemptResult::Failed);
                     Failure::Lost
                 }
             };
--- a/crates/entry/src/work/failure.rs
+++ b/crates/entry/src/work/failure.rs
@@ -1,7 +1,7 @@
 //! Why an attempt gave no whole answer.
 
 use admin::Ran;
-use route::Ending;
+use route::AttemptResult;
 use wire::proto::{AnswerEnd, End};
 use wire::{Broken, Piece};
 
@@ -34,10 +34,12 @@
     }
 
     /// How the attempt counts for its target.
-    pub(crate) fn ending(self) -> Ending {
+    pub(crate) fn ending(self) -> AttemptResult {
         match self {
-            Failure::Lost | Failure::Crashed | Failure::Stalled | Failure::NotRun => Ending::Failed,
-            Failure::TooLarge | Failure::Late => Ending::Dropped,
+            Failure::Lost | Failure::Crashed | Failure::Stalled | Failure::NotRun => {
+                AttemptResult::Failed
+            }
+            Failure::TooLarge | Failure::Late => AttemptResult::Dropped,
         }
     }
 
--- a/crates/entry/src/work/once.rs
+++ b/crates/entry/src/work/once.rs
@@ -5,7 +5,7 @@
 use admin::Problem;
 use bytes::Bytes;
 use hyper::StatusCode;
-use route::Ending;
+use route::AttemptResult;
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 use wire::Link;
@@ -160,26 +160,30 @@
             Started::Running(attempt) => {
                 let first = || placed.answered();
                 let step = self.follow(attempt, &id, first).await;
-                placed.end(Ending::Whole);
+                placed.end(AttemptResult::Whole);
                 step
             }
             Started::Refused(Refusal::Note) => {
-                placed.end(Ending::Dropped);
+                placed.end(AttemptResult::Dropped);
                 self.records.release(&id).await?;
                 self.course.refresh().await?;
                 Ok(Step::Again)
             }
             Started::Refused(refusal) => {
                 let full = refusal == Refusal::Full;
-                placed.end(if full { Ending::Full } else { Ending::Dropped });
+                placed.end(if full {
+                    AttemptResult::Full
+                } else {
+                    AttemptResult::Dropped
+                });
                 self.released(&id, &agent.name).await
             }
             Started::NotRun => {
-                placed.end(Ending::Failed);
+                placed.end(AttemptResult::Failed);
                 self.released(&id, &agent.name).await
             }
             Started::Lost => {
-                placed.end(Ending::Failed);
+                placed.end(AttemptResult::Failed);
                 let record = ClaimOutcome {
                     attempt: id,
                     target: agent.name.clone(),
--- a/crates/entry/src/work/pump.rs
+++ b/crates/entry/src/work/pump.rs
@@ -5,7 +5,7 @@
 
 use admin::Problem;
 use bytes::Bytes;
-use route::Ending;
+use route::AttemptResult;
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 use wire::Piece;
@@ -116,7 +116,7 @@
             let target = live.placed.agent().name.clone();
             let failure = match self.pass_on_attempt(&mut live).await {
                 Passed::Whole => {
-                    live.placed.end(Ending::Whole);
+                    live.placed.end(AttemptResult::Whole);
                     return Ok(());
                 }
                 Passed::CallerGone => return Ok(()),
--- a/crates/entry/src/work/whole.rs
+++ b/crates/entry/src/work/whole.rs
@@ -4,7 +4,7 @@
 
 use admin::Problem;
 use bytes::BytesMut;
-use route::Ending;
+use route::AttemptResult;
 use wire::Piece;
 use wire::proto::{AnswerEnd, AnswerHead};
 
@@ -41,11 +41,11 @@
     match collect(&mut live.attempt, head, max, deadline, first).await {
         Ok((answer, used)) if !PASSING.contains(&answer.status) => {
             course.permit.set_used(used);
-            live.placed.end(Ending::Whole);
+            live.placed.end(AttemptResult::Whole);
             Ok(Some(answer))
         }
         Ok((answer, _)) => {
-            live.placed.end(Ending::Full);
+            live.placed.end(AttemptResult::Full);
             // Out of retries, the target's own words say most.
             let again = course.retry(&target, Failure::Lost).await.is_ok();
             Ok((!again).then_some(answer))
--- a/crates/entry/tests/entry/subsets.rs
+++ b/crates/entry/tests/entry/subsets.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use node::{Follower, FollowerSettings};
-use route::{Site, Subset, SubsetSettings};
+use route::{Subset, SubsetSettings, ZonedNode};
 use serde_json::json;
 use wire::proto::frame::Body;
 use wire::proto::{Announcement, AttemptState, NodeInfo, Start};
@@ -29,12 +29,12 @@
 
 /// Names of the desks that an entry links when these are announced.
 fn subset(entry: &str, desks: &[&'static str]) -> BTreeSet<&'static str> {
-    let site = |name| Site {
+    let site = |name| ZonedNode {
         name,
         zone: "celje",
     };
     let entries = ENTRIES.map(site);
-    let targets: Vec<Site<'_>> = desks.iter().map(|name| site(name)).collect();
+    let targets: Vec<ZonedNode<'_>> = desks.iter().map(|name| site(name)).collect();
     let me = ENTRIES.iter().position(|name| *name == entry).unwrap();
     let subset = Subset::of(ONE, me, &entries, &targets);
     let linked = subset.linked().iter();
--- a/crates/route/benches/accounts/main.rs
+++ b/crates/route/benches/accounts/main.rs
@@ -11,7 +11,7 @@
 
 mod world;
 
-use route::{Exchange, Use, WHOLE};
+use route::{FULL_QUOTA, QuotaAllocator, QuotaUsage};
 use std::time::{Duration, Instant};
 use world::{Callers, Sharing, World};
 
@@ -51,17 +51,17 @@
     println!("|---|---|---|---|");
     for (name, stride) in [("few entries each", 7), ("all entries", 0)] {
         let began = Instant::now();
-        let mut exchange = Exchange::new(began, LEASE);
+        let mut exchange = QuotaAllocator::new(began, LEASE);
         let start = Instant::now();
         let mut reports = 0;
         for round in 0..20_u32 {
             let now = began + LEASE + Duration::from_millis(500) * round;
             for entry in 0..411_u32 {
-                let uses: Vec<Use> = (0..SEEN)
-                    .map(|n| Use {
+                let uses: Vec<QuotaUsage> = (0..SEEN)
+                    .map(|n| QuotaUsage {
                         account: (entry * stride + n) % ACCOUNTS,
                         demand: 10 + (entry + round) % 50,
-                        held: WHOLE / 411,
+                        held: FULL_QUOTA / 411,
                     })
                     .collect();
                 let sequence = u64::from(round) + 1;
--- a/crates/route/benches/accounts/world.rs
+++ b/crates/route/benches/accounts/world.rs
@@ -2,7 +2,10 @@
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use route::{AccountLimits, Exchange, Part, Ration, Usage, Use, WHOLE};
+use route::{
+    AccountDemand, AccountLimiter, AccountLimits, FULL_QUOTA, QuotaAllocator, QuotaGrant,
+    QuotaUsage,
+};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
@@ -38,18 +41,18 @@
 }
 
 struct Entry {
-    ration: Ration,
-    usage: Usage,
+    ration: AccountLimiter,
+    usage: AccountDemand,
     granted: Option<(u32, Instant)>,
     sequence: u64,
     next: Instant,
-    answer: Option<(Instant, Vec<Part>, Instant)>,
+    answer: Option<(Instant, Vec<QuotaGrant>, Instant)>,
 }
 
 pub struct World {
     began: Instant,
     entries: Vec<Entry>,
-    exchange: Exchange,
+    exchange: QuotaAllocator,
     sharing: Sharing,
     rng: SmallRng,
 }
@@ -67,8 +70,8 @@
         let began = Instant::now();
         let own = 1.0 / count as f64;
         let entries = (0..count).map(|_| Entry {
-            ration: Ration::new(limits(own), began),
-            usage: Usage::default(),
+            ration: AccountLimiter::new(limits(own), began),
+            usage: AccountDemand::default(),
             granted: None,
             sequence: 0,
             next: began + RENEW.mul_f64(rng.random_range(0.0..1.0)),
@@ -77,7 +80,7 @@
         World {
             began,
             entries: entries.collect(),
-            exchange: Exchange::new(began, LEASE),
+            exchange: QuotaAllocator::new(began, LEASE),
             sharing,
             rng: SmallRng::seed_from_u64(12),
         }
@@ -142,7 +145,7 @@
             }
             entry.granted = entry.granted.filter(|(_, until)| now < *until);
             let part = entry.granted.map_or(0, |(part, _)| part);
-            let limits = limits(f64::max(f64::from(part) / f64::from(WHOLE), own));
+            let limits = limits(f64::max(f64::from(part) / f64::from(FULL_QUOTA), own));
             if *entry.ration.limits() != limits {
                 entry.ration.set_limits(limits, now);
             }
@@ -155,7 +158,7 @@
                 continue;
             }
             entry.sequence += 1;
-            let used = Use {
+            let used = QuotaUsage {
                 account: ACCOUNT,
                 demand,
                 held: part,
--- a/crates/route/benches/policy/choice_cost.rs
+++ b/crates/route/benches/policy/choice_cost.rs
@@ -5,7 +5,8 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use route::{
-    Arrival, Demand, Ending, Pool, Prefix, RankReport, Report, Standing, TargetKey, Tuning,
+    AttemptResult, PlacementRequest, Pool, PoolSettings, Prefix, RankLoadReport, StartState,
+    TargetKey, TargetLoadReport, TargetStatus,
 };
 
 const CHOICES: u32 = 200_000;
@@ -29,22 +30,22 @@
 
 fn pool(count: u32) -> (Pool, Instant) {
     let now = Instant::now();
-    let mut pool = Pool::new(Tuning::default());
+    let mut pool = Pool::new(PoolSettings::default());
     for i in 0..count {
         let key: TargetKey = pool.insert(
             &format!("t{i}"),
             Duration::from_millis(1),
-            Arrival::Fresh,
+            StartState::Fresh,
             now,
         );
-        pool.set_standing(key, Standing::Ready);
-        let rank = RankReport {
+        pool.set_standing(key, TargetStatus::Ready);
+        let rank = RankLoadReport {
             queued_tokens: 37 * (i % 50),
             running: i % 20,
             step: Duration::from_millis(25),
-            ..RankReport::default()
+            ..RankLoadReport::default()
         };
-        let report = Report {
+        let report = TargetLoadReport {
             taken: now,
             limit: 64,
             queued: 0,
@@ -57,9 +58,9 @@
 
 fn choices(pool: &Pool, now: Instant, prefix: Option<Prefix>) -> f64 {
     let mut rng = SmallRng::seed_from_u64(1);
-    let demand = Demand {
+    let demand = PlacementRequest {
         prefix,
-        ..Demand::of_tokens(800)
+        ..PlacementRequest::of_tokens(800)
     };
     let began = Instant::now();
     for _ in 0..CHOICES {
@@ -70,7 +71,7 @@
 
 fn starts(pool: &mut Pool, now: Instant) -> f64 {
     let mut rng = SmallRng::seed_from_u64(1);
-    let demand = Demand::of_tokens(800);
+    let demand = PlacementRequest::of_tokens(800);
     let Some(choice) = pool.choose(now, &demand, &mut rng) else {
         return f64::NAN;
     };
@@ -78,7 +79,7 @@
     for _ in 0..CHOICES {
         let attempt = pool.start(now, &choice, &demand);
         pool.answered(now, attempt);
-        pool.end(now, attempt, Ending::Whole);
+        pool.end(now, attempt, AttemptResult::Whole);
     }
     nanos_each(began)
 }
--- a/crates/route/benches/policy/policy.rs
+++ b/crates/route/benches/policy/policy.rs
@@ -5,8 +5,9 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use route::{
-    AccountKey, AccountLimits, Admission, AdmissionSettings, Arrival, AttemptKey, Choice, Demand,
-    Ending, Pool, Prefix, RankReport, Report, RetryBudget, Standing, TargetKey, Tuning,
+    AccountKey, AccountLimits, Admission, AdmissionSettings, AttemptKey, AttemptResult, Choice,
+    PlacementRequest, Pool, PoolSettings, Prefix, RankLoadReport, RetryBudget, StartState,
+    TargetKey, TargetLoadReport, TargetStatus,
 };
 
 use crate::server::SLOTS;
@@ -72,10 +73,10 @@
 
 impl Entry {
     pub fn new(policy: Policy, servers: usize, number: usize, began: Instant) -> Self {
-        let tuning = Tuning {
+        let tuning = PoolSettings {
             share: 1.0 / f64::from(u32::try_from(ENTRIES).unwrap()),
             slow_start: Duration::from_secs(1),
-            ..Tuning::default()
+            ..PoolSettings::default()
         };
         let mut pool = Pool::new(tuning);
         let mut admission = Admission::new(AdmissionSettings::default());
@@ -83,10 +84,10 @@
             let key = pool.insert(
                 &format!("t{i}"),
                 Duration::from_millis(1),
-                Arrival::Fresh,
+                StartState::Fresh,
                 began,
             );
-            pool.set_standing(key, Standing::Ready);
+            pool.set_standing(key, TargetStatus::Ready);
             key
         });
         let keys = keys.collect();
@@ -113,14 +114,14 @@
 
     pub fn report(&mut self, server: usize, raw: Raw) {
         self.reports[server] = raw;
-        let rank = RankReport {
+        let rank = RankLoadReport {
             rank: 0,
             running: raw.running,
             queued_tokens: raw.queued_tokens,
             kv_used_permille: 0,
             step: Duration::from_secs_f64(raw.step),
         };
-        let report = Report {
+        let report = TargetLoadReport {
             taken: self.instant(raw.at),
             limit: SLOTS,
             queued: raw.queued,
@@ -131,7 +132,8 @@
 
     pub fn gone(&mut self, server: usize) {
         self.known_alive[server] = false;
-        self.pool.set_standing(self.keys[server], Standing::Absent);
+        self.pool
+            .set_standing(self.keys[server], TargetStatus::Absent);
     }
 
     /// Where the request goes; `None` when no target has room.
@@ -189,7 +191,7 @@
         }
     }
 
-    pub fn end(&mut self, now: f64, key: Option<AttemptKey>, ending: Ending) {
+    pub fn end(&mut self, now: f64, key: Option<AttemptKey>, ending: AttemptResult) {
         if let Some(key) = key {
             let now = self.instant(now);
             self.pool.end(now, key, ending);
@@ -203,10 +205,10 @@
     }
 }
 
-fn demand<'a>(request: &Request, avoid: &'a [TargetKey]) -> Demand<'a> {
-    Demand {
+fn demand<'a>(request: &Request, avoid: &'a [TargetKey]) -> PlacementRequest<'a> {
+    PlacementRequest {
         prefix: request.prefix.map(|(hash, tokens)| Prefix { hash, tokens }),
         avoid,
-        ..Demand::of_tokens(request.prompt)
+        ..PlacementRequest::of_tokens(request.prompt)
     }
 }
--- a/crates/route/benches/policy/run.rs
+++ b/crates/route/benches/policy/run.rs
@@ -6,7 +6,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use route::{Admitted, AttemptKey, Ending, TicketKey};
+use route::{AdmissionDecision, AttemptKey, AttemptResult, TicketKey};
 
 use crate::case::Case;
 use crate::figures::Figures;
@@ -149,8 +149,8 @@
             Event::Done(attempt) => self.done(attempt),
             Event::FirstAtEntry(attempt) => self.first_at_entry(attempt),
             Event::DoneAtEntry(attempt) => self.done_at_entry(attempt),
-            Event::Refused(attempt) => self.failed(attempt, Ending::Full),
-            Event::Lost(attempt) => self.failed(attempt, Ending::Failed),
+            Event::Refused(attempt) => self.failed(attempt, AttemptResult::Full),
+            Event::Lost(attempt) => self.failed(attempt, AttemptResult::Failed),
             Event::TakeReport(server) => self.take_report(server),
             Event::Report(server, raw) => {
                 for entry in &mut self.entries {
@@ -192,16 +192,16 @@
         let until = entry.instant(now + QUEUE_WAIT);
         let tokens = request.prompt + request.answer;
         match entry.admission.enter(instant, account, tokens, 1, until) {
-            Admitted::Now(ticket) => {
+            AdmissionDecision::Now(ticket) => {
                 self.states[index].ticket = Some(ticket);
                 self.place(index);
             }
-            Admitted::Queued(ticket) => {
+            AdmissionDecision::Queued(ticket) => {
                 self.states[index].ticket = Some(ticket);
                 self.tickets[request.entry].insert(ticket, index);
                 self.advance(request.entry);
             }
-            Admitted::Refused(_) => self.refuse(index),
+            AdmissionDecision::Refused(_) => self.refuse(index),
         }
     }
 
@@ -335,12 +335,12 @@
     fn done_at_entry(&mut self, id: AttemptId) {
         self.attempts[id].over = true;
         let index = self.attempts[id].request;
-        self.end_attempt(id, Ending::Whole);
+        self.end_attempt(id, AttemptResult::Whole);
         self.states[index].over = true;
         self.release(index);
     }
 
-    fn failed(&mut self, id: AttemptId, ending: Ending) {
+    fn failed(&mut self, id: AttemptId, ending: AttemptResult) {
         if self.attempts[id].over {
             return;
         }
@@ -364,7 +364,7 @@
         }
     }
 
-    fn end_attempt(&mut self, id: AttemptId, ending: Ending) {
+    fn end_attempt(&mut self, id: AttemptId, ending: AttemptResult) {
         let (index, key) = (self.attempts[id].request, self.attempts[id].key);
         let entry = &mut self.entries[self.requests[index].entry];
         entry.end(self.now, key, ending);
@@ -403,7 +403,7 @@
         let mut running = running.filter(|id| self.attempts[*id].request == index);
         if let Some(id) = running.next().filter(|id| !self.attempts[*id].over) {
             self.attempts[id].over = true;
-            self.end_attempt(id, Ending::Dropped);
+            self.end_attempt(id, AttemptResult::Dropped);
             self.cancel(id);
         }
         self.refuse(index);
--- a/crates/route/benches/subset/deployment.rs
+++ b/crates/route/benches/subset/deployment.rs
@@ -1,6 +1,6 @@
 //! Entries and targets of a deployment, and the links between them.
 
-use route::{Site, Subset, SubsetSettings};
+use route::{Subset, SubsetSettings, ZonedNode};
 use std::collections::{BTreeMap, BTreeSet};
 
 const ZONES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
@@ -125,10 +125,10 @@
     }
 }
 
-fn sites(rows: &[Row]) -> Vec<Site<'_>> {
+fn sites(rows: &[Row]) -> Vec<ZonedNode<'_>> {
     let site = |row: &'_ Row| row.1;
     rows.iter()
-        .map(|row| Site {
+        .map(|row| ZonedNode {
             name: &row.0,
             zone: site(row),
         })
--- a/crates/route/src/account.rs
+++ b/crates/route/src/account.rs
@@ -3,11 +3,11 @@
 use std::collections::VecDeque;
 use std::time::Instant;
 
-use crate::{AccountLimits, Ration, TicketKey};
+use crate::{AccountLimiter, AccountLimits, TicketKey};
 
 #[derive(Debug)]
 pub(crate) struct Account {
-    pub(crate) ration: Ration,
+    pub(crate) ration: AccountLimiter,
     pub(crate) running: u32,
     /// Waiting requests, in the order of arrival within each priority.
     pub(crate) waiting: VecDeque<TicketKey>,
@@ -18,7 +18,7 @@
 impl Account {
     pub(crate) fn new(limits: AccountLimits, now: Instant) -> Self {
         Account {
-            ration: Ration::new(limits, now),
+            ration: AccountLimiter::new(limits, now),
             running: 0,
             waiting: VecDeque::new(),
             finish: 0.0,
--- a/crates/route/src/usage.rs
+++ b/crates/route/src/account_demand.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::{AccountLimits, WHOLE};
+use crate::{AccountLimits, FULL_QUOTA};
 
 /// Time over which the use of an account is averaged.
 const WINDOW: Duration = Duration::from_secs(1);
@@ -11,25 +11,25 @@
 
 /// What callers of an account ask for at one entry, refused requests included.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Usage {
+pub struct AccountDemand {
     at: Option<Instant>,
     requests: f64,
     tokens: f64,
     present: f64,
 }
 
-impl Usage {
+impl AccountDemand {
     /// Notes a request that asks to be let in beside those that are `present`.
     ///
     /// ```
-    /// use route::{AccountLimits, Usage, WHOLE};
+    /// use route::{AccountLimits, AccountDemand, FULL_QUOTA};
     /// use std::time::Instant;
     ///
     /// let now = Instant::now();
     /// let limits = AccountLimits { concurrent: 4, ..AccountLimits::default() };
-    /// let mut usage = Usage::default();
+    /// let mut usage = AccountDemand::default();
     /// usage.ask(now, 100, 1);
-    /// assert_eq!(usage.demand(now, &limits), WHOLE / 2);
+    /// assert_eq!(usage.demand(now, &limits), FULL_QUOTA / 2);
     /// ```
     pub fn ask(&mut self, now: Instant, tokens: u32, present: u32) {
         *self = self.aged(now);
@@ -38,15 +38,15 @@
         self.present = self.present.max(f64::from(present) + 1.0);
     }
 
-    /// The part of the limits that is asked for, of [`WHOLE`]; the largest of that of
+    /// The part of the limits that is asked for, of [`FULL_QUOTA`]; the largest of that of
     /// each limit.
     ///
     /// ```
-    /// use route::{AccountLimits, Usage};
+    /// use route::{AccountLimits, AccountDemand};
     /// use std::time::Instant;
     ///
     /// let limits = AccountLimits::default();
-    /// assert_eq!(Usage::default().demand(Instant::now(), &limits), 0);
+    /// assert_eq!(AccountDemand::default().demand(Instant::now(), &limits), 0);
     /// ```
     #[must_use]
     pub fn demand(&self, now: Instant, limits: &AccountLimits) -> u32 {
@@ -62,12 +62,12 @@
         to_parts(part)
     }
 
-    fn aged(&self, now: Instant) -> Usage {
+    fn aged(&self, now: Instant) -> AccountDemand {
         let age = self
             .at
             .map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         let left = (-age.as_secs_f64() / WINDOW.as_secs_f64()).exp();
-        Usage {
+        AccountDemand {
             at: Some(self.at.map_or(now, |at| at.max(now))),
             requests: self.requests * left,
             tokens: self.tokens * left,
@@ -83,6 +83,6 @@
     reason = "the value is clamped to the range of the type before"
 )]
 fn to_parts(part: f64) -> u32 {
-    let whole = f64::from(WHOLE);
+    let whole = f64::from(FULL_QUOTA);
     (part * whole).ceil().clamp(1.0, whole) as u32
 }
--- a/crates/route/src/ration.rs
+++ b/crates/route/src/account_limiter.rs
@@ -2,39 +2,39 @@
 
 use std::time::Instant;
 
-use crate::{AccountLimits, Rate, Reason, Refusal};
+use crate::{AccountLimits, Refusal, RefusalReason, TokenBucket};
 
 /// Rates and concurrency of one client account.
 ///
 /// ```
-/// use route::{AccountLimits, Ration, Reason};
+/// use route::{AccountLimits, AccountLimiter, RefusalReason};
 /// use std::time::Instant;
 ///
 /// let now = Instant::now();
 /// let limits = AccountLimits { concurrent: 1, ..AccountLimits::default() };
-/// let mut ration = Ration::new(limits, now);
+/// let mut ration = AccountLimiter::new(limits, now);
 /// assert!(ration.enter(now, 100).is_ok());
-/// assert_eq!(ration.enter(now, 100).unwrap_err().reason, Reason::Concurrency);
+/// assert_eq!(ration.enter(now, 100).unwrap_err().reason, RefusalReason::Concurrency);
 /// ration.leave(100, 80);
 /// assert!(ration.enter(now, 100).is_ok());
 /// ```
 #[derive(Clone, Debug)]
-pub struct Ration {
+pub struct AccountLimiter {
     limits: AccountLimits,
     present: u32,
-    requests: Rate,
-    tokens: Rate,
+    requests: TokenBucket,
+    tokens: TokenBucket,
 }
 
-impl Ration {
+impl AccountLimiter {
     /// Of which nothing is used yet.
     #[must_use]
     pub fn new(limits: AccountLimits, now: Instant) -> Self {
-        Ration {
+        AccountLimiter {
             limits,
             present: 0,
-            requests: Rate::new(limits.requests_per_s, now),
-            tokens: Rate::new(limits.tokens_per_s, now),
+            requests: TokenBucket::new(limits.requests_per_s, now),
+            tokens: TokenBucket::new(limits.tokens_per_s, now),
         }
     }
 
@@ -64,7 +64,7 @@
     pub fn enter(&mut self, now: Instant, tokens: u32) -> Result<(), Refusal> {
         if self.limits.concurrent > 0 && self.present >= self.limits.concurrent {
             return Err(Refusal {
-                reason: Reason::Concurrency,
+                reason: RefusalReason::Concurrency,
                 retry_after: RETRY_AFTER,
             });
         }
@@ -89,10 +89,10 @@
         };
         self.requests
             .check(now, 1.0)
-            .map_err(refused(Reason::RequestRate))?;
+            .map_err(refused(RefusalReason::RequestRate))?;
         self.tokens
             .check(now, tokens)
-            .map_err(refused(Reason::TokenRate))?;
+            .map_err(refused(RefusalReason::TokenRate))?;
         self.requests.charge(1.0);
         self.tokens.charge(tokens);
         Ok(())
--- a/crates/route/src/admission.rs
+++ b/crates/route/src/admission.rs
@@ -7,8 +7,8 @@
 use crate::account::Account;
 use crate::ticket::{Ticket, TicketState};
 use crate::{
-    AccountKey, AccountLimits, AdmissionSettings, Admitted, Advance, Places, Reason, Refusal,
-    TicketKey,
+    AccountKey, AccountLimits, AdmissionDecision, AdmissionSettings, Capacity, QueueUpdate,
+    Refusal, RefusalReason, TicketKey,
 };
 
 /// Limits and weighted fair shares of the client accounts of one pool.
@@ -23,18 +23,18 @@
 /// places leaves a reserve free.
 ///
 /// ```
-/// use route::{AccountLimits, Admission, AdmissionSettings, Admitted, Places};
+/// use route::{AccountLimits, Admission, AdmissionSettings, AdmissionDecision, Capacity};
 /// use std::time::{Duration, Instant};
 ///
 /// let now = Instant::now();
 /// let mut admission = Admission::new(AdmissionSettings::default());
-/// admission.set_places(Places::fixed(1.0));
+/// admission.set_places(Capacity::fixed(1.0));
 /// let account = admission.insert(AccountLimits::default(), now);
 /// let deadline = now + Duration::from_secs(5);
-/// let Admitted::Now(first) = admission.enter(now, account, 100, 1, deadline) else {
+/// let AdmissionDecision::Now(first) = admission.enter(now, account, 100, 1, deadline) else {
 ///     unreachable!("there is one place");
 /// };
-/// let Admitted::Queued(second) = admission.enter(now, account, 100, 1, deadline) else {
+/// let AdmissionDecision::Queued(second) = admission.enter(now, account, 100, 1, deadline) else {
 ///     unreachable!("the place is taken");
 /// };
 /// admission.release(first, 100);
@@ -45,7 +45,7 @@
     settings: AdmissionSettings,
     accounts: SlotMap<AccountKey, Account>,
     tickets: SlotMap<TicketKey, Ticket>,
-    places: Places,
+    places: Capacity,
     running: u32,
     waiting: usize,
     /// Since when some request waits.
@@ -68,7 +68,7 @@
             settings,
             accounts: SlotMap::with_key(),
             tickets: SlotMap::with_key(),
-            places: Places::default(),
+            places: Capacity::default(),
             running: 0,
             waiting: 0,
             waiting_since: None,
@@ -90,7 +90,7 @@
     }
 
     /// Changes how many requests may run at once.
-    pub fn set_places(&mut self, places: Places) {
+    pub fn set_places(&mut self, places: Capacity) {
         self.places = places;
     }
 
@@ -120,15 +120,15 @@
         tokens: u32,
         priority: u32,
         deadline: Instant,
-    ) -> Admitted {
+    ) -> AdmissionDecision {
         let Some(account) = self.accounts.get_mut(key) else {
-            return Admitted::Refused(self.refusal(Reason::Shed));
+            return AdmissionDecision::Refused(self.refusal(RefusalReason::Shed));
         };
         if !account.may_wait() {
-            return Admitted::Refused(self.refusal(Reason::Concurrency));
+            return AdmissionDecision::Refused(self.refusal(RefusalReason::Concurrency));
         }
         if let Err(refusal) = account.ration.take_rates(now, tokens) {
-            return Admitted::Refused(refusal);
+            return AdmissionDecision::Refused(refusal);
         }
         let ticket = self.tickets.insert(Ticket {
             account: key,
@@ -168,8 +168,8 @@
     }
 
     /// Lets in whoever's turn it is and refuses whose deadline has passed.
-    pub fn advance(&mut self, now: Instant) -> Advance {
-        let mut advance = Advance {
+    pub fn advance(&mut self, now: Instant) -> QueueUpdate {
+        let mut advance = QueueUpdate {
             admitted: Vec::new(),
             refused: std::mem::take(&mut self.shed),
         };
@@ -181,22 +181,22 @@
         advance
     }
 
-    fn place_one(&mut self, ticket: TicketKey) -> Admitted {
+    fn place_one(&mut self, ticket: TicketKey) -> AdmissionDecision {
         if self.waiting == 1 && self.next() == Some(ticket) {
             self.admit(ticket);
-            return Admitted::Now(ticket);
+            return AdmissionDecision::Now(ticket);
         }
         if self.waiting > self.settings.queue
             && let Some(worst) = self.worst()
         {
-            let refusal = self.refusal(Reason::Shed);
+            let refusal = self.refusal(RefusalReason::Shed);
             self.release(worst, 0);
             if worst == ticket {
-                return Admitted::Refused(refusal);
+                return AdmissionDecision::Refused(refusal);
             }
             self.shed.push((worst, refusal));
         }
-        Admitted::Queued(ticket)
+        AdmissionDecision::Queued(ticket)
     }
 
     fn queue(&mut self, ticket: TicketKey, key: AccountKey, priority: u32, now: Instant) {
@@ -285,7 +285,7 @@
             .collect();
         for key in late {
             self.release(key, 0);
-            refused.push((key, self.refusal(Reason::Expired)));
+            refused.push((key, self.refusal(RefusalReason::Expired)));
         }
     }
 
@@ -306,7 +306,7 @@
             && since(ticket.entered) >= self.settings.standing_wait
     }
 
-    fn refusal(&self, reason: Reason) -> Refusal {
+    fn refusal(&self, reason: RefusalReason) -> Refusal {
         Refusal {
             reason,
             retry_after: self.settings.retry_after,
--- a/crates/route/src/admitted.rs
+++ b/crates/route/src/admission_decision.rs
@@ -4,7 +4,7 @@
 
 /// What admission says of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admitted {
+pub enum AdmissionDecision {
     /// It may run now; [`Admission::release`](crate::Admission::release) ends it.
     Now(TicketKey),
     /// It waits for its turn, which a later
@@ -16,7 +16,7 @@
 
 /// News for requests that were queued.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Advance {
+pub struct QueueUpdate {
     /// May run now.
     pub admitted: Vec<TicketKey>,
     /// Refused: shed for others, or waited past the deadline.
--- a/crates/route/src/place.rs
+++ b/crates/route/src/attempt.rs
@@ -6,7 +6,7 @@
 
 /// Where and since when an attempt runs.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Place {
+pub(crate) struct Attempt {
     pub(crate) key: AttemptKey,
     pub(crate) target: TargetKey,
     pub(crate) incarnation: Instant,
--- a/crates/route/src/ending.rs
+++ b/crates/route/src/attempt_result.rs
@@ -2,7 +2,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptResult {
     /// The answer is whole.
     Whole,
     /// The target said that it has no room.
--- a/crates/route/src/places.rs
+++ b/crates/route/src/capacity.rs
@@ -3,11 +3,11 @@
 /// Places for requests on the targets of a pool.
 ///
 /// ```
-/// let places = route::Places::fixed(8.0);
+/// let places = route::Capacity::fixed(8.0);
 /// assert_eq!(places.open, places.all);
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Places {
+pub struct Capacity {
     /// Requests that this entry may run at once just now: those that run,
     /// and as many more as there is room for.
     pub open: f64,
@@ -20,11 +20,11 @@
     pub spare: f64,
 }
 
-impl Places {
+impl Capacity {
     /// So many places for one entry alone.
     #[must_use]
     pub const fn fixed(count: f64) -> Self {
-        Places {
+        Capacity {
             open: count,
             part: count,
             all: count,
--- a/crates/route/src/limit.rs
+++ b/crates/route/src/concurrency_limit.rs
@@ -5,16 +5,16 @@
 /// don't or the target says that it is full (as in TCP, RFC 5681).
 ///
 /// ```
-/// use route::Limit;
+/// use route::ConcurrencyLimit;
 ///
-/// let mut limit = Limit::new(10);
+/// let mut limit = ConcurrencyLimit::new(10);
 /// limit.full();
 /// assert!(limit.current() < 10.0);
 /// limit.on_time(9.0);
 /// assert!(limit.current() > 9.0);
 /// ```
 #[derive(Clone, Debug, PartialEq)]
-pub struct Limit {
+pub struct ConcurrencyLimit {
     current: f64,
     ceiling: f64,
 }
@@ -23,12 +23,12 @@
 const FLOOR: f64 = 1.0;
 const DECREASE: f64 = 0.9;
 
-impl Limit {
+impl ConcurrencyLimit {
     /// Starts at `limit` requests at once.
     #[must_use]
     pub fn new(limit: u32) -> Self {
         let limit = f64::from(limit).max(FLOOR);
-        Limit {
+        ConcurrencyLimit {
             current: limit,
             ceiling: limit,
         }
--- a/crates/route/src/ejection.rs
+++ b/crates/route/src/ejection.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::Tuning;
+use crate::PoolSettings;
 
 /// Failures in a row, and until when the target is left out.
 #[derive(Clone, Debug, Default)]
@@ -23,18 +23,18 @@
     }
 
     /// Counts a failure and says whether the target is due to be ejected.
-    pub(crate) fn failed(&mut self, tuning: &Tuning) -> bool {
+    pub(crate) fn failed(&mut self, tuning: &PoolSettings) -> bool {
         self.failures += 1;
         self.failures >= tuning.failures
     }
 
-    pub(crate) fn eject(&mut self, now: Instant, tuning: &Tuning) {
+    pub(crate) fn eject(&mut self, now: Instant, tuning: &PoolSettings) {
         self.until = Some(now + self.period(tuning));
         self.times = self.times.saturating_add(1);
         self.failures = 0;
     }
 
-    fn period(&self, tuning: &Tuning) -> Duration {
+    fn period(&self, tuning: &PoolSettings) -> Duration {
         let doubled = tuning.ejection.checked_mul(1 << self.times.min(16));
         doubled.map_or(tuning.ejection_max, |time| time.min(tuning.ejection_max))
     }
--- a/crates/route/src/time_used.rs
+++ b/crates/route/src/elapsed_wait.rs
@@ -12,27 +12,27 @@
 /// longest patience of all.
 ///
 /// ```
-/// use route::TimeUsed;
+/// use route::ElapsedWait;
 /// use std::time::{Duration, Instant};
 ///
 /// let now = Instant::now();
-/// let mut used = TimeUsed::new(now);
+/// let mut used = ElapsedWait::new(now);
 /// assert_eq!(used.observe(Duration::from_secs(8), now), Duration::ZERO);
 /// assert_eq!(used.observe(Duration::from_secs(5), now), Duration::from_secs(3));
 /// ```
 #[derive(Clone, Debug)]
-pub struct TimeUsed {
+pub struct ElapsedWait {
     since: Instant,
     longest: Duration,
     /// The longest of the time before.
     before: Duration,
 }
 
-impl TimeUsed {
+impl ElapsedWait {
     /// Nothing is known yet.
     #[must_use]
-    pub fn new(now: Instant) -> TimeUsed {
-        TimeUsed {
+    pub fn new(now: Instant) -> ElapsedWait {
+        ElapsedWait {
             since: now,
             longest: Duration::ZERO,
             before: Duration::ZERO,
--- a/crates/route/src/report.rs
+++ b/crates/route/src/load_report.rs
@@ -4,7 +4,7 @@
 
 /// Load of one target, as it was when the target took the figures.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Report {
+pub struct TargetLoadReport {
     /// When the figures were taken, on the entry's clock.
     pub taken: Instant,
     /// Requests that may run at once; 0 when the target doesn't say.
@@ -12,12 +12,12 @@
     /// Requests that wait for a place at the target.
     pub queued: u32,
     /// One row a rank. A plain service has one rank, number 0.
-    pub ranks: Vec<RankReport>,
+    pub ranks: Vec<RankLoadReport>,
 }
 
 /// Load of one rank.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RankReport {
+pub struct RankLoadReport {
     /// The rank's number.
     pub rank: u32,
     /// Requests that run on it.
--- a/crates/route/src/demand.rs
+++ b/crates/route/src/placement_request.rs
@@ -4,7 +4,7 @@
 
 /// A request to be placed.
 #[derive(Clone, Copy, Debug)]
-pub struct Demand<'a> {
+pub struct PlacementRequest<'a> {
     /// Prompt tokens; 1 for a call of a plain service.
     pub tokens: u32,
     /// Hash of the prompt's leading part, for prefix affinity.
@@ -34,13 +34,13 @@
     Suspect,
 }
 
-impl Demand<'_> {
+impl PlacementRequest<'_> {
     /// The same demand at the target that its prefix belongs to. Part of the
     /// prefill there is an investment: those that follow find the prefix in
     /// the cache, while spread over all targets it would be in none.
     pub(crate) fn with_prefix_to_come(&self) -> Self {
         let part = self.prefix.map_or(0, |prefix| prefix.tokens / 2);
-        Demand {
+        PlacementRequest {
             tokens: self.tokens.saturating_sub(part).max(1),
             ..*self
         }
@@ -49,12 +49,12 @@
     /// A request with nothing special about it.
     ///
     /// ```
-    /// let demand = route::Demand::of_tokens(300);
+    /// let demand = route::PlacementRequest::of_tokens(300);
     /// assert!(demand.avoid.is_empty());
     /// ```
     #[must_use]
-    pub const fn of_tokens(tokens: u32) -> Demand<'static> {
-        Demand {
+    pub const fn of_tokens(tokens: u32) -> PlacementRequest<'static> {
+        PlacementRequest {
             tokens,
             prefix: None,
             suspicion: Suspicion::Clear,
--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -6,40 +6,40 @@
 use slotmap::SlotMap;
 
 use crate::affinity::Affinity;
-use crate::place::Place;
+use crate::attempt::Attempt;
 use crate::target::{Estimate, Target};
 use crate::{
-    Arrival, AttemptKey, Choice, Demand, Ending, Places, Report, Standing, Suspicion, TargetKey,
-    Tuning,
+    AttemptKey, AttemptResult, Capacity, Choice, PlacementRequest, PoolSettings, StartState,
+    Suspicion, TargetKey, TargetLoadReport, TargetStatus,
 };
 
 /// The targets that one kind of request may be sent to.
 ///
 /// ```
 /// use rand::{SeedableRng, rngs::SmallRng};
-/// use route::{Arrival, Demand, Pool, Standing, Tuning};
+/// use route::{StartState, PlacementRequest, Pool, TargetStatus, PoolSettings};
 /// use std::time::{Duration, Instant};
 ///
 /// let now = Instant::now();
-/// let mut pool = Pool::new(Tuning::default());
-/// let key = pool.insert("advisor-01", Duration::from_millis(1), Arrival::Warm, now);
-/// pool.set_standing(key, Standing::Ready);
+/// let mut pool = Pool::new(PoolSettings::default());
+/// let key = pool.insert("advisor-01", Duration::from_millis(1), StartState::Warm, now);
+/// pool.set_standing(key, TargetStatus::Ready);
 ///
 /// let mut rng = SmallRng::seed_from_u64(1);
-/// let demand = Demand::of_tokens(300);
+/// let demand = PlacementRequest::of_tokens(300);
 /// let choice = pool.choose(now, &demand, &mut rng).expect("a target is ready");
 /// let attempt = pool.start(now, &choice, &demand);
 /// pool.answered(now + Duration::from_millis(50), attempt);
-/// pool.end(now + Duration::from_secs(1), attempt, route::Ending::Whole);
+/// pool.end(now + Duration::from_secs(1), attempt, route::AttemptResult::Whole);
 /// assert_eq!(pool.running(key), 0);
 /// ```
 #[derive(Debug)]
 pub struct Pool {
-    tuning: Tuning,
+    tuning: PoolSettings,
     targets: SlotMap<TargetKey, Target>,
     ready: Vec<TargetKey>,
     affinity: Affinity,
-    attempts: SlotMap<AttemptKey, Place>,
+    attempts: SlotMap<AttemptKey, Attempt>,
 }
 
 /// Fewest targets that must stay when others are ejected.
@@ -50,7 +50,7 @@
 impl Pool {
     /// A pool without targets.
     #[must_use]
-    pub fn new(tuning: Tuning) -> Self {
+    pub fn new(tuning: PoolSettings) -> Self {
         Pool {
             tuning,
             targets: SlotMap::with_key(),
@@ -66,11 +66,11 @@
         &mut self,
         name: &str,
         distance: Duration,
-        arrival: Arrival,
+        arrival: StartState,
         now: Instant,
     ) -> TargetKey {
         let mut target = Target::new(name, distance, now, &self.tuning);
-        if arrival == Arrival::Warm {
+        if arrival == StartState::Warm {
             target.set_warm();
         }
         self.targets.insert(target)
@@ -91,7 +91,7 @@
     }
 
     /// Changes whether the target may be given new work.
-    pub fn set_standing(&mut self, key: TargetKey, standing: Standing) {
+    pub fn set_standing(&mut self, key: TargetKey, standing: TargetStatus) {
         let Some(target) = self.targets.get_mut(key) else {
             return;
         };
@@ -120,7 +120,7 @@
     }
 
     /// Takes a load report. One older than the last is dropped.
-    pub fn report(&mut self, key: TargetKey, report: &Report) {
+    pub fn report(&mut self, key: TargetKey, report: &TargetLoadReport) {
         if let Some(target) = self.targets.get_mut(key) {
             target.report(report);
         }
@@ -153,10 +153,10 @@
 
     /// Places for requests on all ready targets. This looks at each of them.
     #[must_use]
-    pub fn places(&self, now: Instant) -> Places {
+    pub fn places(&self, now: Instant) -> Capacity {
         let ready = self.ready.iter().filter_map(|key| self.targets.get(*key));
         let ready = ready.filter(|target| !target.ejection.is_active(now));
-        let mut places = Places::default();
+        let mut places = Capacity::default();
         for target in ready {
             let limit = target.limit.current() * target.warmth(now, &self.tuning);
             places.all += limit;
@@ -171,7 +171,12 @@
     /// among a few sampled targets and the one that the prefix belongs to.
     ///
     /// `None` when no ready target has room.
-    pub fn choose(&self, now: Instant, demand: &Demand<'_>, rng: &mut impl Rng) -> Option<Choice> {
+    pub fn choose(
+        &self,
+        now: Instant,
+        demand: &PlacementRequest<'_>,
+        rng: &mut impl Rng,
+    ) -> Option<Choice> {
         let best = self.best_of_sample(now, demand, rng);
         let best = best.or_else(|| self.best_of(now, demand, self.ready.iter().copied()));
         best.map(|(target, estimate)| Choice {
@@ -182,12 +187,17 @@
     }
 
     /// Registers an attempt at the chosen place.
-    pub fn start(&mut self, now: Instant, choice: &Choice, demand: &Demand<'_>) -> AttemptKey {
+    pub fn start(
+        &mut self,
+        now: Instant,
+        choice: &Choice,
+        demand: &PlacementRequest<'_>,
+    ) -> AttemptKey {
         let Some(target) = self.targets.get_mut(choice.target) else {
             return AttemptKey::default();
         };
         let incarnation = target.arrived();
-        let key = self.attempts.insert_with_key(|key| Place {
+        let key = self.attempts.insert_with_key(|key| Attempt {
             key,
             target: choice.target,
             incarnation,
@@ -217,7 +227,7 @@
     }
 
     /// The attempt has ended.
-    pub fn end(&mut self, now: Instant, attempt: AttemptKey, ending: Ending) {
+    pub fn end(&mut self, now: Instant, attempt: AttemptKey, ending: AttemptResult) {
         let Some(place) = self.attempts.remove(attempt) else {
             return;
         };
@@ -229,13 +239,13 @@
         }
         target.ended(now, &place);
         match ending {
-            Ending::Whole => {
+            AttemptResult::Whole => {
                 target.ejection.succeeded();
                 target.held(now.saturating_duration_since(place.started));
             }
-            Ending::Full => target.limit.full(),
-            Ending::Failed => self.failed(now, place.target),
-            Ending::Dropped => {}
+            AttemptResult::Full => target.limit.full(),
+            AttemptResult::Failed => self.failed(now, place.target),
+            AttemptResult::Dropped => {}
         }
     }
 
@@ -265,7 +275,7 @@
     fn best_of_sample(
         &self,
         now: Instant,
-        demand: &Demand<'_>,
+        demand: &PlacementRequest<'_>,
         rng: &mut impl Rng,
     ) -> Option<(TargetKey, Estimate)> {
         let count = self.ready.len();
@@ -285,7 +295,7 @@
 
     /// The target that the prefix belongs to, unless it is fuller than its
     /// neighbours by more than the bound (Mirrokni and others, 2018).
-    fn preferred(&self, now: Instant, demand: &Demand<'_>) -> Option<TargetKey> {
+    fn preferred(&self, now: Instant, demand: &PlacementRequest<'_>) -> Option<TargetKey> {
         let key = self.affinity.target(demand.prefix?.hash)?;
         let target = self.targets.get(key)?;
         let neighbours = self.ready.iter().take(self.tuning.samples);
@@ -299,7 +309,7 @@
     fn best_of(
         &self,
         now: Instant,
-        demand: &Demand<'_>,
+        demand: &PlacementRequest<'_>,
         keys: impl Iterator<Item = TargetKey>,
     ) -> Option<(TargetKey, Estimate)> {
         keys.filter_map(|key| {
@@ -310,9 +320,15 @@
         .min_by(|a, b| a.1.seconds.total_cmp(&b.1.seconds))
     }
 
-    fn is_fit(&self, now: Instant, key: TargetKey, target: &Target, demand: &Demand<'_>) -> bool {
+    fn is_fit(
+        &self,
+        now: Instant,
+        key: TargetKey,
+        target: &Target,
+        demand: &PlacementRequest<'_>,
+    ) -> bool {
         let alone = demand.suspicion == Suspicion::Clear || target.own_suspects == 0;
-        target.standing == Standing::Ready
+        target.standing == TargetStatus::Ready
             && !target.ejection.is_active(now)
             && alone
             && !demand.avoid.contains(&key)
@@ -323,7 +339,7 @@
         let ready = self
             .targets
             .iter()
-            .filter(|(_, t)| t.standing == Standing::Ready);
+            .filter(|(_, t)| t.standing == TargetStatus::Ready);
         let named: Vec<(TargetKey, u64)> = ready.map(|(key, t)| (key, t.name_hash)).collect();
         self.ready = named.iter().map(|(key, _)| *key).collect();
         self.affinity = Affinity::new(&named);
--- a/crates/route/src/tuning.rs
+++ b/crates/route/src/pool_settings.rs
@@ -4,7 +4,7 @@
 
 /// Settings of a [`Pool`](crate::Pool).
 #[derive(Clone, Debug, PartialEq)]
-pub struct Tuning {
+pub struct PoolSettings {
     /// Targets compared for each choice.
     pub samples: usize,
     /// This entry's part of all that a target runs, in (0, 1], until it is set.
@@ -32,9 +32,9 @@
     pub limit: u32,
 }
 
-impl Default for Tuning {
+impl Default for PoolSettings {
     fn default() -> Self {
-        Tuning {
+        PoolSettings {
             samples: 16,
             share: 1.0,
             slow_start: Duration::from_secs(10),
--- a/crates/route/src/exchange.rs
+++ b/crates/route/src/quota_allocator.rs
@@ -6,7 +6,7 @@
 use member::hash_name;
 
 /// The whole of an account's limits.
-pub const WHOLE: u32 = 10_000;
+pub const FULL_QUOTA: u32 = 10_000;
 /// Accounts that are kept track of; more are left to the entries' own parts.
 const MOST_ACCOUNTS: usize = 20_000;
 
@@ -14,20 +14,20 @@
 /// share one are granted the same part, which is then less than each might have.
 ///
 /// ```
-/// assert_ne!(route::account_number("huber"), route::account_number("maier"));
+/// assert_ne!(route::account_hash("huber"), route::account_hash("maier"));
 /// ```
 #[must_use]
-pub fn account_number(name: &str) -> u32 {
+pub fn account_hash(name: &str) -> u32 {
     let bytes = hash_name(name).to_le_bytes();
     u32::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3]])
 }
 
 /// What an entry tells of its use of an account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Use {
+pub struct QuotaUsage {
     /// Hash of the account's name.
     pub account: u32,
-    /// What its callers ask for there, of [`WHOLE`].
+    /// What its callers ask for there, of [`FULL_QUOTA`].
     pub demand: u32,
     /// What the entry gives out at most, by the last grant that it acts on.
     pub held: u32,
@@ -35,10 +35,10 @@
 
 /// The part of an account's limits that an entry may give out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct QuotaGrant {
     /// Hash of the account's name.
     pub account: u32,
-    /// Of [`WHOLE`].
+    /// Of [`FULL_QUOTA`].
     pub part: u32,
 }
 
@@ -48,7 +48,7 @@
 /// another before the first has said that it acts on less, or its lease is over: so
 /// the parts that are acted on never exceed the whole, whatever message is lost.
 #[derive(Debug)]
-pub struct Exchange {
+pub struct QuotaAllocator {
     began: Instant,
     lease: Duration,
     accounts: BTreeMap<u32, Account>,
@@ -91,22 +91,22 @@
 /// The level is worked out once in this part of a lease.
 const LEVEL_PART: u32 = 30;
 
-impl Exchange {
+impl QuotaAllocator {
     /// Begins at the moment when this leader was elected.
     ///
     /// ```
-    /// use route::{Exchange, Use, WHOLE};
+    /// use route::{QuotaAllocator, QuotaUsage, FULL_QUOTA};
     /// use std::time::{Duration, Instant};
     ///
     /// let (began, lease) = (Instant::now(), Duration::from_secs(3));
-    /// let mut exchange = Exchange::new(began, lease);
-    /// let used = Use { account: 7, demand: 100, held: 0 };
+    /// let mut exchange = QuotaAllocator::new(began, lease);
+    /// let used = QuotaUsage { account: 7, demand: 100, held: 0 };
     /// let parts = exchange.report(1, 1, &[used], began + lease);
-    /// assert_eq!(parts[0].part, WHOLE);
+    /// assert_eq!(parts[0].part, FULL_QUOTA);
     /// ```
     #[must_use]
     pub fn new(began: Instant, lease: Duration) -> Self {
-        Exchange {
+        QuotaAllocator {
             began,
             lease,
             accounts: BTreeMap::new(),
@@ -122,15 +122,21 @@
     /// grants each entry just what it holds.
     ///
     /// ```
-    /// use route::{Exchange, Use, WHOLE};
+    /// use route::{QuotaAllocator, QuotaUsage, FULL_QUOTA};
     /// use std::time::{Duration, Instant};
     ///
     /// let (began, lease) = (Instant::now(), Duration::from_secs(3));
-    /// let mut exchange = Exchange::new(began, lease);
-    /// let held = Use { account: 7, demand: 100, held: 400 };
+    /// let mut exchange = QuotaAllocator::new(began, lease);
+    /// let held = QuotaUsage { account: 7, demand: 100, held: 400 };
     /// assert_eq!(exchange.report(1, 1, &[held], began)[0].part, 400);
     /// ```
-    pub fn report(&mut self, entry: u64, sequence: u64, uses: &[Use], now: Instant) -> Vec<Part> {
+    pub fn report(
+        &mut self,
+        entry: u64,
+        sequence: u64,
+        uses: &[QuotaUsage],
+        now: Instant,
+    ) -> Vec<QuotaGrant> {
         let last = self.reports.get(&entry);
         if last.is_some_and(|(last, _)| sequence <= *last) {
             return Vec::new();
@@ -146,7 +152,7 @@
     /// use std::time::{Duration, Instant};
     ///
     /// let now = Instant::now();
-    /// let mut exchange = route::Exchange::new(now, Duration::from_secs(3));
+    /// let mut exchange = route::QuotaAllocator::new(now, Duration::from_secs(3));
     /// exchange.expire(now);
     /// assert_eq!(exchange.accounts(), 0);
     /// ```
@@ -168,7 +174,7 @@
     /// ```
     /// use std::time::{Duration, Instant};
     ///
-    /// let exchange = route::Exchange::new(Instant::now(), Duration::from_secs(3));
+    /// let exchange = route::QuotaAllocator::new(Instant::now(), Duration::from_secs(3));
     /// assert_eq!(exchange.accounts(), 0);
     /// ```
     #[must_use]
@@ -176,7 +182,7 @@
         self.accounts.len()
     }
 
-    fn grant(&mut self, entry: u64, used: &Use, now: Instant) -> Option<Part> {
+    fn grant(&mut self, entry: u64, used: &QuotaUsage, now: Instant) -> Option<QuotaGrant> {
         let known = self.accounts.contains_key(&used.account);
         if !known && self.accounts.len() >= MOST_ACCOUNTS {
             return None;
@@ -184,7 +190,7 @@
         let settled = now >= self.began + self.lease;
         let account = self.accounts.entry(used.account).or_default();
         let asked = account.ask(entry, used.demand, now, self.lease);
-        let free = WHOLE.saturating_sub(account.taken - asked.outstanding);
+        let free = FULL_QUOTA.saturating_sub(account.taken - asked.outstanding);
         let part = if settled {
             account.level.part(used.demand).min(free)
         } else {
@@ -198,7 +204,7 @@
                 ..asked
             },
         );
-        Some(Part {
+        Some(QuotaGrant {
             account: used.account,
             part,
         })
@@ -256,7 +262,7 @@
         let mut asked: Vec<u32> = demands.filter(|demand| *demand > 0).collect();
         asked.sort_unstable();
         let total = asked.iter().copied().map(u64::from).sum();
-        let mut left = WHOLE;
+        let mut left = FULL_QUOTA;
         let mut count = u32::try_from(asked.len()).unwrap_or(u32::MAX);
         for demand in asked {
             if demand > left / count {
@@ -270,7 +276,7 @@
             count -= 1;
         }
         Level {
-            most: WHOLE,
+            most: FULL_QUOTA,
             spare: left,
             total,
         }
--- a/crates/route/src/rank.rs
+++ b/crates/route/src/rank.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Instant;
 
-use crate::RankReport;
+use crate::RankLoadReport;
 
 /// Own starts and ends that are kept while no report covers them.
 const MAX_CHANGES: usize = 4096;
@@ -15,7 +15,7 @@
 /// the traffic to stand for what the other entries did meanwhile.
 #[derive(Debug, Default)]
 pub(crate) struct Rank {
-    pub(crate) report: RankReport,
+    pub(crate) report: RankLoadReport,
     /// Own attempts on the rank, known exactly.
     pub(crate) own_running: u32,
     /// Prompt tokens of own attempts without a first token yet.
@@ -34,9 +34,9 @@
 
 impl Rank {
     pub(crate) fn new(number: u32) -> Self {
-        let report = RankReport {
+        let report = RankLoadReport {
             rank: number,
-            ..RankReport::default()
+            ..RankLoadReport::default()
         };
         Rank {
             report,
@@ -45,7 +45,7 @@
     }
 
     /// Takes a report and forgets the changes that it already covers.
-    pub(crate) fn reported(&mut self, report: RankReport, taken: Instant) {
+    pub(crate) fn reported(&mut self, report: RankLoadReport, taken: Instant) {
         self.report = report;
         while self.changes.front().is_some_and(|c| c.at <= taken) {
             self.drop_oldest();
--- a/crates/route/src/refusal.rs
+++ b/crates/route/src/refusal.rs
@@ -6,14 +6,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// Why.
-    pub reason: Reason,
+    pub reason: RefusalReason,
     /// When to come back.
     pub retry_after: Duration,
 }
 
 /// Why a request is not let in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reason {
+pub enum RefusalReason {
     /// The account's rate in requests is used up.
     RequestRate,
     /// The account's rate in tokens is used up.
@@ -26,20 +26,20 @@
     Expired,
 }
 
-impl Reason {
+impl RefusalReason {
     /// A short name for metrics.
     ///
     /// ```
-    /// assert_eq!(route::Reason::TokenRate.name(), "token_rate");
+    /// assert_eq!(route::RefusalReason::TokenRate.name(), "token_rate");
     /// ```
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
-            Reason::RequestRate => "request_rate",
-            Reason::TokenRate => "token_rate",
-            Reason::Concurrency => "concurrency",
-            Reason::Shed => "shed",
-            Reason::Expired => "expired",
+            RefusalReason::RequestRate => "request_rate",
+            RefusalReason::TokenRate => "token_rate",
+            RefusalReason::Concurrency => "concurrency",
+            RefusalReason::Shed => "shed",
+            RefusalReason::Expired => "expired",
         }
     }
 }
--- a/crates/route/src/return_schedule.rs
+++ b/crates/route/src/retry_after_schedule.rs
@@ -15,12 +15,12 @@
 /// time.
 ///
 /// ```
-/// use route::ReturnSchedule;
+/// use route::RetryAfterSchedule;
 /// use std::time::{Duration, Instant};
 ///
 /// let now = Instant::now();
 /// let (least, most) = (Duration::from_secs(1), Duration::from_secs(3));
-/// let mut schedule = ReturnSchedule::new(least);
+/// let mut schedule = RetryAfterSchedule::new(least);
 /// for _ in 0..8 {
 ///     schedule.ended(now);
 /// }
@@ -30,7 +30,7 @@
 /// assert_eq!(told[7], Duration::from_secs(2));
 /// ```
 #[derive(Clone, Debug)]
-pub struct ReturnSchedule {
+pub struct RetryAfterSchedule {
     least: Duration,
     /// When requests have ended.
     ended: VecDeque<Instant>,
@@ -38,11 +38,11 @@
     told: VecDeque<Instant>,
 }
 
-impl ReturnSchedule {
+impl RetryAfterSchedule {
     /// Callers come back after `least` at the earliest.
     #[must_use]
-    pub fn new(least: Duration) -> ReturnSchedule {
-        ReturnSchedule {
+    pub fn new(least: Duration) -> RetryAfterSchedule {
+        RetryAfterSchedule {
             least,
             ended: VecDeque::new(),
             told: VecDeque::new(),
--- a/crates/route/src/absence.rs
+++ b/crates/route/src/startup_grace.rs
@@ -12,18 +12,18 @@
 /// start, and callers are told at once when to come back.
 ///
 /// ```
-/// use route::Absence;
+/// use route::StartupGrace;
 /// use std::time::{Duration, Instant};
 ///
 /// let began = Instant::now();
 /// let deadline = began + Duration::from_secs(8);
-/// let until = Absence::default().waits_until(began, deadline, began);
+/// let until = StartupGrace::default().waits_until(began, deadline, began);
 /// assert!(until.is_some_and(|until| until < deadline));
 /// let later = began + Duration::from_secs(5);
-/// assert_eq!(Absence::default().waits_until(began, deadline, later), None);
+/// assert_eq!(StartupGrace::default().waits_until(began, deadline, later), None);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Absence {
+pub struct StartupGrace {
     /// Longest absence during which requests wait. Targets tell of themselves
     /// every 1.2 s or so, and replicas of control are up half a second after
     /// entries.
@@ -33,16 +33,16 @@
     pub share: f64,
 }
 
-impl Default for Absence {
+impl Default for StartupGrace {
     fn default() -> Self {
-        Absence {
+        StartupGrace {
             most: Duration::from_millis(1_300),
             share: 1.0 / 3.0,
         }
     }
 }
 
-impl Absence {
+impl StartupGrace {
     /// When a request that comes `now` stops waiting; none if it is refused at
     /// once. The absence began at `since`.
     #[must_use]
--- a/crates/route/src/pace.rs
+++ b/crates/route/src/step_time_model.rs
@@ -10,17 +10,17 @@
 /// and so does the number of requests with which streams stay on time.
 ///
 /// ```
-/// use route::Pace;
+/// use route::StepTimeModel;
 /// use std::time::Duration;
 ///
-/// let pace = Pace::new(Duration::from_micros(5_850), Duration::from_micros(355));
+/// let pace = StepTimeModel::new(Duration::from_micros(5_850), Duration::from_micros(355));
 /// let most = Duration::from_millis(120);
 /// // Twelve requests make pauses of 130 ms: fewer would be on time.
 /// let fits = pace.fits(12.0, Duration::from_millis(130), most);
 /// assert!((6.0..9.0).contains(&fits));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct StepTimeModel {
     step: f64,
     for_each: f64,
 }
@@ -29,11 +29,11 @@
 /// prompts that are read in between.
 const AIM: f64 = 0.9;
 
-impl Pace {
+impl StepTimeModel {
     /// An engine whose steps take `step`, and `for_each` request more.
     #[must_use]
-    pub fn new(step: Duration, for_each: Duration) -> Pace {
-        Pace {
+    pub fn new(step: Duration, for_each: Duration) -> StepTimeModel {
+        StepTimeModel {
             step: step.as_secs_f64(),
             for_each: for_each.as_secs_f64().max(f64::MIN_POSITIVE),
         }
@@ -44,10 +44,10 @@
     /// one takes it longer.
     ///
     /// ```
-    /// use route::Pace;
+    /// use route::StepTimeModel;
     /// use std::time::Duration;
     ///
-    /// let pace = Pace::new(Duration::from_millis(6), Duration::from_millis(1));
+    /// let pace = StepTimeModel::new(Duration::from_millis(6), Duration::from_millis(1));
     /// assert!((pace.keeps_up(12.0, 1.0) - 12.0).abs() < 1e-9);
     /// assert!((pace.keeps_up(12.0, 1.5) - 6.0).abs() < 1e-9);
     /// assert!(pace.keeps_up(12.0, 4.0) < 1e-9);
--- a/crates/route/src/subset.rs
+++ b/crates/route/src/subset.rs
@@ -26,7 +26,7 @@
 
 /// An entry or a target, and the availability zone that it stands in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Site<'a> {
+pub struct ZonedNode<'a> {
     /// Its name.
     pub name: &'a str,
     /// Its availability zone.
@@ -35,7 +35,7 @@
 
 /// A target of an entry's subset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Linked {
+pub struct LinkedTarget {
     /// Position among the targets.
     pub target: usize,
     /// Entries that link it, this one included.
@@ -44,7 +44,7 @@
 
 /// Whether a target can be given work, as far as an entry knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum Reachability {
     /// It can.
     Up,
     /// It was not tried, or not for long enough.
@@ -68,17 +68,17 @@
 /// gives work to the others.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Subset {
-    linked: Vec<Linked>,
-    reserve: Vec<Linked>,
+    linked: Vec<LinkedTarget>,
+    reserve: Vec<LinkedTarget>,
 }
 
 impl Subset {
     /// The subset of the entry at position `me` of `entries`.
     ///
     /// ```
-    /// use route::{Site, Subset, SubsetSettings};
+    /// use route::{ZonedNode, Subset, SubsetSettings};
     ///
-    /// let site = |name| Site { name, zone: "celje" };
+    /// let site = |name| ZonedNode { name, zone: "celje" };
     /// let entries = ["entry-1", "entry-2"].map(site);
     /// let targets = ["advisor-01", "advisor-02", "advisor-03"].map(site);
     /// let all = Subset::of(SubsetSettings::default(), 0, &entries, &targets);
@@ -86,7 +86,12 @@
     /// assert!(all.linked().iter().all(|linked| linked.entries == 2));
     /// ```
     #[must_use]
-    pub fn of(cfg: SubsetSettings, me: usize, entries: &[Site], targets: &[Site]) -> Subset {
+    pub fn of(
+        cfg: SubsetSettings,
+        me: usize,
+        entries: &[ZonedNode],
+        targets: &[ZonedNode],
+    ) -> Subset {
         let graph = Graph::new(entries, targets);
         let mut links = Links::new(entries.len(), targets.len());
         for entry in 0..entries.len() {
@@ -103,10 +108,10 @@
         for target in graph.by_weight(me) {
             if links.has(me, target) {
                 let entries = links.entries[target];
-                subset.linked.push(Linked { target, entries });
+                subset.linked.push(LinkedTarget { target, entries });
             } else {
                 let entries = links.entries[target] + 1;
-                subset.reserve.push(Linked { target, entries });
+                subset.reserve.push(LinkedTarget { target, entries });
             }
         }
         subset
@@ -118,7 +123,7 @@
     /// assert!(route::Subset::default().linked().is_empty());
     /// ```
     #[must_use]
-    pub fn linked(&self) -> &[Linked] {
+    pub fn linked(&self) -> &[LinkedTarget] {
         &self.linked
     }
 
@@ -129,7 +134,7 @@
     /// assert!(route::Subset::default().reserve().is_empty());
     /// ```
     #[must_use]
-    pub fn reserve(&self) -> &[Linked] {
+    pub fn reserve(&self) -> &[LinkedTarget] {
         &self.reserve
     }
 
@@ -143,22 +148,28 @@
     /// through any number of them.
     ///
     /// ```
-    /// use route::{Reach, Site, Subset, SubsetSettings};
+    /// use route::{Reachability, ZonedNode, Subset, SubsetSettings};
     ///
-    /// let site = |name| Site { name, zone: "celje" };
+    /// let site = |name| ZonedNode { name, zone: "celje" };
     /// let entries = ["entry-1", "entry-2", "entry-3"].map(site);
     /// let targets = ["advisor-01", "advisor-02", "advisor-03", "advisor-04"].map(site);
     /// let cfg = SubsetSettings { targets: 1, entries: 1 };
     /// let subset = Subset::of(cfg, 0, &entries, &targets);
-    /// let usual = subset.with_reserve(1, |_| Reach::Up);
+    /// let usual = subset.with_reserve(1, |_| Reachability::Up);
     /// assert_eq!(usual, subset.linked());
-    /// let lost = subset.with_reserve(1, |_| Reach::Down);
+    /// let lost = subset.with_reserve(1, |_| Reachability::Down);
     /// assert_eq!(lost.len(), 4);
     /// ```
     #[must_use]
-    pub fn with_reserve(&self, least: usize, reach: impl Fn(usize) -> Reach) -> Vec<Linked> {
+    pub fn with_reserve(
+        &self,
+        least: usize,
+        reach: impl Fn(usize) -> Reachability,
+    ) -> Vec<LinkedTarget> {
         let mut chosen = self.linked.clone();
-        let hopeful = chosen.iter().filter(|l| reach(l.target) != Reach::Down);
+        let hopeful = chosen
+            .iter()
+            .filter(|l| reach(l.target) != Reachability::Down);
         let mut short = least.saturating_sub(hopeful.count());
         for linked in &self.reserve {
             if short == 0 {
@@ -166,8 +177,8 @@
             }
             chosen.push(*linked);
             match reach(linked.target) {
-                Reach::Down => short += 1,
-                Reach::Up | Reach::Unknown => short -= 1,
+                Reachability::Down => short += 1,
+                Reachability::Up | Reachability::Unknown => short -= 1,
             }
         }
         chosen
@@ -209,8 +220,8 @@
 }
 
 impl<'a> Graph<'a> {
-    fn new(entries: &[Site<'a>], targets: &[Site<'a>]) -> Self {
-        let hashed = |site: &Site<'a>| (hash_name(site.name), site.zone);
+    fn new(entries: &[ZonedNode<'a>], targets: &[ZonedNode<'a>]) -> Self {
+        let hashed = |site: &ZonedNode<'a>| (hash_name(site.name), site.zone);
         Graph {
             entries: entries.iter().map(hashed).collect(),
             // Turned, so that an entry and a target of one name differ.
--- a/crates/route/src/target.rs
+++ b/crates/route/src/target.rs
@@ -3,11 +3,14 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
+use crate::attempt::Attempt;
 use crate::cache::Cache;
 use crate::ejection::Ejection;
-use crate::place::Place;
 use crate::rank::Rank;
-use crate::{Arrival, AttemptKey, Demand, Limit, Report, Standing, Suspicion, Tuning};
+use crate::{
+    AttemptKey, ConcurrencyLimit, PlacementRequest, PoolSettings, StartState, Suspicion,
+    TargetLoadReport, TargetStatus,
+};
 use member::hash_bytes;
 
 /// Weight of a new observation in a moving average.
@@ -25,10 +28,10 @@
 pub(crate) struct Target {
     pub(crate) name: String,
     pub(crate) name_hash: u64,
-    pub(crate) standing: Standing,
+    pub(crate) standing: TargetStatus,
     pub(crate) ejection: Ejection,
     pub(crate) cache: Cache,
-    pub(crate) limit: Limit,
+    pub(crate) limit: ConcurrencyLimit,
     pub(crate) own_running: u32,
     pub(crate) own_suspects: u32,
     /// This entry's part of what the target runs, in (0, 1].
@@ -36,7 +39,7 @@
     distance: f64,
     ranks: Vec<Rank>,
     since: Instant,
-    arrival: Arrival,
+    arrival: StartState,
     reported: Option<Instant>,
     /// Requests that waited for a place when the last report was taken.
     queued: f64,
@@ -56,21 +59,21 @@
 }
 
 impl Target {
-    pub(crate) fn new(name: &str, distance: Duration, now: Instant, tuning: &Tuning) -> Self {
+    pub(crate) fn new(name: &str, distance: Duration, now: Instant, tuning: &PoolSettings) -> Self {
         Target {
             name: name.to_owned(),
             name_hash: hash_bytes(name.bytes()),
-            standing: Standing::Absent,
+            standing: TargetStatus::Absent,
             ejection: Ejection::default(),
             cache: Cache::default(),
-            limit: Limit::new(tuning.limit),
+            limit: ConcurrencyLimit::new(tuning.limit),
             own_running: 0,
             own_suspects: 0,
             share: tuning.share,
             distance: distance.as_secs_f64(),
             ranks: vec![Rank::default()],
             since: now,
-            arrival: Arrival::Fresh,
+            arrival: StartState::Fresh,
             reported: None,
             queued: 0.0,
             factor: 1.0,
@@ -81,26 +84,26 @@
 
     /// A target that has run for long already.
     pub(crate) fn set_warm(&mut self) {
-        self.arrival = Arrival::Warm;
+        self.arrival = StartState::Warm;
     }
 
     /// Forgets what was learnt of the former incarnation.
-    pub(crate) fn restart(&mut self, now: Instant, tuning: &Tuning) {
+    pub(crate) fn restart(&mut self, now: Instant, tuning: &PoolSettings) {
         self.ejection = Ejection::default();
         self.cache = Cache::default();
-        self.limit = Limit::new(tuning.limit);
+        self.limit = ConcurrencyLimit::new(tuning.limit);
         self.ranks = vec![Rank::default()];
         self.own_running = 0;
         self.own_suspects = 0;
         self.waiting.clear();
         self.since = now;
-        self.arrival = Arrival::Fresh;
+        self.arrival = StartState::Fresh;
         self.reported = None;
         self.queued = 0.0;
         self.factor = 1.0;
     }
 
-    pub(crate) fn report(&mut self, report: &Report) {
+    pub(crate) fn report(&mut self, report: &TargetLoadReport) {
         if self.reported.is_some_and(|last| report.taken < last) {
             return;
         }
@@ -140,7 +143,12 @@
     }
 
     /// The best rank for the request and the time to first token there.
-    pub(crate) fn estimate(&self, now: Instant, demand: &Demand<'_>, tuning: &Tuning) -> Estimate {
+    pub(crate) fn estimate(
+        &self,
+        now: Instant,
+        demand: &PlacementRequest<'_>,
+        tuning: &PoolSettings,
+    ) -> Estimate {
         let cached = self.cache.cached(demand.prefix);
         let tokens = f64::from(demand.tokens.saturating_sub(cached).max(1));
         let seconds = |rank: &Rank| self.prefill_seconds(rank, tokens, tuning);
@@ -160,7 +168,7 @@
     /// Steps until the first token, in seconds. KV in use and running
     /// requests lengthen the rank's decode steps, and through the slowest
     /// rank those of the whole group.
-    fn prefill_seconds(&self, rank: &Rank, tokens: f64, tuning: &Tuning) -> f64 {
+    fn prefill_seconds(&self, rank: &Rank, tokens: f64, tuning: &PoolSettings) -> f64 {
         let step = if rank.report.step.is_zero() {
             tuning.step.as_secs_f64()
         } else {
@@ -203,9 +211,9 @@
     }
 
     /// How much of its full load the target is given, in (0, 1].
-    pub(crate) fn warmth(&self, now: Instant, tuning: &Tuning) -> f64 {
+    pub(crate) fn warmth(&self, now: Instant, tuning: &PoolSettings) -> f64 {
         let age = now.saturating_duration_since(self.since);
-        if self.arrival == Arrival::Warm || age >= tuning.slow_start {
+        if self.arrival == StartState::Warm || age >= tuning.slow_start {
             return 1.0;
         }
         (age.as_secs_f64() / tuning.slow_start.as_secs_f64()).max(SLOW_START_FLOOR)
@@ -216,7 +224,7 @@
     /// The entries share the target's limit. Each may always use its own
     /// part; beyond that it may use what the others leave, as far as the
     /// reports tell.
-    pub(crate) fn room(&self, now: Instant, tuning: &Tuning) -> f64 {
+    pub(crate) fn room(&self, now: Instant, tuning: &PoolSettings) -> f64 {
         let limit = self.limit.current() * tuning.overcommit * self.warmth(now, tuning);
         let own = f64::from(self.own_running);
         let part = (limit * self.share).floor().max(1.0);
@@ -234,7 +242,7 @@
         now: Instant,
         key: AttemptKey,
         rank: u32,
-        demand: &Demand<'_>,
+        demand: &PlacementRequest<'_>,
     ) {
         self.own_running += 1;
         if demand.suspicion == Suspicion::Suspect {
@@ -248,7 +256,7 @@
     }
 
     /// Takes the time of a first token, against what was expected.
-    pub(crate) fn answered(&mut self, now: Instant, place: &Place) {
+    pub(crate) fn answered(&mut self, now: Instant, place: &Attempt) {
         self.prefilled(now, place);
         let waited = now.saturating_duration_since(place.started).as_secs_f64();
         let served = (waited - self.distance).max(0.0);
@@ -264,14 +272,14 @@
         }
     }
 
-    pub(crate) fn prefilled(&mut self, now: Instant, place: &Place) {
+    pub(crate) fn prefilled(&mut self, now: Instant, place: &Attempt) {
         self.waiting.remove(&(place.started, place.key));
         if let Some(rank) = self.rank_mut(place.rank) {
             rank.prefilled(now, place.tokens);
         }
     }
 
-    pub(crate) fn ended(&mut self, now: Instant, place: &Place) {
+    pub(crate) fn ended(&mut self, now: Instant, place: &Attempt) {
         if place.first.is_none() {
             self.prefilled(now, place);
         }
--- a/crates/route/src/target_set.rs
+++ b/crates/route/src/target_set.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, RngExt};
 use slotmap::SlotMap;
 
-use crate::Pace;
+use crate::StepTimeModel;
 use crate::TargetKey;
 use crate::target_state::TargetState;
 
@@ -31,7 +31,7 @@
 
 /// How an attempt at a target of a set went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum DispatchOutcome {
     /// It was answered.
     Answered,
     /// The target said that it did not run it: it is full, or another one.
@@ -46,7 +46,7 @@
 
 /// Limits of a set of targets.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct TargetSetTuning {
+pub struct TargetSetSettings {
     /// Requests that may wait at a target for each of its slots. A request
     /// that waits there begins as soon as another one ends, a whole round trip
     /// sooner than one that is sent then. Those that wait longer than their
@@ -54,7 +54,7 @@
     pub waiting: f64,
     /// How the pauses of a target's streams grow with what it runs, where it
     /// is a model engine.
-    pub pace: Option<Pace>,
+    pub pace: Option<StepTimeModel>,
     /// Slots that a target in another availability zone must have more free
     /// than one near by to be preferred. One such slot saves a third of the
     /// bytes between zones; the loads of targets differ by as much anyway.
@@ -69,9 +69,9 @@
     pub declined: Duration,
 }
 
-impl Default for TargetSetTuning {
+impl Default for TargetSetSettings {
     fn default() -> Self {
-        TargetSetTuning {
+        TargetSetSettings {
             waiting: 1.0,
             pace: None,
             far: 1.0,
@@ -84,7 +84,7 @@
 
 /// How far a target is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Distance {
+pub enum Locality {
     /// In the entry's own availability zone.
     Near,
     /// In another one.
@@ -100,21 +100,21 @@
 ///
 /// ```
 /// use rand::{SeedableRng, rngs::SmallRng};
-/// use route::{Distance, TargetSet, TargetSetTuning, Outcome};
+/// use route::{Locality, TargetSet, TargetSetSettings, DispatchOutcome};
 /// use std::time::Instant;
 ///
 /// let now = Instant::now();
-/// let mut target_set = TargetSet::new(TargetSetTuning::default());
-/// let key = target_set.insert(6, Distance::Near);
+/// let mut target_set = TargetSet::new(TargetSetSettings::default());
+/// let key = target_set.insert(6, Locality::Near);
 /// let mut rng = SmallRng::seed_from_u64(1);
 /// assert_eq!(target_set.choose(&[], now, &mut rng), Some(key));
 /// target_set.start(key);
-/// target_set.end(key, Outcome::Answered, now);
+/// target_set.end(key, DispatchOutcome::Answered, now);
 /// assert_eq!(target_set.choose(&[key], now, &mut rng), None);
 /// ```
 #[derive(Debug)]
 pub struct TargetSet {
-    tuning: TargetSetTuning,
+    tuning: TargetSetSettings,
     targets: SlotMap<TargetKey, TargetState>,
     /// The target that is tried again, and since when.
     trial: Option<(TargetKey, Instant)>,
@@ -141,7 +141,7 @@
 impl TargetSet {
     /// A set without targets.
     #[must_use]
-    pub fn new(tuning: TargetSetTuning) -> TargetSet {
+    pub fn new(tuning: TargetSetSettings) -> TargetSet {
         TargetSet {
             tuning,
             targets: SlotMap::with_key(),
@@ -151,7 +151,7 @@
     }
 
     /// Adds a target that takes work.
-    pub fn insert(&mut self, slots: u32, distance: Distance) -> TargetKey {
+    pub fn insert(&mut self, slots: u32, distance: Locality) -> TargetKey {
         self.targets.insert(TargetState::new(slots, distance))
     }
 
@@ -363,7 +363,7 @@
     }
 
     /// A request is over.
-    pub fn end(&mut self, key: TargetKey, outcome: Outcome, now: Instant) {
+    pub fn end(&mut self, key: TargetKey, outcome: DispatchOutcome, now: Instant) {
         self.trial = self.trial.filter(|(tried, _)| *tried != key);
         if let Some(target) = self.targets.get_mut(key) {
             target.own = target.own.saturating_sub(1);
--- a/crates/route/src/target_state.rs
+++ b/crates/route/src/target_state.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use crate::target_set::{
-    Distance, LoadEstimate, Outcome, PlacementDemand, ReportedLoad, TargetSetTuning,
+    DispatchOutcome, LoadEstimate, Locality, PlacementDemand, ReportedLoad, TargetSetSettings,
 };
 
 /// Pauses that are older than this say nothing about the next ones: by then
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct TargetState {
     slots: f64,
-    distance: Distance,
+    distance: Locality,
     /// Requests with which it keeps up with the others.
     capacity: f64,
     pub(crate) open: bool,
@@ -62,7 +62,7 @@
 }
 
 impl TargetState {
-    pub(crate) fn new(slots: u32, distance: Distance) -> TargetState {
+    pub(crate) fn new(slots: u32, distance: Locality) -> TargetState {
         TargetState {
             slots: f64::from(slots.max(1)),
             distance,
@@ -96,7 +96,7 @@
     pub(crate) fn has_room(
         &self,
         demand: &PlacementDemand,
-        tuning: &TargetSetTuning,
+        tuning: &TargetSetSettings,
         now: Instant,
     ) -> bool {
         let begins = tuning.pace.is_none() || self.begins_in_time(demand);
@@ -115,12 +115,12 @@
     }
 
     /// Whether a request could run or wait there, however late its events.
-    pub(crate) fn has_slot(&self, tuning: &TargetSetTuning) -> bool {
+    pub(crate) fn has_slot(&self, tuning: &TargetSetSettings) -> bool {
         self.occupied() < self.capacity * (1.0 + tuning.waiting)
     }
 
     /// Requests with which its streams don't pause for too long.
-    fn on_time(&self, tuning: &TargetSetTuning, now: Instant) -> f64 {
+    fn on_time(&self, tuning: &TargetSetSettings, now: Instant) -> f64 {
         let pauses = self
             .pauses
             .filter(|p| now.saturating_duration_since(p.at) < PAUSES_LAST);
@@ -144,16 +144,16 @@
     }
 
     /// Part of the slots that one request more would take.
-    pub(crate) fn cost(&self, tuning: &TargetSetTuning) -> f64 {
+    pub(crate) fn cost(&self, tuning: &TargetSetSettings) -> f64 {
         let far = match self.distance {
-            Distance::Near => 0.0,
-            Distance::Far => tuning.far,
+            Locality::Near => 0.0,
+            Locality::Far => tuning.far,
         };
         (self.occupied() + 1.0 + far) / self.capacity
     }
 
     /// It takes so many times longer for its work than the fastest target.
-    pub(crate) fn set_slowdown(&mut self, slowdown: f64, tuning: &TargetSetTuning) {
+    pub(crate) fn set_slowdown(&mut self, slowdown: f64, tuning: &TargetSetSettings) {
         self.capacity = match tuning.pace {
             Some(pace) => pace.keeps_up(self.slots, slowdown),
             None => self.slots / slowdown,
@@ -196,19 +196,24 @@
         }
     }
 
-    pub(crate) fn learn(&mut self, outcome: Outcome, now: Instant, tuning: &TargetSetTuning) {
+    pub(crate) fn learn(
+        &mut self,
+        outcome: DispatchOutcome,
+        now: Instant,
+        tuning: &TargetSetSettings,
+    ) {
         match outcome {
-            Outcome::Answered => {
+            DispatchOutcome::Answered => {
                 self.failures = 0;
                 self.ejected_until = None;
                 self.unable_until = None;
             }
-            Outcome::Failed => {
+            DispatchOutcome::Failed => {
                 let doubled = tuning.eject * (1 << self.failures.min(8));
                 self.failures += 1;
                 self.ejected_until = Some(now + doubled.min(tuning.eject_most));
             }
-            Outcome::Declined => {
+            DispatchOutcome::Declined => {
                 let until = Some(now + tuning.declined);
                 if self.tells_places_free() {
                     self.unable_until = until;
@@ -218,8 +223,8 @@
             }
             // Its process has ended. Were more sent there, each request would
             // spend one of its tries on an address that declines them all.
-            Outcome::Replaced => self.replaced = Some(now),
-            Outcome::Abandoned => {}
+            DispatchOutcome::Replaced => self.replaced = Some(now),
+            DispatchOutcome::Abandoned => {}
         }
     }
 }
--- a/crates/route/src/standing.rs
+++ b/crates/route/src/target_status.rs
@@ -2,7 +2,7 @@
 
 /// What is known of a target's fitness for new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum TargetStatus {
     /// Offered, announced, healthy and reachable.
     Ready,
     /// It finishes what it has and takes nothing new.
--- a/crates/route/src/rate.rs
+++ b/crates/route/src/token_bucket.rs
@@ -8,27 +8,27 @@
 /// A token bucket that holds two seconds' worth of its rate.
 ///
 /// ```
-/// use route::Rate;
+/// use route::TokenBucket;
 /// use std::time::{Duration, Instant};
 ///
 /// let now = Instant::now();
-/// let mut rate = Rate::new(10.0, now);
+/// let mut rate = TokenBucket::new(10.0, now);
 /// assert!(rate.take(now, 20.0).is_ok());
 /// let wait = rate.take(now, 5.0).unwrap_err();
 /// assert_eq!(wait, Duration::from_millis(500));
 /// ```
 #[derive(Clone, Debug)]
-pub struct Rate {
+pub struct TokenBucket {
     per_second: f64,
     level: f64,
     at: Instant,
 }
 
-impl Rate {
+impl TokenBucket {
     /// A full bucket; a rate of 0 is unlimited.
     #[must_use]
     pub fn new(per_second: f64, now: Instant) -> Self {
-        Rate {
+        TokenBucket {
             per_second,
             level: per_second * BURST,
             at: now,
@@ -56,7 +56,7 @@
         Ok(())
     }
 
-    /// Says whether [`Rate::take`] would succeed.
+    /// Says whether [`TokenBucket::take`] would succeed.
     ///
     /// # Errors
     /// How long to wait, when there is not enough.
--- a/crates/route/tests/absence.rs
+++ b/crates/route/tests/absence.rs
@@ -1,6 +1,6 @@
 //! How long requests wait while nothing takes them.
 
-use route::Absence;
+use route::StartupGrace;
 use std::time::{Duration, Instant};
 
 const STREAM: Duration = Duration::from_secs(8);
@@ -10,7 +10,7 @@
 /// and were they refused instead, those who have come back once would be lost.
 #[test]
 fn waits_until_targets_are_back() {
-    let absence = Absence::default();
+    let absence = StartupGrace::default();
     let began = Instant::now();
     let back = began + Duration::from_secs(1);
     let waiting = (0..1_000).filter(|n| {
@@ -25,7 +25,7 @@
 /// held until its time is nearly over.
 #[test]
 fn waits_until_absent_for_long() {
-    let absence = Absence::default();
+    let absence = StartupGrace::default();
     let began = Instant::now();
     for later in 2..60 {
         let now = began + Duration::from_secs(later);
@@ -36,7 +36,7 @@
 /// A caller with little time left keeps most of it for the answer.
 #[test]
 fn waits_until_little_time_left() {
-    let absence = Absence::default();
+    let absence = StartupGrace::default();
     let now = Instant::now();
     let until = absence.waits_until(now, now + Duration::from_millis(300), now);
     assert_eq!(until, Some(now + Duration::from_millis(100)));
--- a/crates/route/tests/admission.rs
+++ b/crates/route/tests/admission.rs
@@ -5,14 +5,15 @@
 
 use quickcheck::{Gen, QuickCheck};
 use route::{
-    AccountLimits, Admission, AdmissionSettings, Admitted, Places, Reason, RetryBudget, TicketKey,
+    AccountLimits, Admission, AdmissionDecision, AdmissionSettings, Capacity, RefusalReason,
+    RetryBudget, TicketKey,
 };
 
 const LONG: Duration = Duration::from_hours(1);
 
 fn admission(places: f64) -> Admission {
     let mut admission = Admission::new(AdmissionSettings::default());
-    admission.set_places(Places::fixed(places));
+    admission.set_places(Capacity::fixed(places));
     admission
 }
 
@@ -26,14 +27,14 @@
     let small = [(); 9].map(|()| admission.insert(AccountLimits::default(), now));
     let mut running = Vec::new();
     for _ in 0..100 {
-        if let Admitted::Now(ticket) = admission.enter(now, large, 500, 1, now + LONG) {
+        if let AdmissionDecision::Now(ticket) = admission.enter(now, large, 500, 1, now + LONG) {
             running.push(ticket);
         }
     }
     assert!(running.len() < 10, "the reserve is kept free");
     let first = admission.enter(now, small[0], 500, 1, now + LONG);
-    assert!(matches!(first, Admitted::Queued(_)));
-    let Admitted::Queued(ticket) = first else {
+    assert!(matches!(first, AdmissionDecision::Queued(_)));
+    let AdmissionDecision::Queued(ticket) = first else {
         return;
     };
     assert_eq!(admission.advance(now).admitted, [ticket]);
@@ -51,7 +52,7 @@
     };
     let account = admission.insert(limits, now);
     let refused = |admitted| match admitted {
-        Admitted::Refused(refusal) => Some(refusal.reason),
+        AdmissionDecision::Refused(refusal) => Some(refusal.reason),
         _ => None,
     };
     let deadline = now + LONG;
@@ -60,12 +61,12 @@
         None
     );
     let second = admission.enter(now, account, 150, 1, deadline);
-    assert_eq!(refused(second), Some(Reason::TokenRate));
+    assert_eq!(refused(second), Some(RefusalReason::TokenRate));
     for _ in 0..3 {
         assert_eq!(refused(admission.enter(now, account, 1, 1, deadline)), None);
     }
     let fifth = admission.enter(now, account, 1, 1, deadline);
-    assert_eq!(refused(fifth), Some(Reason::Concurrency));
+    assert_eq!(refused(fifth), Some(RefusalReason::Concurrency));
     assert_eq!(admission.running_of(account), 2);
 }
 
@@ -81,12 +82,12 @@
     let mut admission = Admission::new(settings);
     let account = admission.insert(AccountLimits::default(), now);
     let mut enter = |priority| admission.enter(now, account, 1, priority, now + LONG);
-    let Admitted::Queued(low) = enter(1) else {
+    let AdmissionDecision::Queued(low) = enter(1) else {
         unreachable!("nothing has a place");
     };
-    assert!(matches!(enter(2), Admitted::Queued(_)));
-    assert!(matches!(enter(3), Admitted::Queued(_)));
-    assert!(matches!(enter(1), Admitted::Refused(r) if r.reason == Reason::Shed));
+    assert!(matches!(enter(2), AdmissionDecision::Queued(_)));
+    assert!(matches!(enter(3), AdmissionDecision::Queued(_)));
+    assert!(matches!(enter(1), AdmissionDecision::Refused(r) if r.reason == RefusalReason::Shed));
     let advance = admission.advance(now);
     assert_eq!(advance.refused.len(), 1);
     assert_eq!(advance.refused[0].0, low);
@@ -102,10 +103,10 @@
     let deadline = now + Duration::from_secs(1);
     assert!(matches!(
         admission.enter(now, account, 1, 1, deadline),
-        Admitted::Queued(_)
+        AdmissionDecision::Queued(_)
     ));
     let advance = admission.advance(deadline);
-    assert_eq!(advance.refused[0].1.reason, Reason::Expired);
+    assert_eq!(advance.refused[0].1.reason, RefusalReason::Expired);
     assert_eq!(admission.waiting(), 0);
 }
 
@@ -127,8 +128,12 @@
     let newest = admission.enter(now, account, 1, 1, now + LONG);
     let refused = admission.advance(now).refused;
     assert_eq!(refused.len(), 20, "all but the newest have waited too long");
-    assert!(refused.iter().all(|(_, r)| r.reason == Reason::Expired));
-    let Admitted::Queued(newest) = newest else {
+    assert!(
+        refused
+            .iter()
+            .all(|(_, r)| r.reason == RefusalReason::Expired)
+    );
+    let AdmissionDecision::Queued(newest) = newest else {
         unreachable!("there is no place");
     };
     now += settings.standing_wait;
@@ -143,7 +148,8 @@
     let settings = AdmissionSettings::default();
     let mut admission = Admission::new(settings);
     let account = admission.insert(AccountLimits::default(), began);
-    let Admitted::Queued(first) = admission.enter(began, account, 1, 1, began + LONG) else {
+    let AdmissionDecision::Queued(first) = admission.enter(began, account, 1, 1, began + LONG)
+    else {
         unreachable!("there is no place");
     };
     let later = began + settings.standing_after / 2;
@@ -181,10 +187,10 @@
                 let tokens = u32::from(amount);
                 let priority = u32::from(what % 4);
                 match admission.enter(now, keys[i], tokens, priority, deadline) {
-                    Admitted::Now(ticket) | Admitted::Queued(ticket) => {
+                    AdmissionDecision::Now(ticket) | AdmissionDecision::Queued(ticket) => {
                         known.insert(ticket, i);
                     }
-                    Admitted::Refused(_) => {}
+                    AdmissionDecision::Refused(_) => {}
                 }
             }
             let advance = admission.advance(now);
@@ -225,7 +231,8 @@
         let mut tokens = [0_u64; 2];
         let mut of = BTreeMap::new();
         let fill = |admission: &mut Admission, of: &mut BTreeMap<TicketKey, usize>, i: usize| {
-            if let Admitted::Queued(ticket) = admission.enter(now, keys[i], sizes[i], 1, now + LONG)
+            if let AdmissionDecision::Queued(ticket) =
+                admission.enter(now, keys[i], sizes[i], 1, now + LONG)
             {
                 of.insert(ticket, i);
             }
@@ -233,7 +240,7 @@
         for i in [0, 1, 0, 1] {
             fill(&mut admission, &mut of, i);
         }
-        admission.set_places(Places::fixed(1.0));
+        admission.set_places(Capacity::fixed(1.0));
         let mut current = admission.advance(now).admitted;
         for _ in 0..2000 {
             let Some(ticket) = current.pop() else {
@@ -295,8 +302,8 @@
     let idle = admission.insert(AccountLimits::default(), now);
     for _ in 0..2 {
         let admitted = admission.enter(now, urgent, 1, 2, now + LONG);
-        assert!(matches!(admitted, Admitted::Queued(_)));
+        assert!(matches!(admitted, AdmissionDecision::Queued(_)));
     }
     let admitted = admission.enter(now, idle, 1, 1, now + LONG);
-    assert!(matches!(admitted, Admitted::Refused(r) if r.reason == Reason::Shed));
+    assert!(matches!(admitted, AdmissionDecision::Refused(r) if r.reason == RefusalReason::Shed));
 }
--- a/crates/route/tests/exchange.rs
+++ b/crates/route/tests/exchange.rs
@@ -1,15 +1,15 @@
 //! Parts of accounts' limits, given out by a leader.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use route::{Exchange, Part, Use, WHOLE};
+use route::{FULL_QUOTA, QuotaAllocator, QuotaGrant, QuotaUsage};
 use std::time::{Duration, Instant};
 
 const ACCOUNT: u32 = 7;
 const ENTRIES: usize = 5;
 const LEASE: Duration = Duration::from_secs(3);
 
-fn used(demand: u32, held: u32) -> Use {
-    Use {
+fn used(demand: u32, held: u32) -> QuotaUsage {
+    QuotaUsage {
         account: ACCOUNT,
         demand,
         held,
@@ -17,12 +17,12 @@
 }
 
 /// An exchange whose first lease is over, and that moment.
-fn settled() -> (Exchange, Instant) {
+fn settled() -> (QuotaAllocator, Instant) {
     let began = Instant::now();
-    (Exchange::new(began, LEASE), began + LEASE)
+    (QuotaAllocator::new(began, LEASE), began + LEASE)
 }
 
-fn part(parts: &[Part]) -> u32 {
+fn part(parts: &[QuotaGrant]) -> u32 {
     parts[0].part
 }
 
@@ -30,10 +30,10 @@
 #[test]
 fn report_alone_whole() {
     let (mut exchange, now) = settled();
-    assert_eq!(part(&exchange.report(1, 1, &[used(1, 0)], now)), WHOLE);
+    assert_eq!(part(&exchange.report(1, 1, &[used(1, 0)], now)), FULL_QUOTA);
     assert_eq!(
-        part(&exchange.report(1, 2, &[used(9000, WHOLE)], now)),
-        WHOLE
+        part(&exchange.report(1, 2, &[used(9000, FULL_QUOTA)], now)),
+        FULL_QUOTA
     );
 }
 
@@ -42,19 +42,19 @@
 #[test]
 fn report_second_entry() {
     let (mut exchange, mut now) = settled();
-    exchange.report(1, 1, &[used(WHOLE, 0)], now);
-    assert_eq!(part(&exchange.report(2, 1, &[used(WHOLE, 0)], now)), 0);
+    exchange.report(1, 1, &[used(FULL_QUOTA, 0)], now);
+    assert_eq!(part(&exchange.report(2, 1, &[used(FULL_QUOTA, 0)], now)), 0);
     now += LEASE / 6;
     assert_eq!(
-        part(&exchange.report(1, 2, &[used(WHOLE, WHOLE)], now)),
-        WHOLE / 2
+        part(&exchange.report(1, 2, &[used(FULL_QUOTA, FULL_QUOTA)], now)),
+        FULL_QUOTA / 2
     );
     // The first one may not have heard of that.
-    assert_eq!(part(&exchange.report(2, 2, &[used(WHOLE, 0)], now)), 0);
-    exchange.report(1, 3, &[used(WHOLE, WHOLE / 2)], now);
+    assert_eq!(part(&exchange.report(2, 2, &[used(FULL_QUOTA, 0)], now)), 0);
+    exchange.report(1, 3, &[used(FULL_QUOTA, FULL_QUOTA / 2)], now);
     assert_eq!(
-        part(&exchange.report(2, 3, &[used(WHOLE, 0)], now)),
-        WHOLE / 2
+        part(&exchange.report(2, 3, &[used(FULL_QUOTA, 0)], now)),
+        FULL_QUOTA / 2
     );
 }
 
@@ -63,10 +63,13 @@
 #[test]
 fn report_holder_dead() {
     let (mut exchange, now) = settled();
-    exchange.report(1, 1, &[used(WHOLE, 0)], now);
+    exchange.report(1, 1, &[used(FULL_QUOTA, 0)], now);
     assert_eq!(part(&exchange.report(2, 1, &[used(10, 0)], now)), 0);
     let later = now + LEASE;
-    assert_eq!(part(&exchange.report(2, 2, &[used(10, 0)], later)), WHOLE);
+    assert_eq!(
+        part(&exchange.report(2, 2, &[used(10, 0)], later)),
+        FULL_QUOTA
+    );
 }
 
 /// One step of a schedule.
@@ -100,7 +103,7 @@
         };
         Step {
             entry: usize::arbitrary(g) % ENTRIES,
-            demand: u32::arbitrary(g) % (WHOLE + 1),
+            demand: u32::arbitrary(g) % (FULL_QUOTA + 1),
             what,
             millis: u64::arbitrary(g) % 900,
         }
@@ -112,7 +115,7 @@
 struct Entry {
     granted: Option<(u32, Instant)>,
     sequence: u64,
-    old: Option<(u64, Use)>,
+    old: Option<(u64, QuotaUsage)>,
 }
 
 impl Entry {
@@ -128,14 +131,14 @@
 fn report_any_schedule_never_above_whole() {
     fn property(steps: Vec<Step>) -> bool {
         let mut now = Instant::now();
-        let mut exchange = Exchange::new(now, LEASE);
+        let mut exchange = QuotaAllocator::new(now, LEASE);
         let mut entries = vec![Entry::default(); ENTRIES];
         for step in steps {
             now += Duration::from_millis(step.millis);
             let entry = &mut entries[step.entry];
             let key = step.entry as u64;
             match step.what {
-                What::NewLeader => exchange = Exchange::new(now, LEASE),
+                What::NewLeader => exchange = QuotaAllocator::new(now, LEASE),
                 What::Overtaken => {
                     if let Some((sequence, used)) = entry.old {
                         exchange.report(key, sequence, &[used], now);
@@ -152,7 +155,7 @@
                 }
             }
             let sum: u32 = entries.iter().map(|entry| entry.acts_on(now)).sum();
-            if sum > WHOLE {
+            if sum > FULL_QUOTA {
                 return false;
             }
         }
--- a/crates/route/tests/overload.rs
+++ b/crates/route/tests/overload.rs
@@ -3,7 +3,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use route::{Distance, Outcome, Pace, TargetKey, TargetSet, TargetSetTuning};
+use route::{DispatchOutcome, Locality, StepTimeModel, TargetKey, TargetSet, TargetSetSettings};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
@@ -57,13 +57,13 @@
 
 /// Requests a second that are on time under `load` times what the slots carry.
 fn on_time(load: f64) -> f64 {
-    let pace = Pace::new(Duration::from_micros(5_850), Duration::from_micros(355));
-    let mut target_set = TargetSet::new(TargetSetTuning {
+    let pace = StepTimeModel::new(Duration::from_micros(5_850), Duration::from_micros(355));
+    let mut target_set = TargetSet::new(TargetSetSettings {
         waiting: 0.15,
         pace: Some(pace),
-        ..TargetSetTuning::default()
+        ..TargetSetSettings::default()
     });
-    let keys = (0..ENGINES).map(|_| target_set.insert(SLOTS, Distance::Near));
+    let keys = (0..ENGINES).map(|_| target_set.insert(SLOTS, Locality::Near));
     let mut engines: BTreeMap<TargetKey, Engine> =
         keys.map(|key| (key, Engine::default())).collect();
     let mut rng = SmallRng::seed_from_u64(3);
@@ -74,7 +74,7 @@
         for (key, engine) in &mut engines {
             let (ended, started) = engine.step(now);
             for _ in 0..ended {
-                target_set.end(*key, Outcome::Answered, now);
+                target_set.end(*key, DispatchOutcome::Answered, now);
                 target_set.ran(RUNS);
             }
             let early = |r: &&Request| now + FIRST_EVENT <= r.came + OBJECTIVE;
--- a/crates/route/tests/pool.rs
+++ b/crates/route/tests/pool.rs
@@ -5,33 +5,33 @@
 use quickcheck::{Gen, QuickCheck};
 use rand::{SeedableRng, rngs::SmallRng};
 use route::{
-    Arrival, Demand, Ending, Pool, Prefix, RankReport, Report, Standing, Suspicion, TargetKey,
-    Tuning,
+    AttemptResult, PlacementRequest, Pool, PoolSettings, Prefix, RankLoadReport, StartState,
+    Suspicion, TargetKey, TargetLoadReport, TargetStatus,
 };
 
 const NEAR: Duration = Duration::from_millis(1);
 
 fn pool_of(count: usize, now: Instant) -> (Pool, Vec<TargetKey>) {
-    let tuning = Tuning {
+    let tuning = PoolSettings {
         slow_start: Duration::ZERO,
-        ..Tuning::default()
+        ..PoolSettings::default()
     };
     let mut pool = Pool::new(tuning);
     let keys = (0..count).map(|i| {
-        let key = pool.insert(&format!("t{i}"), NEAR, Arrival::Fresh, now);
-        pool.set_standing(key, Standing::Ready);
+        let key = pool.insert(&format!("t{i}"), NEAR, StartState::Fresh, now);
+        pool.set_standing(key, TargetStatus::Ready);
         key
     });
     let keys = keys.collect();
     (pool, keys)
 }
 
-fn report(taken: Instant, queued_tokens: u32, step_ms: u64) -> Report {
-    Report {
+fn report(taken: Instant, queued_tokens: u32, step_ms: u64) -> TargetLoadReport {
+    TargetLoadReport {
         taken,
         limit: 64,
         queued: 0,
-        ranks: vec![RankReport {
+        ranks: vec![RankLoadReport {
             rank: 0,
             running: 0,
             queued_tokens,
@@ -49,7 +49,9 @@
     pool.report(keys[1], &report(now, 10, 25));
     pool.report(keys[2], &report(now, 9000, 25));
     let mut rng = SmallRng::seed_from_u64(1);
-    let choice = pool.choose(now, &Demand::of_tokens(100), &mut rng).unwrap();
+    let choice = pool
+        .choose(now, &PlacementRequest::of_tokens(100), &mut rng)
+        .unwrap();
     assert_eq!(choice.target, keys[1]);
 }
 
@@ -61,7 +63,7 @@
     let now = Instant::now();
     let (mut pool, keys) = pool_of(2, now);
     let mut rng = SmallRng::seed_from_u64(1);
-    let demand = Demand::of_tokens(1000);
+    let demand = PlacementRequest::of_tokens(1000);
     pool.report(keys[1], &report(now, 3000, 25));
     let mut sent = [0, 0];
     for i in 0..20 {
@@ -80,14 +82,16 @@
     let now = Instant::now();
     let (mut pool, keys) = pool_of(1, now);
     let mut load = report(now, 500, 25);
-    load.ranks.push(RankReport {
+    load.ranks.push(RankLoadReport {
         rank: 1,
         step: Duration::from_millis(25),
-        ..RankReport::default()
+        ..RankLoadReport::default()
     });
     pool.report(keys[0], &load);
     let mut rng = SmallRng::seed_from_u64(1);
-    let choice = pool.choose(now, &Demand::of_tokens(100), &mut rng).unwrap();
+    let choice = pool
+        .choose(now, &PlacementRequest::of_tokens(100), &mut rng)
+        .unwrap();
     assert_eq!(choice.rank, 1);
 }
 
@@ -98,16 +102,16 @@
     let now = Instant::now();
     let (mut pool, keys) = pool_of(3, now);
     let mut rng = SmallRng::seed_from_u64(1);
-    let demand = Demand::of_tokens(10);
+    let demand = PlacementRequest::of_tokens(10);
     for _ in 0..200 {
         let Some(choice) = pool.choose(now, &demand, &mut rng) else {
             break;
         };
         let attempt = pool.start(now, &choice, &demand);
         let ending = if choice.target == keys[0] {
-            Ending::Failed
+            AttemptResult::Failed
         } else {
-            Ending::Whole
+            AttemptResult::Whole
         };
         pool.end(now, attempt, ending);
     }
@@ -124,11 +128,11 @@
     let now = Instant::now();
     let (mut pool, _) = pool_of(3, now);
     let mut rng = SmallRng::seed_from_u64(1);
-    let demand = Demand::of_tokens(10);
+    let demand = PlacementRequest::of_tokens(10);
     for _ in 0..100 {
         let choice = pool.choose(now, &demand, &mut rng).unwrap();
         let attempt = pool.start(now, &choice, &demand);
-        pool.end(now, attempt, Ending::Failed);
+        pool.end(now, attempt, AttemptResult::Failed);
     }
 }
 
@@ -139,7 +143,7 @@
     let now = Instant::now();
     let (mut pool, keys) = pool_of(2, now);
     let mut rng = SmallRng::seed_from_u64(1);
-    let demand = Demand::of_tokens(10);
+    let demand = PlacementRequest::of_tokens(10);
     pool.report(keys[1], &report(now, 2000, 25));
     let stalled = pool.choose(now, &demand, &mut rng).unwrap();
     assert_eq!(stalled.target, keys[0]);
@@ -162,9 +166,9 @@
         hash: 77,
         tokens: 4000,
     };
-    let demand = Demand {
+    let demand = PlacementRequest {
         prefix: Some(prefix),
-        ..Demand::of_tokens(4100)
+        ..PlacementRequest::of_tokens(4100)
     };
     let first = pool.choose(now, &demand, &mut rng).unwrap();
     let mut same = 0;
@@ -173,7 +177,11 @@
         same += u32::from(choice.target == first.target);
         let attempt = pool.start(now, &choice, &demand);
         pool.answered(now + Duration::from_millis(60), attempt);
-        pool.end(now + Duration::from_millis(60), attempt, Ending::Whole);
+        pool.end(
+            now + Duration::from_millis(60),
+            attempt,
+            AttemptResult::Whole,
+        );
     }
     assert!(same >= 18, "{same}");
 }
@@ -185,9 +193,9 @@
     let now = Instant::now();
     let (mut pool, _) = pool_of(2, now);
     let mut rng = SmallRng::seed_from_u64(1);
-    let demand = Demand {
+    let demand = PlacementRequest {
         suspicion: Suspicion::Suspect,
-        ..Demand::of_tokens(10)
+        ..PlacementRequest::of_tokens(10)
     };
     let first = pool.choose(now, &demand, &mut rng).unwrap();
     pool.start(now, &first, &demand);
@@ -195,7 +203,10 @@
     assert_ne!(first.target, second.target);
     pool.start(now, &second, &demand);
     assert!(pool.choose(now, &demand, &mut rng).is_none());
-    assert!(pool.choose(now, &Demand::of_tokens(10), &mut rng).is_some());
+    assert!(
+        pool.choose(now, &PlacementRequest::of_tokens(10), &mut rng)
+            .is_some()
+    );
 }
 
 /// A restarted target has cold caches; with its full part of the traffic at
@@ -203,9 +214,9 @@
 #[test]
 fn restarted_slow_start() {
     let now = Instant::now();
-    let mut pool = Pool::new(Tuning::default());
-    let key = pool.insert("t", NEAR, Arrival::Fresh, now);
-    pool.set_standing(key, Standing::Ready);
+    let mut pool = Pool::new(PoolSettings::default());
+    let key = pool.insert("t", NEAR, StartState::Fresh, now);
+    pool.set_standing(key, TargetStatus::Ready);
     let later = now + Duration::from_mins(1);
     let full = pool.places(later).open;
     pool.restarted(later, key);
@@ -220,14 +231,18 @@
         let mut now = Instant::now();
         let (mut pool, keys) = pool_of(6, now);
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut standing = vec![Standing::Ready; keys.len()];
+        let mut standing = vec![TargetStatus::Ready; keys.len()];
         let mut running = Vec::new();
         for (what, which, amount) in steps {
             now += Duration::from_millis(u64::from(amount));
             let i = usize::from(which) % keys.len();
             match what % 6 {
                 0 => {
-                    let all = [Standing::Ready, Standing::Leaving, Standing::Absent];
+                    let all = [
+                        TargetStatus::Ready,
+                        TargetStatus::Leaving,
+                        TargetStatus::Absent,
+                    ];
                     standing[i] = all[usize::from(amount) % 3];
                     pool.set_standing(keys[i], standing[i]);
                 }
@@ -235,18 +250,23 @@
                 2 => pool.restarted(now, keys[i]),
                 3 if !running.is_empty() => {
                     let attempt = running.remove(usize::from(which) % running.len());
-                    let all = [Ending::Whole, Ending::Failed, Ending::Full, Ending::Dropped];
+                    let all = [
+                        AttemptResult::Whole,
+                        AttemptResult::Failed,
+                        AttemptResult::Full,
+                        AttemptResult::Dropped,
+                    ];
                     pool.end(now, attempt, all[usize::from(amount) % 4]);
                 }
                 _ => {
                     let avoid = [keys[i]];
-                    let demand = Demand {
+                    let demand = PlacementRequest {
                         avoid: &avoid,
-                        ..Demand::of_tokens(u32::from(amount))
+                        ..PlacementRequest::of_tokens(u32::from(amount))
                     };
                     if let Some(choice) = pool.choose(now, &demand, &mut rng) {
                         let at = keys.iter().position(|k| *k == choice.target).unwrap();
-                        if at == i || standing[at] != Standing::Ready {
+                        if at == i || standing[at] != TargetStatus::Ready {
                             return false;
                         }
                         running.push(pool.start(now, &choice, &demand));
@@ -307,7 +327,7 @@
     let now = Instant::now();
     let (mut pool, keys) = pool_of(1, now);
     let mut rng = SmallRng::seed_from_u64(1);
-    let demand = Demand::of_tokens(10);
+    let demand = PlacementRequest::of_tokens(10);
     pool.set_ranks(keys[0], &[2]);
     assert_eq!(pool.choose(now, &demand, &mut rng).unwrap().rank, 2);
     let mut load = report(now, 5000, 25);
@@ -321,8 +341,8 @@
 #[test]
 fn insert_warm_full_places() {
     let now = Instant::now();
-    let mut pool = Pool::new(Tuning::default());
-    let key = pool.insert("t", NEAR, Arrival::Warm, now);
-    pool.set_standing(key, Standing::Ready);
+    let mut pool = Pool::new(PoolSettings::default());
+    let key = pool.insert("t", NEAR, StartState::Warm, now);
+    pool.set_standing(key, TargetStatus::Ready);
     assert!(pool.places(now).open >= 64.0);
 }
--- a/crates/route/tests/subset.rs
+++ b/crates/route/tests/subset.rs
@@ -6,7 +6,7 @@
 )]
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use route::{Reach, Site, Subset, SubsetSettings};
+use route::{Reachability, Subset, SubsetSettings, ZonedNode};
 use std::collections::{BTreeMap, BTreeSet};
 
 const ZONES: [&str; 3] = ["oberpfalz", "allgaeu", "franken"];
@@ -43,10 +43,10 @@
     }
 }
 
-fn sites(rows: &[(String, usize)]) -> Vec<Site<'_>> {
+fn sites(rows: &[(String, usize)]) -> Vec<ZonedNode<'_>> {
     let site = |row: &'_ (String, usize)| row.1;
     rows.iter()
-        .map(|row| Site {
+        .map(|row| ZonedNode {
             name: &row.0,
             zone: ZONES[site(row)],
         })
@@ -199,9 +199,9 @@
             let mut tried: BTreeSet<usize> = subset.linked().iter().map(|l| l.target).collect();
             for _ in 0..10 {
                 let reach = |target: usize| match (target == alive, tried.contains(&target)) {
-                    (_, false) => Reach::Unknown,
-                    (true, true) => Reach::Up,
-                    (false, true) => Reach::Down,
+                    (_, false) => Reachability::Unknown,
+                    (true, true) => Reachability::Up,
+                    (false, true) => Reachability::Down,
                 };
                 let chosen = subset.with_reserve(least, reach);
                 let chosen: BTreeSet<usize> = chosen.iter().map(|l| l.target).collect();
--- a/crates/route/tests/target_set.rs
+++ b/crates/route/tests/target_set.rs
@@ -2,20 +2,22 @@
 
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use route::{Distance, Outcome, Pace, ReportedLoad, TargetKey, TargetSet, TargetSetTuning};
+use route::{
+    DispatchOutcome, Locality, ReportedLoad, StepTimeModel, TargetKey, TargetSet, TargetSetSettings,
+};
 use std::time::{Duration, Instant};
 
 const SLOTS: u32 = 12;
 const LATE: Duration = Duration::from_millis(120);
 
 fn engines(count: usize) -> (TargetSet, Vec<TargetKey>) {
-    let pace = Pace::new(Duration::from_micros(5_850), Duration::from_micros(355));
-    let mut target_set = TargetSet::new(TargetSetTuning {
+    let pace = StepTimeModel::new(Duration::from_micros(5_850), Duration::from_micros(355));
+    let mut target_set = TargetSet::new(TargetSetSettings {
         waiting: 0.15,
         pace: Some(pace),
-        ..TargetSetTuning::default()
+        ..TargetSetSettings::default()
     });
-    let keys = (0..count).map(|_| target_set.insert(SLOTS, Distance::Near));
+    let keys = (0..count).map(|_| target_set.insert(SLOTS, Locality::Near));
     let keys = keys.collect();
     (target_set, keys)
 }
@@ -60,7 +62,7 @@
     let now = now + Duration::from_millis(140) * 20;
     assert_eq!(target_set.choose(&[], now, &mut rng()), None);
     for _ in 0..7 {
-        target_set.end(keys[0], Outcome::Answered, now);
+        target_set.end(keys[0], DispatchOutcome::Answered, now);
     }
     assert_eq!(target_set.choose(&[], now, &mut rng()), Some(keys[0]));
 }
@@ -117,7 +119,7 @@
     let (mut target_set, keys) = engines(2);
     let now = Instant::now();
     target_set.start(keys[0]);
-    target_set.end(keys[0], Outcome::Failed, now);
+    target_set.end(keys[0], DispatchOutcome::Failed, now);
     let mut rng = rng();
     for _ in 0..10 {
         let key = target_set.choose(&[], now, &mut rng).unwrap();
@@ -136,7 +138,7 @@
     let now = Instant::now();
     for key in &keys {
         target_set.start(*key);
-        target_set.end(*key, Outcome::Failed, now);
+        target_set.end(*key, DispatchOutcome::Failed, now);
     }
     assert!(target_set.choose(&[], now, &mut rng()).is_some());
 }
@@ -145,9 +147,9 @@
 /// is taken; once it runs more, distance must not let it fill up alone.
 #[test]
 fn choose_near_while_loads_are_alike() {
-    let mut target_set = TargetSet::new(TargetSetTuning::default());
-    let near = target_set.insert(SLOTS, Distance::Near);
-    let far = target_set.insert(SLOTS, Distance::Far);
+    let mut target_set = TargetSet::new(TargetSetSettings::default());
+    let near = target_set.insert(SLOTS, Locality::Near);
+    let far = target_set.insert(SLOTS, Locality::Far);
     let now = Instant::now();
     let mut rng = rng();
     for _ in 0..20 {
@@ -168,7 +170,7 @@
     for _ in &keys {
         let key = target_set.choose(&[], now, &mut rng()).unwrap();
         target_set.start(key);
-        target_set.end(key, Outcome::Replaced, now);
+        target_set.end(key, DispatchOutcome::Replaced, now);
         // What was told before says nothing of its end.
         target_set.heard(key, now);
         now += Duration::from_secs(30);
@@ -201,7 +203,7 @@
                 },
                 now,
             );
-            target_set.end(key, Outcome::Declined, now);
+            target_set.end(key, DispatchOutcome::Declined, now);
             declined += 1;
         }
         assert!(!target_set.has_available());
@@ -239,7 +241,7 @@
         },
         now,
     );
-    target_set.end(keys[0], Outcome::Declined, now);
+    target_set.end(keys[0], DispatchOutcome::Declined, now);
     assert!(target_set.has_available());
     assert_eq!(target_set.choose(&[], now, &mut rng()), None);
 }
