--- a/crates/control/src/roster.rs
+++ b/crates/control/src/roster.rs
@@ -175,7 +175,7 @@
         let parts = self.exchange.report(key.finish(), sequence, &uses, now);
         let parts = parts.into_iter().map(|granted| AccountPart {
             account: granted.account,
-            part: granted.part,
+            part: granted.share,
         });
         parts.collect()
     }
--- a/crates/direct/src/director.rs
+++ b/crates/direct/src/director.rs
@@ -110,7 +110,7 @@
             let patience = req.patience.unwrap_or(self.timing.silence);
             let deadline = req.arrived + patience;
             let absence = &self.timing.absence;
-            let until = absence.waits_until(self.began, deadline, now);
+            let until = absence.wait_until(self.began, deadline, now);
             let Some((until, _waiter)) = until.zip(self.placer.waiter()) else {
                 log::info!(request = req.id.as_str(); "refused: {}", Reason::NoTable);
                 return Err(Refusal::after(Reason::NoTable, self.timing.retry_absent));
--- a/crates/direct/src/placer.rs
+++ b/crates/direct/src/placer.rs
@@ -88,7 +88,7 @@
         let inner = self.inner();
         let services = inner.services.iter();
         let counted = services.map(|(name, held)| {
-            let able = held.set.available();
+            let able = held.set.available_count();
             (name.clone(), able, held.endpoints.len())
         });
         counted.collect()
@@ -115,8 +115,8 @@
         let inner = self.inner();
         let held = inner.services.get(service)?;
         let absence = &self.timing.absence;
-        let until = absence.waits_until(held.absent?, deadline, now)?;
-        let trial = held.set.next_trial().filter(|at| *at > now);
+        let until = absence.wait_until(held.absent?, deadline, now)?;
+        let trial = held.set.next_probe().filter(|at| *at > now);
         Some(trial.map_or(until, |at| at.min(until)))
     }
 
@@ -131,7 +131,7 @@
         let mut inner = self.inner();
         let Inner { rng, services, .. } = &mut *inner;
         let held = services.get_mut(service).ok_or(PlacementError::Absent)?;
-        let Some(key) = held.set.choose_in(left, tried, now, rng) else {
+        let Some(key) = held.set.choose_within(left, tried, now, rng) else {
             if held.set.has_available() {
                 return Err(PlacementError::Full);
             }
@@ -156,7 +156,7 @@
         let mut inner = self.inner();
         let Inner { rng, services, .. } = &mut *inner;
         let held = services.get_mut(service)?;
-        let key = held.set.choose_to_move(tried, now, rng)?;
+        let key = held.set.choose_for_migration(tried, now, rng)?;
         let (endpoint, seen) = held.start(key, now)?;
         drop(inner);
         Some(Permit::new(Arc::clone(self), service, key, endpoint, seen))
@@ -191,7 +191,9 @@
     pub(crate) fn come_back(&self, service: &str, most: Duration, now: Instant) -> Duration {
         let mut inner = self.inner();
         let held = inner.services.get_mut(service);
-        held.map_or(self.timing.retry_full, |held| held.returns.next(most, now))
+        held.map_or(self.timing.retry_full, |held| {
+            held.returns.next_retry_after(most, now)
+        })
     }
 
     /// Whether another target could take a request that is sent again.
@@ -205,7 +207,7 @@
         let mut inner = self.inner();
         let Inner { rng, services, .. } = &mut *inner;
         services.get_mut(service).is_some_and(|held| {
-            held.budget.has_one(now) && held.set.choose_in(left, tried, now, rng).is_some()
+            held.budget.can_withdraw(now) && held.set.choose_within(left, tried, now, rng).is_some()
         })
     }
 
@@ -214,15 +216,15 @@
         let mut inner = self.inner();
         let Inner { rng, services, .. } = &mut *inner;
         services.get_mut(service).is_some_and(|held| {
-            held.set.sheds(key)
-                && held.budget.has_one(now)
-                && held.set.choose_to_move(&[key], now, rng).is_some()
+            held.set.should_migrate_streams(key)
+                && held.budget.can_withdraw(now)
+                && held.set.choose_for_migration(&[key], now, rng).is_some()
         })
     }
 
     pub(crate) fn told(&self, service: &str, key: TargetKey, load: ReportedLoad, now: Instant) {
         if let Some(held) = self.inner().services.get_mut(service) {
-            held.set.told(key, load, now);
+            held.set.report_load(key, load, now);
         }
     }
 
@@ -235,7 +237,7 @@
         now: Instant,
     ) {
         if let Some(held) = self.inner().services.get_mut(service) {
-            held.set.paused(key, pause, most, now);
+            held.set.record_pause(key, pause, most, now);
         }
     }
 
@@ -253,10 +255,10 @@
                 outcome,
                 DispatchOutcome::Declined | DispatchOutcome::Replaced
             ) {
-                held.returns.ended(now);
+                held.returns.record_completion(now);
             }
             if outcome == DispatchOutcome::Answered {
-                held.set.ran(time);
+                held.set.record_duration(time);
             }
         }
         if outcome == DispatchOutcome::Declined {
--- a/crates/direct/src/service_targets.rs
+++ b/crates/direct/src/service_targets.rs
@@ -77,7 +77,7 @@
     ) -> Option<(Endpoint, Option<LoadEstimate>)> {
         let mut endpoints = self.endpoints.values();
         let (_, endpoint) = endpoints.find(|(known, _)| *known == key)?;
-        let seen = self.set.seen(key, now);
+        let seen = self.set.load_estimate(key, now);
         self.set.start(key);
         Some((endpoint.clone(), seen))
     }
@@ -114,8 +114,8 @@
             };
             let silent = heard_any && silence(known) >= SILENT;
             let open = told.presence == Presence::Ready && !silent;
-            self.set.set_open(*key, open);
-            self.set.heard(*key, known.heard);
+            self.set.set_accepting(*key, open);
+            self.set.record_announcement(*key, known.heard);
             slowdowns.push((*key, known.slowdown));
             stays.insert(told.id.clone());
         }
@@ -134,9 +134,9 @@
     fn insert(&mut self, known: &KnownTarget, zone: &str, kept: Duration) {
         let told = &known.told;
         let distance = if told.zone == zone {
-            Locality::Near
+            Locality::SameZone
         } else {
-            Locality::Far
+            Locality::OtherZone
         };
         let key = self.set.insert(told.slots, distance);
         let endpoint = Endpoint {
@@ -162,8 +162,8 @@
         return TargetSetSettings::default();
     };
     TargetSetSettings {
-        waiting: ENGINE_WAITING,
-        pace: Some(StepTimeModel::new(engine.step, engine.step_per_request)),
+        queue_per_slot: ENGINE_WAITING,
+        step_time: Some(StepTimeModel::new(engine.step, engine.step_per_request)),
         ..TargetSetSettings::default()
     }
 }
--- a/crates/entry/src/links/roster.rs
+++ b/crates/entry/src/links/roster.rs
@@ -266,11 +266,11 @@
     fn member(&self, row: &Announced, entries: u32) -> Option<Member> {
         let held = self.held.get(&row.target)?;
         let standing = if row.leaving || held.leaving {
-            TargetStatus::Leaving
+            TargetStatus::Draining
         } else if held.is_fit(row) {
             TargetStatus::Ready
         } else {
-            TargetStatus::Absent
+            TargetStatus::Unavailable
         };
         Some(Member {
             agent: Arc::clone(&held.agent),
@@ -308,7 +308,7 @@
             });
         }
         let report = TargetLoadReport {
-            taken: now.checked_sub(age).unwrap_or(now),
+            taken_at: now.checked_sub(age).unwrap_or(now),
             limit: report.limit,
             queued: report.queued,
             ranks,
--- a/crates/entry/src/placement/allowance.rs
+++ b/crates/entry/src/placement/allowance.rs
@@ -38,8 +38,8 @@
 
     /// Takes a request's part of the limits, if there is room.
     pub(super) fn enter(&mut self, now: Instant, tokens: u32) -> Result<(), Refusal> {
-        self.usage.ask(now, tokens, self.ration.present());
-        self.ration.enter(now, tokens)
+        self.usage.record(now, tokens, self.ration.active());
+        self.ration.acquire(now, tokens)
     }
 
     /// Takes the account's limits from the note, and acts on the same part of them.
@@ -66,7 +66,7 @@
     /// them, and another entry would else let in as many beside them.
     pub(super) fn told(&self, now: Instant) -> Option<AccountUse> {
         let running = self.running();
-        let demand = self.usage.demand(now, &self.whole).max(running);
+        let demand = self.usage.quota_demand(now, &self.whole).max(running);
         let held = self.granted.unwrap_or(0).max(running);
         (demand > 0 || held > 0).then_some(AccountUse {
             account: self.number,
@@ -80,7 +80,7 @@
         if self.whole.concurrent == 0 {
             return 0;
         }
-        let part = f64::from(self.ration.present()) / f64::from(self.whole.concurrent);
+        let part = f64::from(self.ration.active()) / f64::from(self.whole.concurrent);
         to_u32((part * f64::from(FULL_QUOTA)).ceil()).min(FULL_QUOTA)
     }
 }
--- a/crates/entry/src/placement/inner.rs
+++ b/crates/entry/src/placement/inner.rs
@@ -149,7 +149,7 @@
             allowance.set_account(account, part, now);
         }
         self.accounts.retain(|name, allowance| {
-            allowance.ration().present() > 0 || catalogue.account(name).is_some()
+            allowance.ration().active() > 0 || catalogue.account(name).is_some()
         });
     }
 
@@ -223,7 +223,7 @@
         account.enter(now, job.tokens)?;
         let entered = state.enter(now, job, until, turn);
         if entered.is_err() {
-            account.ration().leave(job.tokens, 0);
+            account.ration().release(job.tokens, 0);
         } else {
             self.budget.deposit();
         }
@@ -239,7 +239,7 @@
         used: u32,
     ) {
         if let Some(allowance) = self.accounts.get_mut(account) {
-            allowance.ration().leave(estimated, used);
+            allowance.ration().release(estimated, used);
         }
         if let Some(state) = self.pools.get_mut(pool) {
             state.release(Instant::now(), ticket, used);
--- a/crates/entry/src/placement/placed.rs
+++ b/crates/entry/src/placement/placed.rs
@@ -74,7 +74,9 @@
     pub(crate) fn answered(&self) {
         let mut inner = self.placement.lock();
         if let Some(state) = inner.pools.get_mut(&self.pool) {
-            state.pool.answered(Instant::now(), self.found.attempt);
+            state
+                .pool
+                .answer_started(Instant::now(), self.found.attempt);
         }
     }
 
@@ -86,7 +88,7 @@
 
 impl Drop for Placed {
     fn drop(&mut self) {
-        let ending = self.ended.unwrap_or(AttemptResult::Dropped);
+        let ending = self.ended.unwrap_or(AttemptResult::Cancelled);
         let mut inner = self.placement.lock();
         if let Some(state) = inner.pools.get_mut(&self.pool) {
             state.pool.end(Instant::now(), self.found.attempt, ending);
--- a/crates/entry/src/placement/pool_state.rs
+++ b/crates/entry/src/placement/pool_state.rs
@@ -85,7 +85,7 @@
         let arrival = if known {
             StartState::Warm
         } else {
-            StartState::Fresh
+            StartState::Cold
         };
         for member in members {
             let name = &member.announced.target;
@@ -107,7 +107,7 @@
             self.pool.set_ranks(key, &member.announced.ranks);
             self.pool
                 .set_share(key, 1.0 / f64::from(member.entries.max(1)));
-            self.pool.set_standing(key, member.standing);
+            self.pool.set_status(key, member.standing);
         }
         let pool = &mut self.pool;
         self.slots.retain(|name, slot| {
@@ -117,7 +117,7 @@
             {
                 return true;
             }
-            pool.set_standing(slot.key, TargetStatus::Absent);
+            pool.set_status(slot.key, TargetStatus::Unavailable);
             let busy = pool.running(slot.key) > 0 && !slot.agent.gone.is_cancelled();
             if !busy {
                 pool.remove(slot.key);
@@ -146,8 +146,8 @@
         self.admission.set_limits(account, limits, now);
         self.count_places(now);
         let admission = &mut self.admission;
-        match admission.enter(now, account, job.tokens, job.priority, until) {
-            route::AdmissionDecision::Now(ticket) => Ok((ticket, false)),
+        match admission.submit(now, account, job.tokens, job.priority, until) {
+            route::AdmissionDecision::Admitted(ticket) => Ok((ticket, false)),
             route::AdmissionDecision::Queued(ticket) => {
                 self.waiters.insert(ticket, turn);
                 // It may have shed another one.
@@ -176,13 +176,13 @@
         show(&metrics.ready, self.pool.ready().len());
         show(&metrics.running, self.admission.running() as usize);
         show(&metrics.waiting, self.admission.waiting());
-        show(&metrics.places, to_whole(self.pool.places(now).open));
+        show(&metrics.places, to_whole(self.pool.capacity(now).usable));
     }
 
     fn count_places(&mut self, now: Instant) {
         let holds = |counted| now.saturating_duration_since(counted) < COUNT_HOLDS;
         if !self.counted.is_some_and(holds) {
-            self.admission.set_places(self.pool.places(now));
+            self.admission.set_capacity(self.pool.capacity(now));
             self.counted = Some(now);
         }
     }
--- a/crates/entry/src/work/course.rs
+++ b/crates/entry/src/work/course.rs
@@ -82,7 +82,7 @@
                     });
                 }
                 Started::Refused(Refusal::Note) => {
-                    placed.end(AttemptResult::Dropped);
+                    placed.end(AttemptResult::Cancelled);
                     self.attempts -= 1;
                     self.refresh().await?;
                     continue;
@@ -92,7 +92,7 @@
                     placed.end(if full {
                         AttemptResult::Full
                     } else {
-                        AttemptResult::Dropped
+                        AttemptResult::Cancelled
                     });
                     Failure::NotRun
                 }
--- a/crates/entry/src/work/failure.rs
+++ b/crates/entry/src/work/failure.rs
@@ -39,7 +39,7 @@
             Failure::Lost | Failure::Crashed | Failure::Stalled | Failure::NotRun => {
                 AttemptResult::Failed
             }
-            Failure::TooLarge | Failure::Late => AttemptResult::Dropped,
+            Failure::TooLarge | Failure::Late => AttemptResult::Cancelled,
         }
     }
 
--- a/crates/entry/src/work/once.rs
+++ b/crates/entry/src/work/once.rs
@@ -160,11 +160,11 @@
             Started::Running(attempt) => {
                 let first = || placed.answered();
                 let step = self.follow(attempt, &id, first).await;
-                placed.end(AttemptResult::Whole);
+                placed.end(AttemptResult::Completed);
                 step
             }
             Started::Refused(Refusal::Note) => {
-                placed.end(AttemptResult::Dropped);
+                placed.end(AttemptResult::Cancelled);
                 self.records.release(&id).await?;
                 self.course.refresh().await?;
                 Ok(Step::Again)
@@ -174,7 +174,7 @@
                 placed.end(if full {
                     AttemptResult::Full
                 } else {
-                    AttemptResult::Dropped
+                    AttemptResult::Cancelled
                 });
                 self.released(&id, &agent.name).await
             }
--- a/crates/entry/src/work/pump.rs
+++ b/crates/entry/src/work/pump.rs
@@ -116,7 +116,7 @@
             let target = live.placed.agent().name.clone();
             let failure = match self.pass_on_attempt(&mut live).await {
                 Passed::Whole => {
-                    live.placed.end(AttemptResult::Whole);
+                    live.placed.end(AttemptResult::Completed);
                     return Ok(());
                 }
                 Passed::CallerGone => return Ok(()),
--- a/crates/entry/src/work/whole.rs
+++ b/crates/entry/src/work/whole.rs
@@ -41,7 +41,7 @@
     match collect(&mut live.attempt, head, max, deadline, first).await {
         Ok((answer, used)) if !PASSING.contains(&answer.status) => {
             course.permit.set_used(used);
-            live.placed.end(AttemptResult::Whole);
+            live.placed.end(AttemptResult::Completed);
             Ok(Some(answer))
         }
         Ok((answer, _)) => {
--- a/crates/route/benches/accounts/world.rs
+++ b/crates/route/benches/accounts/world.rs
@@ -100,10 +100,10 @@
                 owed -= 1.0;
                 let place = self.place(now, callers);
                 let entry = &mut self.entries[place];
-                entry.usage.ask(now, 0, 0);
+                entry.usage.record(now, 0, 0);
                 let counted = now >= self.began + WARM;
-                if entry.ration.enter(now, 0).is_ok() {
-                    entry.ration.leave(0, 0);
+                if entry.ration.acquire(now, 0).is_ok() {
+                    entry.ration.release(0, 0);
                     let_in += usize::from(counted);
                     window.push_back(now);
                 }
@@ -141,7 +141,10 @@
         }
         for (key, entry) in self.entries.iter_mut().enumerate() {
             if let Some((_, parts, until)) = entry.answer.take_if(|(at, _, _)| now >= *at) {
-                entry.granted = parts.first().map(|row| (row.part, until)).or(entry.granted);
+                entry.granted = parts
+                    .first()
+                    .map(|row| (row.share, until))
+                    .or(entry.granted);
             }
             entry.granted = entry.granted.filter(|(_, until)| now < *until);
             let part = entry.granted.map_or(0, |(part, _)| part);
@@ -153,7 +156,7 @@
                 continue;
             }
             entry.next = now + RENEW;
-            let demand = entry.usage.demand(now, &self::limits(1.0));
+            let demand = entry.usage.quota_demand(now, &self::limits(1.0));
             if demand == 0 && part == 0 {
                 continue;
             }
--- a/crates/route/benches/policy/choice_cost.rs
+++ b/crates/route/benches/policy/choice_cost.rs
@@ -35,10 +35,10 @@
         let key: TargetKey = pool.insert(
             &format!("t{i}"),
             Duration::from_millis(1),
-            StartState::Fresh,
+            StartState::Cold,
             now,
         );
-        pool.set_standing(key, TargetStatus::Ready);
+        pool.set_status(key, TargetStatus::Ready);
         let rank = RankLoadReport {
             queued_tokens: 37 * (i % 50),
             running: i % 20,
@@ -46,7 +46,7 @@
             ..RankLoadReport::default()
         };
         let report = TargetLoadReport {
-            taken: now,
+            taken_at: now,
             limit: 64,
             queued: 0,
             ranks: vec![rank],
@@ -78,8 +78,8 @@
     let began = Instant::now();
     for _ in 0..CHOICES {
         let attempt = pool.start(now, &choice, &demand);
-        pool.answered(now, attempt);
-        pool.end(now, attempt, AttemptResult::Whole);
+        pool.answer_started(now, attempt);
+        pool.end(now, attempt, AttemptResult::Completed);
     }
     nanos_each(began)
 }
--- a/crates/route/benches/policy/policy.rs
+++ b/crates/route/benches/policy/policy.rs
@@ -84,10 +84,10 @@
             let key = pool.insert(
                 &format!("t{i}"),
                 Duration::from_millis(1),
-                StartState::Fresh,
+                StartState::Cold,
                 began,
             );
-            pool.set_standing(key, TargetStatus::Ready);
+            pool.set_status(key, TargetStatus::Ready);
             key
         });
         let keys = keys.collect();
@@ -122,7 +122,7 @@
             step: Duration::from_secs_f64(raw.step),
         };
         let report = TargetLoadReport {
-            taken: self.instant(raw.at),
+            taken_at: self.instant(raw.at),
             limit: SLOTS,
             queued: raw.queued,
             ranks: vec![rank],
@@ -133,7 +133,7 @@
     pub fn gone(&mut self, server: usize) {
         self.known_alive[server] = false;
         self.pool
-            .set_standing(self.keys[server], TargetStatus::Absent);
+            .set_status(self.keys[server], TargetStatus::Unavailable);
     }
 
     /// Where the request goes; `None` when no target has room.
@@ -187,7 +187,7 @@
     pub fn answered(&mut self, now: f64, key: Option<AttemptKey>) {
         if let Some(key) = key {
             let now = self.instant(now);
-            self.pool.answered(now, key);
+            self.pool.answer_started(now, key);
         }
     }
 
--- a/crates/route/benches/policy/run.rs
+++ b/crates/route/benches/policy/run.rs
@@ -187,12 +187,12 @@
         }
         entry.budget.deposit();
         let instant = entry.instant(now);
-        entry.admission.set_places(entry.pool.places(instant));
+        entry.admission.set_capacity(entry.pool.capacity(instant));
         let account = entry.accounts[request.account as usize];
         let until = entry.instant(now + QUEUE_WAIT);
         let tokens = request.prompt + request.answer;
-        match entry.admission.enter(instant, account, tokens, 1, until) {
-            AdmissionDecision::Now(ticket) => {
+        match entry.admission.submit(instant, account, tokens, 1, until) {
+            AdmissionDecision::Admitted(ticket) => {
                 self.states[index].ticket = Some(ticket);
                 self.place(index);
             }
@@ -209,7 +209,7 @@
     fn advance(&mut self, entry: usize) {
         let now = self.entries[entry].instant(self.now);
         let at = &mut self.entries[entry];
-        at.admission.set_places(at.pool.places(now));
+        at.admission.set_capacity(at.pool.capacity(now));
         let advance = at.admission.advance(now);
         for ticket in advance.admitted {
             if let Some(index) = self.tickets[entry].remove(&ticket) {
@@ -335,7 +335,7 @@
     fn done_at_entry(&mut self, id: AttemptId) {
         self.attempts[id].over = true;
         let index = self.attempts[id].request;
-        self.end_attempt(id, AttemptResult::Whole);
+        self.end_attempt(id, AttemptResult::Completed);
         self.states[index].over = true;
         self.release(index);
     }
@@ -403,7 +403,7 @@
         let mut running = running.filter(|id| self.attempts[*id].request == index);
         if let Some(id) = running.next().filter(|id| !self.attempts[*id].over) {
             self.attempts[id].over = true;
-            self.end_attempt(id, AttemptResult::Dropped);
+            self.end_attempt(id, AttemptResult::Cancelled);
             self.cancel(id);
         }
         self.refuse(index);
--- a/crates/route/src/account_demand.rs
+++ b/crates/route/src/account_demand.rs
@@ -28,10 +28,10 @@
     /// let now = Instant::now();
     /// let limits = AccountLimits { concurrent: 4, ..AccountLimits::default() };
     /// let mut usage = AccountDemand::default();
-    /// usage.ask(now, 100, 1);
-    /// assert_eq!(usage.demand(now, &limits), FULL_QUOTA / 2);
+    /// usage.record(now, 100, 1);
+    /// assert_eq!(usage.quota_demand(now, &limits), FULL_QUOTA / 2);
     /// ```
-    pub fn ask(&mut self, now: Instant, tokens: u32, present: u32) {
+    pub fn record(&mut self, now: Instant, tokens: u32, present: u32) {
         *self = self.aged(now);
         self.requests += 1.0;
         self.tokens += f64::from(tokens);
@@ -46,10 +46,10 @@
     /// use std::time::Instant;
     ///
     /// let limits = AccountLimits::default();
-    /// assert_eq!(AccountDemand::default().demand(Instant::now(), &limits), 0);
+    /// assert_eq!(AccountDemand::default().quota_demand(Instant::now(), &limits), 0);
     /// ```
     #[must_use]
-    pub fn demand(&self, now: Instant, limits: &AccountLimits) -> u32 {
+    pub fn quota_demand(&self, now: Instant, limits: &AccountLimits) -> u32 {
         let aged = self.aged(now);
         let seconds = WINDOW.as_secs_f64();
         let part = |used: f64, limit: f64| if limit > 0.0 { used / limit } else { 0.0 };
--- a/crates/route/src/account_limiter.rs
+++ b/crates/route/src/account_limiter.rs
@@ -13,10 +13,10 @@
 /// let now = Instant::now();
 /// let limits = AccountLimits { concurrent: 1, ..AccountLimits::default() };
 /// let mut ration = AccountLimiter::new(limits, now);
-/// assert!(ration.enter(now, 100).is_ok());
-/// assert_eq!(ration.enter(now, 100).unwrap_err().reason, RefusalReason::Concurrency);
-/// ration.leave(100, 80);
-/// assert!(ration.enter(now, 100).is_ok());
+/// assert!(ration.acquire(now, 100).is_ok());
+/// assert_eq!(ration.acquire(now, 100).unwrap_err().reason, RefusalReason::Concurrency);
+/// ration.release(100, 80);
+/// assert!(ration.acquire(now, 100).is_ok());
 /// ```
 #[derive(Clone, Debug)]
 pub struct AccountLimiter {
@@ -46,14 +46,14 @@
 
     /// Changes the limits and keeps what is used.
     pub fn set_limits(&mut self, limits: AccountLimits, now: Instant) {
-        self.requests.set(limits.requests_per_s, now);
-        self.tokens.set(limits.tokens_per_s, now);
+        self.requests.set_rate(limits.requests_per_s, now);
+        self.tokens.set_rate(limits.tokens_per_s, now);
         self.limits = limits;
     }
 
     /// Requests that have entered and not left.
     #[must_use]
-    pub fn present(&self) -> u32 {
+    pub fn active(&self) -> u32 {
         self.present
     }
 
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     /// Which limit is reached, and when to come back.
-    pub fn enter(&mut self, now: Instant, tokens: u32) -> Result<(), Refusal> {
+    pub fn acquire(&mut self, now: Instant, tokens: u32) -> Result<(), Refusal> {
         if self.limits.concurrent > 0 && self.present >= self.limits.concurrent {
             return Err(Refusal {
                 reason: RefusalReason::Concurrency,
@@ -74,7 +74,7 @@
     }
 
     /// Ends a request that entered with `estimated` tokens and used `used`.
-    pub fn leave(&mut self, estimated: u32, used: u32) {
+    pub fn release(&mut self, estimated: u32, used: u32) {
         self.present = self.present.saturating_sub(1);
         self.settle(estimated, used);
     }
--- a/crates/route/src/admission.rs
+++ b/crates/route/src/admission.rs
@@ -28,13 +28,13 @@
 ///
 /// let now = Instant::now();
 /// let mut admission = Admission::new(AdmissionSettings::default());
-/// admission.set_places(Capacity::fixed(1.0));
+/// admission.set_capacity(Capacity::fixed(1.0));
 /// let account = admission.insert(AccountLimits::default(), now);
 /// let deadline = now + Duration::from_secs(5);
-/// let AdmissionDecision::Now(first) = admission.enter(now, account, 100, 1, deadline) else {
+/// let AdmissionDecision::Admitted(first) = admission.submit(now, account, 100, 1, deadline) else {
 ///     unreachable!("there is one place");
 /// };
-/// let AdmissionDecision::Queued(second) = admission.enter(now, account, 100, 1, deadline) else {
+/// let AdmissionDecision::Queued(second) = admission.submit(now, account, 100, 1, deadline) else {
 ///     unreachable!("the place is taken");
 /// };
 /// admission.release(first, 100);
@@ -90,7 +90,7 @@
     }
 
     /// Changes how many requests may run at once.
-    pub fn set_places(&mut self, places: Capacity) {
+    pub fn set_capacity(&mut self, places: Capacity) {
         self.places = places;
     }
 
@@ -108,12 +108,12 @@
 
     /// Requests of an account that run.
     #[must_use]
-    pub fn running_of(&self, key: AccountKey) -> u32 {
+    pub fn running_for(&self, key: AccountKey) -> u32 {
         self.accounts.get(key).map_or(0, |account| account.running)
     }
 
     /// Asks for a request to be let in. `priority` is better when higher.
-    pub fn enter(
+    pub fn submit(
         &mut self,
         now: Instant,
         key: AccountKey,
@@ -184,7 +184,7 @@
     fn place_one(&mut self, ticket: TicketKey) -> AdmissionDecision {
         if self.waiting == 1 && self.next() == Some(ticket) {
             self.admit(ticket);
-            return AdmissionDecision::Now(ticket);
+            return AdmissionDecision::Admitted(ticket);
         }
         if self.waiting > self.settings.queue
             && let Some(worst) = self.worst()
@@ -219,11 +219,11 @@
 
     /// The waiting request whose turn it is, if there is a place for it.
     fn next(&self) -> Option<TicketKey> {
-        let free = self.places.open.floor() - f64::from(self.running);
+        let free = self.places.usable.floor() - f64::from(self.running);
         if free < 1.0 {
             return None;
         }
-        let reserve = self.places.all * self.settings.reserve + self.places.spare;
+        let reserve = self.places.total * self.settings.reserve + self.places.overcommit;
         let reserve = reserve.floor();
         let share = self.fair_places();
         let candidates = self.accounts.values().filter_map(|account| {
@@ -241,7 +241,7 @@
     /// This entry's places for each unit of weight of all accounts.
     fn fair_places(&self) -> f64 {
         let weights: f64 = self.accounts.values().map(Account::weight).sum();
-        self.places.part / weights.max(1e-6)
+        self.places.own_share / weights.max(1e-6)
     }
 
     fn admit(&mut self, key: TicketKey) {
--- a/crates/route/src/admission_decision.rs
+++ b/crates/route/src/admission_decision.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
     /// It may run now; [`Admission::release`](crate::Admission::release) ends it.
-    Now(TicketKey),
+    Admitted(TicketKey),
     /// It waits for its turn, which a later
     /// [`Admission::advance`](crate::Admission::advance) tells.
     Queued(TicketKey),
--- a/crates/route/src/attempt_result.rs
+++ b/crates/route/src/attempt_result.rs
@@ -4,11 +4,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
     /// The answer is whole.
-    Whole,
+    Completed,
     /// The target said that it has no room.
     Full,
     /// The target was lost or broke the answer off.
     Failed,
     /// The caller went away, or the attempt never started.
-    Dropped,
+    Cancelled,
 }
--- a/crates/route/src/budget.rs
+++ b/crates/route/src/budget.rs
@@ -85,7 +85,7 @@
     }
 
     /// Whether there is a retry to be taken.
-    pub fn has_one(&mut self, now: Instant) -> bool {
+    pub fn can_withdraw(&mut self, now: Instant) -> bool {
         self.refill(now);
         is_whole(self.earned) || is_whole(self.reserve)
     }
--- a/crates/route/src/capacity.rs
+++ b/crates/route/src/capacity.rs
@@ -3,21 +3,21 @@
 /// Places for requests on the targets of a pool.
 ///
 /// ```
-/// let places = route::Capacity::fixed(8.0);
-/// assert_eq!(places.open, places.all);
+/// let capacity = route::Capacity::fixed(8.0);
+/// assert_eq!(capacity.usable, capacity.total);
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Capacity {
     /// Requests that this entry may run at once just now: those that run,
     /// and as many more as there is room for.
-    pub open: f64,
+    pub usable: f64,
     /// This entry's own part of all places.
-    pub part: f64,
+    pub own_share: f64,
     /// Places for the requests of all entries.
-    pub all: f64,
+    pub total: f64,
     /// Room beyond those, where requests wait at the targets so that no
     /// place is ever empty.
-    pub spare: f64,
+    pub overcommit: f64,
 }
 
 impl Capacity {
@@ -25,10 +25,10 @@
     #[must_use]
     pub const fn fixed(count: f64) -> Self {
         Capacity {
-            open: count,
-            part: count,
-            all: count,
-            spare: 0.0,
+            usable: count,
+            own_share: count,
+            total: count,
+            overcommit: 0.0,
         }
     }
 }
--- a/crates/route/src/concurrency_limit.rs
+++ b/crates/route/src/concurrency_limit.rs
@@ -8,9 +8,9 @@
 /// use route::ConcurrencyLimit;
 ///
 /// let mut limit = ConcurrencyLimit::new(10);
-/// limit.full();
+/// limit.on_overload();
 /// assert!(limit.current() < 10.0);
-/// limit.on_time(9.0);
+/// limit.on_success(9.0);
 /// assert!(limit.current() > 9.0);
 /// ```
 #[derive(Clone, Debug, PartialEq)]
@@ -52,14 +52,14 @@
     }
 
     /// An answer came in the expected time while `running` ran.
-    pub fn on_time(&mut self, running: f64) {
+    pub fn on_success(&mut self, running: f64) {
         if running >= self.current / 2.0 {
             self.current = (self.current + 1.0 / self.current).min(self.ceiling);
         }
     }
 
     /// The target refused for want of room, or an answer came far too late.
-    pub fn full(&mut self) {
+    pub fn on_overload(&mut self) {
         self.current = (self.current * DECREASE).max(FLOOR);
     }
 }
--- a/crates/route/src/ejection.rs
+++ b/crates/route/src/ejection.rs
@@ -25,7 +25,7 @@
     /// Counts a failure and says whether the target is due to be ejected.
     pub(crate) fn failed(&mut self, tuning: &PoolSettings) -> bool {
         self.failures += 1;
-        self.failures >= tuning.failures
+        self.failures >= tuning.ejection_failures
     }
 
     pub(crate) fn eject(&mut self, now: Instant, tuning: &PoolSettings) {
--- a/crates/route/src/load_report.rs
+++ b/crates/route/src/load_report.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetLoadReport {
     /// When the figures were taken, on the entry's clock.
-    pub taken: Instant,
+    pub taken_at: Instant,
     /// Requests that may run at once; 0 when the target doesn't say.
     pub limit: u32,
     /// Requests that wait for a place at the target.
--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -23,14 +23,14 @@
 /// let now = Instant::now();
 /// let mut pool = Pool::new(PoolSettings::default());
 /// let key = pool.insert("advisor-01", Duration::from_millis(1), StartState::Warm, now);
-/// pool.set_standing(key, TargetStatus::Ready);
+/// pool.set_status(key, TargetStatus::Ready);
 ///
 /// let mut rng = SmallRng::seed_from_u64(1);
 /// let demand = PlacementRequest::of_tokens(300);
 /// let choice = pool.choose(now, &demand, &mut rng).expect("a target is ready");
 /// let attempt = pool.start(now, &choice, &demand);
-/// pool.answered(now + Duration::from_millis(50), attempt);
-/// pool.end(now + Duration::from_secs(1), attempt, route::AttemptResult::Whole);
+/// pool.answer_started(now + Duration::from_millis(50), attempt);
+/// pool.end(now + Duration::from_secs(1), attempt, route::AttemptResult::Completed);
 /// assert_eq!(pool.running(key), 0);
 /// ```
 #[derive(Debug)]
@@ -91,7 +91,7 @@
     }
 
     /// Changes whether the target may be given new work.
-    pub fn set_standing(&mut self, key: TargetKey, standing: TargetStatus) {
+    pub fn set_status(&mut self, key: TargetKey, standing: TargetStatus) {
         let Some(target) = self.targets.get_mut(key) else {
             return;
         };
@@ -153,16 +153,16 @@
 
     /// Places for requests on all ready targets. This looks at each of them.
     #[must_use]
-    pub fn places(&self, now: Instant) -> Capacity {
+    pub fn capacity(&self, now: Instant) -> Capacity {
         let ready = self.ready.iter().filter_map(|key| self.targets.get(*key));
         let ready = ready.filter(|target| !target.ejection.is_active(now));
         let mut places = Capacity::default();
         for target in ready {
             let limit = target.limit.current() * target.warmth(now, &self.tuning);
-            places.all += limit;
-            places.spare += limit * (self.tuning.overcommit - 1.0);
-            places.part += limit * target.share;
-            places.open += f64::from(target.own_running) + target.room(now, &self.tuning);
+            places.total += limit;
+            places.overcommit += limit * (self.tuning.overcommit - 1.0);
+            places.own_share += limit * target.share;
+            places.usable += f64::from(target.own_running) + target.room(now, &self.tuning);
         }
         places
     }
@@ -213,7 +213,7 @@
     }
 
     /// The first token or byte of the attempt's answer has arrived.
-    pub fn answered(&mut self, now: Instant, attempt: AttemptKey) {
+    pub fn answer_started(&mut self, now: Instant, attempt: AttemptKey) {
         let Some(place) = self.attempts.get_mut(attempt) else {
             return;
         };
@@ -239,13 +239,13 @@
         }
         target.ended(now, &place);
         match ending {
-            AttemptResult::Whole => {
+            AttemptResult::Completed => {
                 target.ejection.succeeded();
                 target.held(now.saturating_duration_since(place.started));
             }
-            AttemptResult::Full => target.limit.full(),
+            AttemptResult::Full => target.limit.on_overload(),
             AttemptResult::Failed => self.failed(now, place.target),
-            AttemptResult::Dropped => {}
+            AttemptResult::Cancelled => {}
         }
     }
 
@@ -268,7 +268,7 @@
         let ejected = ready.filter(|target| target.ejection.is_active(now));
         let ejected = ejected.count() + 1;
         let total = self.ready.len();
-        let allowed = to_f64(total) * self.tuning.ejected_share;
+        let allowed = to_f64(total) * self.tuning.max_ejected_share;
         to_f64(ejected) <= allowed.max(1.0) && ejected + KEPT <= total
     }
 
--- a/crates/route/src/pool_settings.rs
+++ b/crates/route/src/pool_settings.rs
@@ -12,24 +12,24 @@
     /// Time over which a fresh target is brought to its full load.
     pub slow_start: Duration,
     /// Failures in a row after which a target is ejected.
-    pub failures: u32,
+    pub ejection_failures: u32,
     /// First time of ejection; doubles with each further one.
     pub ejection: Duration,
     /// Longest time of ejection.
     pub ejection_max: Duration,
     /// Largest part of the targets that may be ejected at once.
-    pub ejected_share: f64,
+    pub max_ejected_share: f64,
     /// How far above the mean load prefix affinity may lift a target.
     pub affinity_bound: f64,
     /// Step time assumed of a target that reports none.
-    pub step: Duration,
+    pub default_step: Duration,
     /// Steps for each prompt token of a prefill, as first assumed.
     pub steps_per_token: f64,
     /// How far above its limit a target is filled, so that when one request
     /// ends the next one is there already.
     pub overcommit: f64,
     /// Requests at once that a target is first trusted with.
-    pub limit: u32,
+    pub initial_limit: u32,
 }
 
 impl Default for PoolSettings {
@@ -38,15 +38,15 @@
             samples: 16,
             share: 1.0,
             slow_start: Duration::from_secs(10),
-            failures: 3,
+            ejection_failures: 3,
             ejection: Duration::from_secs(2),
             ejection_max: Duration::from_secs(30),
-            ejected_share: 0.34,
+            max_ejected_share: 0.34,
             affinity_bound: 1.25,
-            step: Duration::from_millis(25),
+            default_step: Duration::from_millis(25),
             steps_per_token: 0.004,
             overcommit: 1.125,
-            limit: 64,
+            initial_limit: 64,
         }
     }
 }
--- a/crates/route/src/quota_allocator.rs
+++ b/crates/route/src/quota_allocator.rs
@@ -39,7 +39,7 @@
     /// Hash of the account's name.
     pub account: u32,
     /// Of [`FULL_QUOTA`].
-    pub part: u32,
+    pub share: u32,
 }
 
 /// Gives out the parts of all accounts' limits, at one leader.
@@ -102,7 +102,7 @@
     /// let mut exchange = QuotaAllocator::new(began, lease);
     /// let used = QuotaUsage { account: 7, demand: 100, held: 0 };
     /// let parts = exchange.report(1, 1, &[used], began + lease);
-    /// assert_eq!(parts[0].part, FULL_QUOTA);
+    /// assert_eq!(parts[0].share, FULL_QUOTA);
     /// ```
     #[must_use]
     pub fn new(began: Instant, lease: Duration) -> Self {
@@ -128,7 +128,7 @@
     /// let (began, lease) = (Instant::now(), Duration::from_secs(3));
     /// let mut exchange = QuotaAllocator::new(began, lease);
     /// let held = QuotaUsage { account: 7, demand: 100, held: 400 };
-    /// assert_eq!(exchange.report(1, 1, &[held], began)[0].part, 400);
+    /// assert_eq!(exchange.report(1, 1, &[held], began)[0].share, 400);
     /// ```
     pub fn report(
         &mut self,
@@ -191,12 +191,12 @@
         let account = self.accounts.entry(used.account).or_default();
         let asked = account.ask(entry, used.demand, now, self.lease);
         let free = FULL_QUOTA.saturating_sub(account.taken - asked.outstanding);
-        let part = if settled {
+        let share = if settled {
             account.level.part(used.demand).min(free)
         } else {
             used.held.min(free)
         };
-        let outstanding = part.max(used.held);
+        let outstanding = share.max(used.held);
         account.hold(
             entry,
             Holding {
@@ -206,7 +206,7 @@
         );
         Some(QuotaGrant {
             account: used.account,
-            part,
+            share,
         })
     }
 }
--- a/crates/route/src/retry_after_schedule.rs
+++ b/crates/route/src/retry_after_schedule.rs
@@ -22,10 +22,10 @@
 /// let (least, most) = (Duration::from_secs(1), Duration::from_secs(3));
 /// let mut schedule = RetryAfterSchedule::new(least);
 /// for _ in 0..8 {
-///     schedule.ended(now);
+///     schedule.record_completion(now);
 /// }
 /// // Four requests end in a second, so the first eight find room within two.
-/// let told: Vec<Duration> = (0..8).map(|_| schedule.next(most, now)).collect();
+/// let told: Vec<Duration> = (0..8).map(|_| schedule.next_retry_after(most, now)).collect();
 /// assert_eq!(told[0], least);
 /// assert_eq!(told[7], Duration::from_secs(2));
 /// ```
@@ -50,13 +50,13 @@
     }
 
     /// A request has ended, and so there was room for another one.
-    pub fn ended(&mut self, now: Instant) {
+    pub fn record_completion(&mut self, now: Instant) {
         self.forget(now);
         self.ended.push_back(now);
     }
 
     /// When one more caller may come back, after `most` at the latest.
-    pub fn next(&mut self, most: Duration, now: Instant) -> Duration {
+    pub fn next_retry_after(&mut self, most: Duration, now: Instant) -> Duration {
         self.forget(now);
         let most = most.max(self.least);
         let before = u32::try_from(self.told.len()).unwrap_or(u32::MAX);
--- a/crates/route/src/start_state.rs
+++ b/crates/route/src/start_state.rs
@@ -9,5 +9,5 @@
     Warm,
     /// It has just started: its caches are cold, and it is brought up to its
     /// load slowly.
-    Fresh,
+    Cold,
 }
--- a/crates/route/src/startup_grace.rs
+++ b/crates/route/src/startup_grace.rs
@@ -17,27 +17,27 @@
 ///
 /// let began = Instant::now();
 /// let deadline = began + Duration::from_secs(8);
-/// let until = StartupGrace::default().waits_until(began, deadline, began);
+/// let until = StartupGrace::default().wait_until(began, deadline, began);
 /// assert!(until.is_some_and(|until| until < deadline));
 /// let later = began + Duration::from_secs(5);
-/// assert_eq!(StartupGrace::default().waits_until(began, deadline, later), None);
+/// assert_eq!(StartupGrace::default().wait_until(began, deadline, later), None);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StartupGrace {
     /// Longest absence during which requests wait. Targets tell of themselves
     /// every 1.2 s or so, and replicas of control are up half a second after
     /// entries.
-    pub most: Duration,
+    pub period: Duration,
     /// Part of the time that a request has left that it may wait; the rest is
     /// for its answer.
-    pub share: f64,
+    pub wait_share: f64,
 }
 
 impl Default for StartupGrace {
     fn default() -> Self {
         StartupGrace {
-            most: Duration::from_millis(1_300),
-            share: 1.0 / 3.0,
+            period: Duration::from_millis(1_300),
+            wait_share: 1.0 / 3.0,
         }
     }
 }
@@ -46,10 +46,10 @@
     /// When a request that comes `now` stops waiting; none if it is refused at
     /// once. The absence began at `since`.
     #[must_use]
-    pub fn waits_until(&self, since: Instant, deadline: Instant, now: Instant) -> Option<Instant> {
-        let over = since + self.most;
+    pub fn wait_until(&self, since: Instant, deadline: Instant, now: Instant) -> Option<Instant> {
+        let over = since + self.period;
         let left = deadline.saturating_duration_since(now);
-        let until = over.min(now + left.mul_f64(self.share));
+        let until = over.min(now + left.mul_f64(self.wait_share));
         (until > now).then_some(until)
     }
 }
--- a/crates/route/src/step_time_model.rs
+++ b/crates/route/src/step_time_model.rs
@@ -16,7 +16,7 @@
 /// let pace = StepTimeModel::new(Duration::from_micros(5_850), Duration::from_micros(355));
 /// let most = Duration::from_millis(120);
 /// // Twelve requests make pauses of 130 ms: fewer would be on time.
-/// let fits = pace.fits(12.0, Duration::from_millis(130), most);
+/// let fits = pace.max_concurrency(12.0, Duration::from_millis(130), most);
 /// assert!((6.0..9.0).contains(&fits));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -48,12 +48,12 @@
     /// use std::time::Duration;
     ///
     /// let pace = StepTimeModel::new(Duration::from_millis(6), Duration::from_millis(1));
-    /// assert!((pace.keeps_up(12.0, 1.0) - 12.0).abs() < 1e-9);
-    /// assert!((pace.keeps_up(12.0, 1.5) - 6.0).abs() < 1e-9);
-    /// assert!(pace.keeps_up(12.0, 4.0) < 1e-9);
+    /// assert!((pace.equivalent_concurrency(12.0, 1.0) - 12.0).abs() < 1e-9);
+    /// assert!((pace.equivalent_concurrency(12.0, 1.5) - 6.0).abs() < 1e-9);
+    /// assert!(pace.equivalent_concurrency(12.0, 4.0) < 1e-9);
     /// ```
     #[must_use]
-    pub fn keeps_up(&self, slots: f64, slowdown: f64) -> f64 {
+    pub fn equivalent_concurrency(&self, slots: f64, slowdown: f64) -> f64 {
         let full = self.step + self.for_each * slots;
         ((full / slowdown - self.step) / self.for_each).max(0.0)
     }
@@ -61,7 +61,7 @@
     /// Requests with which pauses stay below `most`, if `running` of them make
     /// pauses of `pause`.
     #[must_use]
-    pub fn fits(&self, running: f64, pause: Duration, most: Duration) -> f64 {
+    pub fn max_concurrency(&self, running: f64, pause: Duration, most: Duration) -> f64 {
         let now = self.step + self.for_each * running;
         let longer = AIM * most.as_secs_f64() / pause.as_secs_f64().max(f64::MIN_POSITIVE);
         (now * longer - self.step) / self.for_each
--- a/crates/route/src/target.rs
+++ b/crates/route/src/target.rs
@@ -63,17 +63,17 @@
         Target {
             name: name.to_owned(),
             name_hash: hash_bytes(name.bytes()),
-            standing: TargetStatus::Absent,
+            standing: TargetStatus::Unavailable,
             ejection: Ejection::default(),
             cache: Cache::default(),
-            limit: ConcurrencyLimit::new(tuning.limit),
+            limit: ConcurrencyLimit::new(tuning.initial_limit),
             own_running: 0,
             own_suspects: 0,
             share: tuning.share,
             distance: distance.as_secs_f64(),
             ranks: vec![Rank::default()],
             since: now,
-            arrival: StartState::Fresh,
+            arrival: StartState::Cold,
             reported: None,
             queued: 0.0,
             factor: 1.0,
@@ -91,29 +91,29 @@
     pub(crate) fn restart(&mut self, now: Instant, tuning: &PoolSettings) {
         self.ejection = Ejection::default();
         self.cache = Cache::default();
-        self.limit = ConcurrencyLimit::new(tuning.limit);
+        self.limit = ConcurrencyLimit::new(tuning.initial_limit);
         self.ranks = vec![Rank::default()];
         self.own_running = 0;
         self.own_suspects = 0;
         self.waiting.clear();
         self.since = now;
-        self.arrival = StartState::Fresh;
+        self.arrival = StartState::Cold;
         self.reported = None;
         self.queued = 0.0;
         self.factor = 1.0;
     }
 
     pub(crate) fn report(&mut self, report: &TargetLoadReport) {
-        if self.reported.is_some_and(|last| report.taken < last) {
+        if self.reported.is_some_and(|last| report.taken_at < last) {
             return;
         }
-        self.reported = Some(report.taken);
+        self.reported = Some(report.taken_at);
         self.queued = f64::from(report.queued);
         let numbers: Vec<u32> = report.ranks.iter().map(|row| row.rank).collect();
         self.set_ranks(&numbers);
         for row in &report.ranks {
             if let Some(rank) = self.rank_mut(row.rank) {
-                rank.reported(*row, report.taken);
+                rank.reported(*row, report.taken_at);
             }
         }
         if report.limit > 0 {
@@ -170,7 +170,7 @@
     /// rank those of the whole group.
     fn prefill_seconds(&self, rank: &Rank, tokens: f64, tuning: &PoolSettings) -> f64 {
         let step = if rank.report.step.is_zero() {
-            tuning.step.as_secs_f64()
+            tuning.default_step.as_secs_f64()
         } else {
             rank.report.step.as_secs_f64()
         };
@@ -266,9 +266,9 @@
         self.factor = factor.clamp(1.0 / FACTOR_MAX, FACTOR_MAX);
         let running = self.running();
         if served > LATE * expected.max(LATE_FLOOR) && running > self.limit.current() / 2.0 {
-            self.limit.full();
+            self.limit.on_overload();
         } else {
-            self.limit.on_time(running);
+            self.limit.on_success(running);
         }
     }
 
--- a/crates/route/src/target_set.rs
+++ b/crates/route/src/target_set.rs
@@ -51,33 +51,33 @@
     /// that waits there begins as soon as another one ends, a whole round trip
     /// sooner than one that is sent then. Those that wait longer than their
     /// objective allows only make all that come after them late too.
-    pub waiting: f64,
+    pub queue_per_slot: f64,
     /// How the pauses of a target's streams grow with what it runs, where it
     /// is a model engine.
-    pub pace: Option<StepTimeModel>,
+    pub step_time: Option<StepTimeModel>,
     /// Slots that a target in another availability zone must have more free
     /// than one near by to be preferred. One such slot saves a third of the
     /// bytes between zones; the loads of targets differ by as much anyway.
-    pub far: f64,
+    pub cross_zone_penalty: f64,
     /// How long a target that could not be reached is passed over at first;
     /// each further failure doubles it.
-    pub eject: Duration,
+    pub ejection: Duration,
     /// Longest time that it is passed over.
-    pub eject_most: Duration,
+    pub ejection_max: Duration,
     /// How long a target that said that it did not run a request is passed
     /// over: a group that forms anew declines all for half a second or so.
-    pub declined: Duration,
+    pub decline_backoff: Duration,
 }
 
 impl Default for TargetSetSettings {
     fn default() -> Self {
         TargetSetSettings {
-            waiting: 1.0,
-            pace: None,
-            far: 1.0,
-            eject: Duration::from_millis(500),
-            eject_most: Duration::from_secs(8),
-            declined: Duration::from_millis(200),
+            queue_per_slot: 1.0,
+            step_time: None,
+            cross_zone_penalty: 1.0,
+            ejection: Duration::from_millis(500),
+            ejection_max: Duration::from_secs(8),
+            decline_backoff: Duration::from_millis(200),
         }
     }
 }
@@ -86,9 +86,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Locality {
     /// In the entry's own availability zone.
-    Near,
+    SameZone,
     /// In another one.
-    Far,
+    OtherZone,
 }
 
 /// The targets of one service that all entries reach straight, and the choice
@@ -105,7 +105,7 @@
 ///
 /// let now = Instant::now();
 /// let mut target_set = TargetSet::new(TargetSetSettings::default());
-/// let key = target_set.insert(6, Locality::Near);
+/// let key = target_set.insert(6, Locality::SameZone);
 /// let mut rng = SmallRng::seed_from_u64(1);
 /// assert_eq!(target_set.choose(&[], now, &mut rng), Some(key));
 /// target_set.start(key);
@@ -161,7 +161,7 @@
     }
 
     /// Changes whether a target may be given new work.
-    pub fn set_open(&mut self, key: TargetKey, open: bool) {
+    pub fn set_accepting(&mut self, key: TargetKey, open: bool) {
         if let Some(target) = self.targets.get_mut(key) {
             target.open = open;
         }
@@ -186,13 +186,13 @@
     /// Whether a target is so slow that the streams which it runs should go on
     /// at others.
     #[must_use]
-    pub fn sheds(&self, key: TargetKey) -> bool {
+    pub fn should_migrate_streams(&self, key: TargetKey) -> bool {
         self.targets.get(key).is_some_and(TargetState::sheds)
     }
 
     /// The target at which a stream of a slow one goes on. Pauses that are too
     /// long are no reason against it: the slow target causes them.
-    pub fn choose_to_move(
+    pub fn choose_for_migration(
         &self,
         tried: &[TargetKey],
         now: Instant,
@@ -209,7 +209,7 @@
 
     /// A target was heard of. Its address was another one's for a while if it
     /// was replaced before.
-    pub fn heard(&mut self, key: TargetKey, at: Instant) {
+    pub fn record_announcement(&mut self, key: TargetKey, at: Instant) {
         if let Some(target) = self.targets.get_mut(key) {
             target.heard(at);
         }
@@ -229,7 +229,7 @@
         now: Instant,
         rng: &mut impl Rng,
     ) -> Option<TargetKey> {
-        self.choose_in(Duration::MAX, tried, now, rng)
+        self.choose_within(Duration::MAX, tried, now, rng)
     }
 
     /// As [`TargetSet::choose`], for a request that is on time if it begins to be
@@ -239,7 +239,7 @@
     /// by Little's law one becomes free each time that a request runs, divided
     /// by the slots. One whose time is over gets a place only while some are
     /// left for those that can be on time.
-    pub fn choose_in(
+    pub fn choose_within(
         &mut self,
         left: Duration,
         tried: &[TargetKey],
@@ -285,7 +285,7 @@
 
     /// When a target that declined may be tried again.
     #[must_use]
-    pub fn next_trial(&self) -> Option<Instant> {
+    pub fn next_probe(&self) -> Option<Instant> {
         if let Some((_, since)) = self.trial {
             return Some(since + TRIAL);
         }
@@ -329,7 +329,7 @@
 
     /// Targets that take new work when they have room.
     #[must_use]
-    pub fn available(&self) -> usize {
+    pub fn available_count(&self) -> usize {
         let available = |target: &&TargetState| target.is_available();
         self.targets.values().filter(available).count()
     }
@@ -342,7 +342,7 @@
     }
 
     /// A target tells its load, which counts requests of all entries.
-    pub fn told(&mut self, key: TargetKey, load: ReportedLoad, now: Instant) {
+    pub fn report_load(&mut self, key: TargetKey, load: ReportedLoad, now: Instant) {
         if let Some(target) = self.targets.get_mut(key) {
             target.take(load, now);
         }
@@ -350,13 +350,13 @@
 
     /// What is known of a target's load, if it is in the set.
     #[must_use]
-    pub fn seen(&self, key: TargetKey, now: Instant) -> Option<LoadEstimate> {
+    pub fn load_estimate(&self, key: TargetKey, now: Instant) -> Option<LoadEstimate> {
         self.targets.get(key).map(|target| target.seen(now))
     }
 
     /// A stream of a target paused for so long between two events, and is late
     /// if it pauses for longer than `most`.
-    pub fn paused(&mut self, key: TargetKey, pause: Duration, most: Duration, now: Instant) {
+    pub fn record_pause(&mut self, key: TargetKey, pause: Duration, most: Duration, now: Instant) {
         if let Some(target) = self.targets.get_mut(key) {
             target.paused(pause, most, now);
         }
@@ -372,7 +372,7 @@
     }
 
     /// A request was answered in full, for which it took so long.
-    pub fn ran(&mut self, time: Duration) {
+    pub fn record_duration(&mut self, time: Duration) {
         self.runs = Some(match self.runs {
             Some(usual) => usual.mul_f64(1.0 - RUNS_WEIGHT) + time.mul_f64(RUNS_WEIGHT),
             None => time,
--- a/crates/route/src/target_state.rs
+++ b/crates/route/src/target_state.rs
@@ -99,7 +99,7 @@
         tuning: &TargetSetSettings,
         now: Instant,
     ) -> bool {
-        let begins = tuning.pace.is_none() || self.begins_in_time(demand);
+        let begins = tuning.step_time.is_none() || self.begins_in_time(demand);
         begins && self.has_slot(tuning) && self.occupied() < self.on_time(tuning, now)
     }
 
@@ -116,7 +116,7 @@
 
     /// Whether a request could run or wait there, however late its events.
     pub(crate) fn has_slot(&self, tuning: &TargetSetSettings) -> bool {
-        self.occupied() < self.capacity * (1.0 + tuning.waiting)
+        self.occupied() < self.capacity * (1.0 + tuning.queue_per_slot)
     }
 
     /// Requests with which its streams don't pause for too long.
@@ -124,10 +124,10 @@
         let pauses = self
             .pauses
             .filter(|p| now.saturating_duration_since(p.at) < PAUSES_LAST);
-        let Some((pace, pauses)) = tuning.pace.zip(pauses) else {
+        let Some((pace, pauses)) = tuning.step_time.zip(pauses) else {
             return f64::INFINITY;
         };
-        let fits = pace.fits(self.occupied(), pauses.usual, pauses.most);
+        let fits = pace.max_concurrency(self.occupied(), pauses.usual, pauses.most);
         fits.max(self.capacity * LEAST_USED)
     }
 
@@ -146,16 +146,16 @@
     /// Part of the slots that one request more would take.
     pub(crate) fn cost(&self, tuning: &TargetSetSettings) -> f64 {
         let far = match self.distance {
-            Locality::Near => 0.0,
-            Locality::Far => tuning.far,
+            Locality::SameZone => 0.0,
+            Locality::OtherZone => tuning.cross_zone_penalty,
         };
         (self.occupied() + 1.0 + far) / self.capacity
     }
 
     /// It takes so many times longer for its work than the fastest target.
     pub(crate) fn set_slowdown(&mut self, slowdown: f64, tuning: &TargetSetSettings) {
-        self.capacity = match tuning.pace {
-            Some(pace) => pace.keeps_up(self.slots, slowdown),
+        self.capacity = match tuning.step_time {
+            Some(pace) => pace.equivalent_concurrency(self.slots, slowdown),
             None => self.slots / slowdown,
         };
     }
@@ -209,12 +209,12 @@
                 self.unable_until = None;
             }
             DispatchOutcome::Failed => {
-                let doubled = tuning.eject * (1 << self.failures.min(8));
+                let doubled = tuning.ejection * (1 << self.failures.min(8));
                 self.failures += 1;
-                self.ejected_until = Some(now + doubled.min(tuning.eject_most));
+                self.ejected_until = Some(now + doubled.min(tuning.ejection_max));
             }
             DispatchOutcome::Declined => {
-                let until = Some(now + tuning.declined);
+                let until = Some(now + tuning.decline_backoff);
                 if self.tells_places_free() {
                     self.unable_until = until;
                 } else {
--- a/crates/route/src/target_status.rs
+++ b/crates/route/src/target_status.rs
@@ -6,8 +6,8 @@
     /// Offered, announced, healthy and reachable.
     Ready,
     /// It finishes what it has and takes nothing new.
-    Leaving,
+    Draining,
     /// Not offered, not announced, not healthy or not reachable.
     #[default]
-    Absent,
+    Unavailable,
 }
--- a/crates/route/src/token_bucket.rs
+++ b/crates/route/src/token_bucket.rs
@@ -36,7 +36,7 @@
     }
 
     /// Changes the rate and keeps what has been used.
-    pub fn set(&mut self, per_second: f64, now: Instant) {
+    pub fn set_rate(&mut self, per_second: f64, now: Instant) {
         self.refill(now);
         if self.per_second <= 0.0 {
             self.level = per_second * BURST;
--- a/crates/route/tests/absence.rs
+++ b/crates/route/tests/absence.rs
@@ -15,7 +15,7 @@
     let back = began + Duration::from_secs(1);
     let waiting = (0..1_000).filter(|n| {
         let came = began + Duration::from_millis(*n);
-        let until = absence.waits_until(began, came + STREAM, came);
+        let until = absence.wait_until(began, came + STREAM, came);
         until.is_some_and(|until| until >= back)
     });
     assert_eq!(waiting.count(), 1_000);
@@ -29,7 +29,7 @@
     let began = Instant::now();
     for later in 2..60 {
         let now = began + Duration::from_secs(later);
-        assert_eq!(absence.waits_until(began, now + STREAM, now), None);
+        assert_eq!(absence.wait_until(began, now + STREAM, now), None);
     }
 }
 
@@ -38,7 +38,7 @@
 fn waits_until_little_time_left() {
     let absence = StartupGrace::default();
     let now = Instant::now();
-    let until = absence.waits_until(now, now + Duration::from_millis(300), now);
+    let until = absence.wait_until(now, now + Duration::from_millis(300), now);
     assert_eq!(until, Some(now + Duration::from_millis(100)));
-    assert_eq!(absence.waits_until(now, now, now), None);
+    assert_eq!(absence.wait_until(now, now, now), None);
 }
--- a/crates/route/tests/admission.rs
+++ b/crates/route/tests/admission.rs
@@ -13,7 +13,7 @@
 
 fn admission(places: f64) -> Admission {
     let mut admission = Admission::new(AdmissionSettings::default());
-    admission.set_places(Capacity::fixed(places));
+    admission.set_capacity(Capacity::fixed(places));
     admission
 }
 
@@ -27,12 +27,14 @@
     let small = [(); 9].map(|()| admission.insert(AccountLimits::default(), now));
     let mut running = Vec::new();
     for _ in 0..100 {
-        if let AdmissionDecision::Now(ticket) = admission.enter(now, large, 500, 1, now + LONG) {
+        if let AdmissionDecision::Admitted(ticket) =
+            admission.submit(now, large, 500, 1, now + LONG)
+        {
             running.push(ticket);
         }
     }
     assert!(running.len() < 10, "the reserve is kept free");
-    let first = admission.enter(now, small[0], 500, 1, now + LONG);
+    let first = admission.submit(now, small[0], 500, 1, now + LONG);
     assert!(matches!(first, AdmissionDecision::Queued(_)));
     let AdmissionDecision::Queued(ticket) = first else {
         return;
@@ -57,17 +59,20 @@
     };
     let deadline = now + LONG;
     assert_eq!(
-        refused(admission.enter(now, account, 150, 1, deadline)),
+        refused(admission.submit(now, account, 150, 1, deadline)),
         None
     );
-    let second = admission.enter(now, account, 150, 1, deadline);
+    let second = admission.submit(now, account, 150, 1, deadline);
     assert_eq!(refused(second), Some(RefusalReason::TokenRate));
     for _ in 0..3 {
-        assert_eq!(refused(admission.enter(now, account, 1, 1, deadline)), None);
+        assert_eq!(
+            refused(admission.submit(now, account, 1, 1, deadline)),
+            None
+        );
     }
-    let fifth = admission.enter(now, account, 1, 1, deadline);
+    let fifth = admission.submit(now, account, 1, 1, deadline);
     assert_eq!(refused(fifth), Some(RefusalReason::Concurrency));
-    assert_eq!(admission.running_of(account), 2);
+    assert_eq!(admission.running_for(account), 2);
 }
 
 /// More requests come than can ever be run. Whoever is refused should be the
@@ -81,7 +86,7 @@
     };
     let mut admission = Admission::new(settings);
     let account = admission.insert(AccountLimits::default(), now);
-    let mut enter = |priority| admission.enter(now, account, 1, priority, now + LONG);
+    let mut enter = |priority| admission.submit(now, account, 1, priority, now + LONG);
     let AdmissionDecision::Queued(low) = enter(1) else {
         unreachable!("nothing has a place");
     };
@@ -102,7 +107,7 @@
     let account = admission.insert(AccountLimits::default(), now);
     let deadline = now + Duration::from_secs(1);
     assert!(matches!(
-        admission.enter(now, account, 1, 1, deadline),
+        admission.submit(now, account, 1, 1, deadline),
         AdmissionDecision::Queued(_)
     ));
     let advance = admission.advance(deadline);
@@ -121,11 +126,11 @@
     let second = Duration::from_secs(1);
     let mut now = began;
     while now < began + settings.standing_after {
-        admission.enter(now, account, 1, 1, now + LONG);
+        admission.submit(now, account, 1, 1, now + LONG);
         assert!(admission.advance(now).refused.is_empty());
         now += second;
     }
-    let newest = admission.enter(now, account, 1, 1, now + LONG);
+    let newest = admission.submit(now, account, 1, 1, now + LONG);
     let refused = admission.advance(now).refused;
     assert_eq!(refused.len(), 20, "all but the newest have waited too long");
     assert!(
@@ -148,13 +153,13 @@
     let settings = AdmissionSettings::default();
     let mut admission = Admission::new(settings);
     let account = admission.insert(AccountLimits::default(), began);
-    let AdmissionDecision::Queued(first) = admission.enter(began, account, 1, 1, began + LONG)
+    let AdmissionDecision::Queued(first) = admission.submit(began, account, 1, 1, began + LONG)
     else {
         unreachable!("there is no place");
     };
     let later = began + settings.standing_after / 2;
     admission.release(first, 0);
-    admission.enter(later, account, 1, 1, later + LONG);
+    admission.submit(later, account, 1, 1, later + LONG);
     let end = began + settings.standing_after + settings.standing_wait;
     assert!(admission.advance(end).refused.is_empty());
     let standing = later + settings.standing_after;
@@ -186,8 +191,8 @@
                 let deadline = now + Duration::from_millis(300);
                 let tokens = u32::from(amount);
                 let priority = u32::from(what % 4);
-                match admission.enter(now, keys[i], tokens, priority, deadline) {
-                    AdmissionDecision::Now(ticket) | AdmissionDecision::Queued(ticket) => {
+                match admission.submit(now, keys[i], tokens, priority, deadline) {
+                    AdmissionDecision::Admitted(ticket) | AdmissionDecision::Queued(ticket) => {
                         known.insert(ticket, i);
                     }
                     AdmissionDecision::Refused(_) => {}
@@ -197,8 +202,8 @@
             for (ticket, _) in advance.refused {
                 known.remove(&ticket);
             }
-            let over = (1..4_u32).any(|i| admission.running_of(keys[i as usize]) > i);
-            let total: u32 = keys.iter().map(|key| admission.running_of(*key)).sum();
+            let over = (1..4_u32).any(|i| admission.running_for(keys[i as usize]) > i);
+            let total: u32 = keys.iter().map(|key| admission.running_for(*key)).sum();
             let present = admission.running() as usize + admission.waiting();
             if over || admission.running() > 7 || total != admission.running() {
                 return false;
@@ -232,7 +237,7 @@
         let mut of = BTreeMap::new();
         let fill = |admission: &mut Admission, of: &mut BTreeMap<TicketKey, usize>, i: usize| {
             if let AdmissionDecision::Queued(ticket) =
-                admission.enter(now, keys[i], sizes[i], 1, now + LONG)
+                admission.submit(now, keys[i], sizes[i], 1, now + LONG)
             {
                 of.insert(ticket, i);
             }
@@ -240,7 +245,7 @@
         for i in [0, 1, 0, 1] {
             fill(&mut admission, &mut of, i);
         }
-        admission.set_places(Capacity::fixed(1.0));
+        admission.set_capacity(Capacity::fixed(1.0));
         let mut current = admission.advance(now).admitted;
         for _ in 0..2000 {
             let Some(ticket) = current.pop() else {
@@ -301,9 +306,9 @@
     let urgent = admission.insert(AccountLimits::default(), now);
     let idle = admission.insert(AccountLimits::default(), now);
     for _ in 0..2 {
-        let admitted = admission.enter(now, urgent, 1, 2, now + LONG);
+        let admitted = admission.submit(now, urgent, 1, 2, now + LONG);
         assert!(matches!(admitted, AdmissionDecision::Queued(_)));
     }
-    let admitted = admission.enter(now, idle, 1, 1, now + LONG);
+    let admitted = admission.submit(now, idle, 1, 1, now + LONG);
     assert!(matches!(admitted, AdmissionDecision::Refused(r) if r.reason == RefusalReason::Shed));
 }
--- a/crates/route/tests/exchange.rs
+++ b/crates/route/tests/exchange.rs
@@ -23,7 +23,7 @@
 }
 
 fn part(parts: &[QuotaGrant]) -> u32 {
-    parts[0].part
+    parts[0].share
 }
 
 /// A small account whose callers use one entry alone has its whole limit there.
--- a/crates/route/tests/overload.rs
+++ b/crates/route/tests/overload.rs
@@ -59,11 +59,11 @@
 fn on_time(load: f64) -> f64 {
     let pace = StepTimeModel::new(Duration::from_micros(5_850), Duration::from_micros(355));
     let mut target_set = TargetSet::new(TargetSetSettings {
-        waiting: 0.15,
-        pace: Some(pace),
+        queue_per_slot: 0.15,
+        step_time: Some(pace),
         ..TargetSetSettings::default()
     });
-    let keys = (0..ENGINES).map(|_| target_set.insert(SLOTS, Locality::Near));
+    let keys = (0..ENGINES).map(|_| target_set.insert(SLOTS, Locality::SameZone));
     let mut engines: BTreeMap<TargetKey, Engine> =
         keys.map(|key| (key, Engine::default())).collect();
     let mut rng = SmallRng::seed_from_u64(3);
@@ -75,7 +75,7 @@
             let (ended, started) = engine.step(now);
             for _ in 0..ended {
                 target_set.end(*key, DispatchOutcome::Answered, now);
-                target_set.ran(RUNS);
+                target_set.record_duration(RUNS);
             }
             let early = |r: &&Request| now + FIRST_EVENT <= r.came + OBJECTIVE;
             served += started.iter().filter(early).map(|_| 1.0).sum::<f64>();
@@ -92,7 +92,7 @@
         }
         for request in comes {
             let left = (request.came + OBJECTIVE).saturating_duration_since(now);
-            if let Some(key) = target_set.choose_in(left, &[], now, &mut rng) {
+            if let Some(key) = target_set.choose_within(left, &[], now, &mut rng) {
                 target_set.start(key);
                 engines.entry(key).or_default().waits.push_back(request);
             } else if !request.is_back {
--- a/crates/route/tests/pool.rs
+++ b/crates/route/tests/pool.rs
@@ -18,17 +18,17 @@
     };
     let mut pool = Pool::new(tuning);
     let keys = (0..count).map(|i| {
-        let key = pool.insert(&format!("t{i}"), NEAR, StartState::Fresh, now);
-        pool.set_standing(key, TargetStatus::Ready);
+        let key = pool.insert(&format!("t{i}"), NEAR, StartState::Cold, now);
+        pool.set_status(key, TargetStatus::Ready);
         key
     });
     let keys = keys.collect();
     (pool, keys)
 }
 
-fn report(taken: Instant, queued_tokens: u32, step_ms: u64) -> TargetLoadReport {
+fn report(taken_at: Instant, queued_tokens: u32, step_ms: u64) -> TargetLoadReport {
     TargetLoadReport {
-        taken,
+        taken_at,
         limit: 64,
         queued: 0,
         ranks: vec![RankLoadReport {
@@ -111,7 +111,7 @@
         let ending = if choice.target == keys[0] {
             AttemptResult::Failed
         } else {
-            AttemptResult::Whole
+            AttemptResult::Completed
         };
         pool.end(now, attempt, ending);
     }
@@ -153,7 +153,7 @@
         let choice = pool.choose(later, &demand, &mut rng).unwrap();
         assert_ne!(choice.target, stalled.target);
         let attempt = pool.start(later, &choice, &demand);
-        pool.answered(later, attempt);
+        pool.answer_started(later, attempt);
     }
 }
 
@@ -176,11 +176,11 @@
         let choice = pool.choose(now, &demand, &mut rng).unwrap();
         same += u32::from(choice.target == first.target);
         let attempt = pool.start(now, &choice, &demand);
-        pool.answered(now + Duration::from_millis(60), attempt);
+        pool.answer_started(now + Duration::from_millis(60), attempt);
         pool.end(
             now + Duration::from_millis(60),
             attempt,
-            AttemptResult::Whole,
+            AttemptResult::Completed,
         );
     }
     assert!(same >= 18, "{same}");
@@ -215,13 +215,13 @@
 fn restarted_slow_start() {
     let now = Instant::now();
     let mut pool = Pool::new(PoolSettings::default());
-    let key = pool.insert("t", NEAR, StartState::Fresh, now);
-    pool.set_standing(key, TargetStatus::Ready);
+    let key = pool.insert("t", NEAR, StartState::Cold, now);
+    pool.set_status(key, TargetStatus::Ready);
     let later = now + Duration::from_mins(1);
-    let full = pool.places(later).open;
+    let full = pool.capacity(later).usable;
     pool.restarted(later, key);
-    assert!(pool.places(later).open < full / 5.0);
-    let warm = pool.places(later + Duration::from_secs(10)).open;
+    assert!(pool.capacity(later).usable < full / 5.0);
+    let warm = pool.capacity(later + Duration::from_secs(10)).usable;
     assert!((warm - full).abs() < 1e-9);
 }
 
@@ -240,21 +240,21 @@
                 0 => {
                     let all = [
                         TargetStatus::Ready,
-                        TargetStatus::Leaving,
-                        TargetStatus::Absent,
+                        TargetStatus::Draining,
+                        TargetStatus::Unavailable,
                     ];
                     standing[i] = all[usize::from(amount) % 3];
-                    pool.set_standing(keys[i], standing[i]);
+                    pool.set_status(keys[i], standing[i]);
                 }
                 1 => pool.report(keys[i], &report(now, u32::from(amount) * 50, 25)),
                 2 => pool.restarted(now, keys[i]),
                 3 if !running.is_empty() => {
                     let attempt = running.remove(usize::from(which) % running.len());
                     let all = [
-                        AttemptResult::Whole,
+                        AttemptResult::Completed,
                         AttemptResult::Failed,
                         AttemptResult::Full,
-                        AttemptResult::Dropped,
+                        AttemptResult::Cancelled,
                     ];
                     pool.end(now, attempt, all[usize::from(amount) % 4]);
                 }
@@ -293,11 +293,11 @@
     let mut load = report(now, 0, 25);
     load.limit = 8;
     pool.report(keys[0], &load);
-    assert!((pool.places(now).open - 9.0).abs() < 1e-9);
+    assert!((pool.capacity(now).usable - 9.0).abs() < 1e-9);
     load.queued = 9;
     pool.report(keys[0], &load);
     // Its own part is left.
-    assert!((pool.places(now).open - 2.0).abs() < 1e-9);
+    assert!((pool.capacity(now).usable - 2.0).abs() < 1e-9);
 }
 
 /// A target is served by two entries, another one by forty. An entry that took the same
@@ -316,8 +316,8 @@
     pool.set_share(keys[0], 0.5);
     pool.set_share(keys[1], 0.025);
     // The parts of 45 places: 22 and 1.
-    assert!((pool.places(now).open - 23.0).abs() < 1e-9);
-    assert!((pool.places(now).part - 21.0).abs() < 1e-9);
+    assert!((pool.capacity(now).usable - 23.0).abs() < 1e-9);
+    assert!((pool.capacity(now).own_share - 21.0).abs() < 1e-9);
 }
 
 /// A target's only rank is number 2. One that it doesn't have looks idle; a
@@ -343,6 +343,6 @@
     let now = Instant::now();
     let mut pool = Pool::new(PoolSettings::default());
     let key = pool.insert("t", NEAR, StartState::Warm, now);
-    pool.set_standing(key, TargetStatus::Ready);
-    assert!(pool.places(now).open >= 64.0);
+    pool.set_status(key, TargetStatus::Ready);
+    assert!(pool.capacity(now).usable >= 64.0);
 }
--- a/crates/route/tests/target_set.rs
+++ b/crates/route/tests/target_set.rs
@@ -13,11 +13,11 @@
 fn engines(count: usize) -> (TargetSet, Vec<TargetKey>) {
     let pace = StepTimeModel::new(Duration::from_micros(5_850), Duration::from_micros(355));
     let mut target_set = TargetSet::new(TargetSetSettings {
-        waiting: 0.15,
-        pace: Some(pace),
+        queue_per_slot: 0.15,
+        step_time: Some(pace),
         ..TargetSetSettings::default()
     });
-    let keys = (0..count).map(|_| target_set.insert(SLOTS, Locality::Near));
+    let keys = (0..count).map(|_| target_set.insert(SLOTS, Locality::SameZone));
     let keys = keys.collect();
     (target_set, keys)
 }
@@ -57,7 +57,7 @@
     }
     for event in 0..20 {
         let at = now + Duration::from_millis(140) * event;
-        target_set.paused(keys[0], Duration::from_millis(140), LATE, at);
+        target_set.record_pause(keys[0], Duration::from_millis(140), LATE, at);
     }
     let now = now + Duration::from_millis(140) * 20;
     assert_eq!(target_set.choose(&[], now, &mut rng()), None);
@@ -76,7 +76,7 @@
     for _ in 0..12 {
         target_set.start(keys[0]);
     }
-    target_set.paused(keys[0], Duration::from_millis(300), LATE, now);
+    target_set.record_pause(keys[0], Duration::from_millis(300), LATE, now);
     assert_eq!(target_set.choose(&[], now, &mut rng()), None);
     let later = now + Duration::from_secs(2);
     assert_eq!(target_set.choose(&[], later, &mut rng()), Some(keys[0]));
@@ -88,7 +88,7 @@
 fn choose_with_hopeless_pauses() {
     let (mut target_set, keys) = engines(1);
     let now = Instant::now();
-    target_set.paused(keys[0], Duration::from_secs(1), LATE, now);
+    target_set.record_pause(keys[0], Duration::from_secs(1), LATE, now);
     assert_eq!(fill(&mut target_set, &keys, now), [6]);
 }
 
@@ -103,7 +103,7 @@
         running: 12,
         waiting: 2,
     };
-    target_set.told(keys[0], busy, now);
+    target_set.report_load(keys[0], busy, now);
     let mut rng = rng();
     for _ in 0..5 {
         let key = target_set.choose(&[], now, &mut rng).unwrap();
@@ -148,8 +148,8 @@
 #[test]
 fn choose_near_while_loads_are_alike() {
     let mut target_set = TargetSet::new(TargetSetSettings::default());
-    let near = target_set.insert(SLOTS, Locality::Near);
-    let far = target_set.insert(SLOTS, Locality::Far);
+    let near = target_set.insert(SLOTS, Locality::SameZone);
+    let far = target_set.insert(SLOTS, Locality::OtherZone);
     let now = Instant::now();
     let mut rng = rng();
     for _ in 0..20 {
@@ -172,12 +172,12 @@
         target_set.start(key);
         target_set.end(key, DispatchOutcome::Replaced, now);
         // What was told before says nothing of its end.
-        target_set.heard(key, now);
+        target_set.record_announcement(key, now);
         now += Duration::from_secs(30);
     }
     assert!(!target_set.has_available());
     assert_eq!(target_set.choose(&[], now, &mut rng()), None);
-    target_set.heard(keys[0], now);
+    target_set.record_announcement(keys[0], now);
     assert_eq!(target_set.choose(&[], now, &mut rng()), Some(keys[0]));
 }
 
@@ -195,7 +195,7 @@
     while now < back {
         while let Some(key) = target_set.choose(&[], now, &mut rng) {
             target_set.start(key);
-            target_set.told(
+            target_set.report_load(
                 key,
                 ReportedLoad {
                     running: 0,
@@ -211,12 +211,12 @@
     }
     // Each once at first, and then one of them at a time.
     assert!((8..=8 + 56).contains(&declined), "{declined}");
-    let due = target_set.next_trial().unwrap();
+    let due = target_set.next_probe().unwrap();
     let trial = target_set.choose(&[], due, &mut rng).unwrap();
     target_set.start(trial);
     assert_eq!(target_set.choose(&[], due, &mut rng), None);
     // It runs, so the others of its group do too.
-    let later = target_set.next_trial().unwrap();
+    let later = target_set.next_probe().unwrap();
     let sent = (0..40).filter_map(|_| {
         let key = target_set.choose(&[], later, &mut rng)?;
         target_set.start(key);
@@ -233,7 +233,7 @@
     let (mut target_set, keys) = engines(1);
     let now = Instant::now();
     target_set.start(keys[0]);
-    target_set.told(
+    target_set.report_load(
         keys[0],
         ReportedLoad {
             running: SLOTS,
@@ -274,11 +274,11 @@
     for _ in 0..8 {
         target_set.start(keys[0]);
     }
-    assert!(!target_set.sheds(keys[0]));
+    assert!(!target_set.should_migrate_streams(keys[0]));
     target_set.set_slowdowns(&[(keys[0], 12.0), (keys[1], 1.0), (keys[2], 1.0)]);
-    assert!(target_set.sheds(keys[0]));
-    assert!(!target_set.sheds(keys[1]));
-    let moved = target_set.choose_to_move(&[keys[0]], now, &mut rng());
+    assert!(target_set.should_migrate_streams(keys[0]));
+    assert!(!target_set.should_migrate_streams(keys[1]));
+    let moved = target_set.choose_for_migration(&[keys[0]], now, &mut rng());
     assert!(moved.is_some_and(|key| key != keys[0]));
 }
 
@@ -291,9 +291,9 @@
     for _ in 0..8 {
         target_set.start(keys[1]);
     }
-    target_set.paused(keys[1], LATE * 5, LATE, now);
+    target_set.record_pause(keys[1], LATE * 5, LATE, now);
     assert_eq!(target_set.choose(&[keys[0]], now, &mut rng()), None);
-    let moved = target_set.choose_to_move(&[keys[0]], now, &mut rng());
+    let moved = target_set.choose_for_migration(&[keys[0]], now, &mut rng());
     assert_eq!(moved, Some(keys[1]));
 }
 
@@ -303,7 +303,7 @@
 fn choose_in_missed_objective() {
     let (mut target_set, keys) = engines(2);
     let (now, mut rng) = (Instant::now(), rng());
-    while let Some(key) = target_set.choose_in(Duration::ZERO, &[], now, &mut rng) {
+    while let Some(key) = target_set.choose_within(Duration::ZERO, &[], now, &mut rng) {
         target_set.start(key);
     }
     assert_eq!(
@@ -320,9 +320,9 @@
 fn choose_in_time_for_a_slot() {
     let (mut target_set, keys) = engines(1);
     let (now, mut rng) = (Instant::now(), rng());
-    target_set.ran(Duration::from_millis(2_400));
+    target_set.record_duration(Duration::from_millis(2_400));
     let objective = Duration::from_millis(400);
-    while let Some(key) = target_set.choose_in(objective, &[], now, &mut rng) {
+    while let Some(key) = target_set.choose_within(objective, &[], now, &mut rng) {
         target_set.start(key);
     }
     assert_eq!(target_set.running(keys[0]), SLOTS + 1);
