--- a/crates/agent/src/rank_agent.rs
+++ b/crates/agent/src/rank_agent.rs
@@ -224,14 +224,14 @@
         formation: FORMATION,
         horizon: HORIZON,
         cost: MoveCost {
-            expert_bytes: experts.bytes,
+            expert_bytes: experts.bytes_per_expert,
             store_bytes_per_s: experts.bytes_per_second,
             slowdown,
             store_price: 0.0,
             plan_bytes: u64::MAX,
         },
         timing: SWITCH,
-        most_new: usize::try_from(experts.most_new).unwrap_or(usize::MAX),
+        most_new: usize::try_from(experts.max_new_per_layer).unwrap_or(usize::MAX),
         start: StartMap::Bare,
         need: Some(SwitchNeed {
             step: pause.mul_f64(FAST_PASS),
@@ -242,14 +242,14 @@
 }
 
 fn group(state: &ArmingState, experts: Experts) -> Group {
-    let even = experts.experts.div_ceil(state.ranks.max(1));
+    let even = experts.experts_per_layer.div_ceil(state.ranks.max(1));
     Group {
         name: state.group.clone(),
         model: String::new(),
         ranks: state.ranks,
         layers: experts.layers,
-        experts: experts.experts,
-        spare_slots: experts.slots.saturating_sub(even),
+        experts: experts.experts_per_layer,
+        spare_slots: experts.slots_per_layer.saturating_sub(even),
         weights: Weights {
             skew: 1.0,
             moves: 1.0,
--- a/crates/direct/src/dispatch.rs
+++ b/crates/direct/src/dispatch.rs
@@ -15,7 +15,7 @@
 use route::TargetKey;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use table::{Kind, Route};
+use table::{RequestKind, Route};
 use tokio::time::timeout;
 
 /// Attempts that fail before anything is written, at most: they cost a target
@@ -27,7 +27,7 @@
     pub(crate) req: ProxyRequest,
     pub(crate) account: Option<String>,
     pub(crate) service: String,
-    pub(crate) kind: Kind,
+    pub(crate) kind: RequestKind,
     pub(crate) deadline: Instant,
     /// Until when its first answer is on time; none if it came too late for that.
     on_time_until: Option<Instant>,
@@ -117,7 +117,7 @@
     }
 
     fn is_stream(&self) -> bool {
-        matches!(self.kind, Kind::Stream { .. })
+        matches!(self.kind, RequestKind::Stream { .. })
     }
 
     /// Takes a place, and waits for a target to come while the service has none.
@@ -180,7 +180,7 @@
     /// go on, if that one is too slow.
     pub(crate) fn place_to_move(&mut self, permit: &Permit) -> Option<Permit> {
         let now = Instant::now();
-        let movable = self.kind.repeats() && self.attempts > 0 && permit.sheds(now);
+        let movable = self.kind.may_repeat() && self.attempts > 0 && permit.sheds(now);
         if !movable {
             return None;
         }
@@ -229,7 +229,7 @@
         if reason == Reason::NoTarget {
             return self.unsent < MOST_UNSENT;
         }
-        let allowed = reason.not_run() || self.kind.repeats();
+        let allowed = reason.not_run() || self.kind.may_repeat();
         let now = Instant::now();
         let again = allowed && self.attempts > 0 && self.placer.withdraw(&self.service, now);
         if again {
--- a/crates/direct/src/dispatch_attempts.rs
+++ b/crates/direct/src/dispatch_attempts.rs
@@ -34,7 +34,7 @@
         mut permit: Permit,
         after: Option<u64>,
     ) -> AttemptOutcome {
-        let reuse = if self.kind.repeats() {
+        let reuse = if self.kind.may_repeat() {
             Reuse::Kept
         } else {
             Reuse::Fresh
@@ -57,7 +57,7 @@
             return AttemptOutcome::Missed(Reason::Declined);
         }
         self.attempts -= 1;
-        if head.status.is_server_error() && self.kind.repeats() && self.attempts > 0 {
+        if head.status.is_server_error() && self.kind.may_repeat() && self.attempts > 0 {
             self.log_miss(&permit, "failed", head.status.as_str());
             return match self.whole(head, permit).await {
                 Ok(answer) => AttemptOutcome::Failed(answer),
@@ -103,7 +103,7 @@
     /// Whether another target would take it now.
     fn may_move(&self) -> bool {
         let now = Instant::now();
-        let allowed = self.kind.repeats() && self.attempts > 1;
+        let allowed = self.kind.may_repeat() && self.attempts > 1;
         let left = self.left_on_time(now);
         allowed
             && self
--- a/crates/direct/src/service_targets.rs
+++ b/crates/direct/src/service_targets.rs
@@ -163,7 +163,10 @@
     };
     TargetSetSettings {
         queue_per_slot: ENGINE_WAITING,
-        step_time: Some(StepTimeModel::new(engine.step, engine.step_per_request)),
+        step_time: Some(StepTimeModel::new(
+            engine.base_step,
+            engine.step_per_request,
+        )),
         ..TargetSetSettings::default()
     }
 }
--- a/crates/direct/src/stream.rs
+++ b/crates/direct/src/stream.rs
@@ -13,7 +13,7 @@
 use route::DispatchOutcome;
 use std::io;
 use std::time::Instant;
-use table::Kind;
+use table::RequestKind;
 use tokio::time::timeout;
 
 /// A stream on its way to the caller.
@@ -39,12 +39,12 @@
 
 impl Source {
     /// Learns from the pause before the events that have come.
-    fn heard(&mut self, kind: Kind) {
+    fn heard(&mut self, kind: RequestKind) {
         let now = Instant::now();
         let before = self.heard.replace(now);
         if let (
             Some(before),
-            Kind::Stream {
+            RequestKind::Stream {
                 pause: Some(most), ..
             },
         ) = (before, kind)
@@ -179,7 +179,7 @@
     }
 
     fn can_go_on(&self) -> bool {
-        self.dispatch.kind.repeats()
+        self.dispatch.kind.may_repeat()
     }
 
     /// Moves to another target if that of the stream is so slow that it delays
--- a/crates/table/src/caller_limits.rs
+++ b/crates/table/src/caller_limits.rs
@@ -10,9 +10,9 @@
     /// Bytes of a request's body at most.
     pub body_bytes: usize,
     /// Time from the first byte of a head to its last at most.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Time that a connection may stay unused.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
@@ -21,8 +21,8 @@
         CallerLimits {
             head_bytes: 16 << 10,
             body_bytes: 4 << 20,
-            head_time: Duration::from_secs(3),
-            idle_time: Duration::from_secs(15),
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! ```
 //! use std::time::Duration;
-//! use table::{Access, CallerLimits, Draft, Kind, Route, Service, Share, Table};
+//! use table::{Access, CallerLimits, Draft, RequestKind, Route, Service, WeightedService, Table};
 //!
 //! let draft = Draft {
 //!     number: 7,
@@ -15,8 +15,8 @@
 //!         name: "stock".into(),
 //!         host: "desk.example".into(),
 //!         prefix: "/stock/".into(),
-//!         split: vec![Share { service: "order-desk".into(), weight: 1 }],
-//!         kind: Kind::Repeatable,
+//!         split: vec![WeightedService { service: "order-desk".into(), weight: 1 }],
+//!         kind: RequestKind::Repeatable,
 //!         timeout: Duration::from_secs(2),
 //!         objective: Duration::from_millis(150),
 //!         priority: 2,
@@ -37,7 +37,7 @@
 mod client_account;
 mod draft;
 mod engine;
-mod kind;
+mod request_kind;
 mod route;
 mod service;
 mod table;
@@ -46,7 +46,7 @@
 pub use client_account::ClientAccount;
 pub use draft::Draft;
 pub use engine::{Engine, Experts};
-pub use kind::{Access, Kind, Resume};
-pub use route::{Route, Share};
+pub use request_kind::{Access, RequestKind, Resume};
+pub use route::{Route, WeightedService};
 pub use service::Service;
 pub use table::Table;
--- a/crates/table/src/kind.rs
+++ b/crates/table/src/request_kind.rs
@@ -4,7 +4,7 @@
 
 /// What may be repeated of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RequestKind {
     /// It may run more than once.
     Repeatable,
     /// It must run once at most.
@@ -27,21 +27,21 @@
     Never,
 }
 
-impl Kind {
+impl RequestKind {
     /// Whether a request that may have run may run again.
     ///
     /// ```
-    /// use table::{Kind, Resume};
+    /// use table::{RequestKind, Resume};
     ///
-    /// assert!(Kind::Stream { resume: Resume::Anywhere, pause: None }.repeats());
-    /// assert!(!Kind::Once.repeats());
+    /// assert!(RequestKind::Stream { resume: Resume::Anywhere, pause: None }.may_repeat());
+    /// assert!(!RequestKind::Once.may_repeat());
     /// ```
     #[must_use]
-    pub fn repeats(self) -> bool {
+    pub fn may_repeat(self) -> bool {
         match self {
-            Kind::Repeatable => true,
-            Kind::Once => false,
-            Kind::Stream { resume, .. } => resume == Resume::Anywhere,
+            RequestKind::Repeatable => true,
+            RequestKind::Once => false,
+            RequestKind::Stream { resume, .. } => resume == Resume::Anywhere,
         }
     }
 }
--- a/crates/table/src/route.rs
+++ b/crates/table/src/route.rs
@@ -1,6 +1,6 @@
 //! Where a request goes.
 
-use crate::{Access, Kind};
+use crate::{Access, RequestKind};
 use std::time::Duration;
 
 /// Where the requests for a host and the paths below a prefix go.
@@ -13,9 +13,9 @@
     /// What the path begins with; begins and ends with a slash.
     pub prefix: String,
     /// The services that it leads to.
-    pub split: Vec<Share>,
+    pub split: Vec<WeightedService>,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Longest time that a caller is kept waiting.
     pub timeout: Duration,
     /// Time within which an answer is on time; of a stream, its first event.
@@ -30,7 +30,7 @@
 
 /// A part of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Share {
+pub struct WeightedService {
     /// The service that gets it.
     pub service: String,
     /// How much, against the other shares of the route.
@@ -42,15 +42,15 @@
     ///
     /// ```
     /// # use std::time::Duration;
-    /// use table::{Access, Kind, Route, Share};
+    /// use table::{Access, RequestKind, Route, WeightedService};
     ///
-    /// let share = |service: &str, weight| Share { service: service.into(), weight };
+    /// let share = |service: &str, weight| WeightedService { service: service.into(), weight };
     /// let route = Route {
     ///     name: "split".into(),
     ///     host: "desk.example".into(),
     ///     prefix: "/".into(),
     ///     split: vec![share("old", 9), share("new", 1)],
-    ///     kind: Kind::Once,
+    ///     kind: RequestKind::Once,
     ///     timeout: Duration::from_secs(1),
     ///     objective: Duration::from_secs(1),
     ///     priority: 0,
--- a/crates/table/src/table.rs
+++ b/crates/table/src/table.rs
@@ -1,6 +1,6 @@
 //! A table that was checked.
 
-use crate::{CallerLimits, ClientAccount, Draft, Kind, Route, Service, check};
+use crate::{CallerLimits, ClientAccount, Draft, RequestKind, Route, Service, check};
 use cfg::Findings;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -105,8 +105,8 @@
         let leads = |route: &&Route| route.split.iter().any(|share| share.service == service);
         let routes = self.draft.routes.iter().filter(leads);
         let pauses = routes.filter_map(|route| match route.kind {
-            Kind::Stream { pause, .. } => pause,
-            Kind::Repeatable | Kind::Once => None,
+            RequestKind::Stream { pause, .. } => pause,
+            RequestKind::Repeatable | RequestKind::Once => None,
         });
         pauses.min()
     }
--- a/crates/table/tests/table.rs
+++ b/crates/table/tests/table.rs
@@ -1,10 +1,12 @@
 //! Which route a request takes, and what is wrong with a table.
 
 use std::time::Duration;
-use table::{Access, ClientAccount, Draft, Kind, Resume, Route, Service, Share, Table};
+use table::{
+    Access, ClientAccount, Draft, RequestKind, Resume, Route, Service, Table, WeightedService,
+};
 
-fn share(service: &str, weight: u32) -> Share {
-    Share {
+fn share(service: &str, weight: u32) -> WeightedService {
+    WeightedService {
         service: service.to_owned(),
         weight,
     }
@@ -16,7 +18,7 @@
         host: host.to_owned(),
         prefix: prefix.to_owned(),
         split: vec![share("desk", 1)],
-        kind: Kind::Repeatable,
+        kind: RequestKind::Repeatable,
         timeout: Duration::from_secs(2),
         objective: Duration::from_millis(150),
         priority: 1,
@@ -69,7 +71,7 @@
 #[test]
 fn shortest_pause_of_any_route() {
     let stream = |prefix: &str, service: &str, pause: Option<u64>| Route {
-        kind: Kind::Stream {
+        kind: RequestKind::Stream {
             resume: Resume::Anywhere,
             pause: pause.map(Duration::from_millis),
         },
