--- a/crates/table/src/caller_limits.rs
+++ b/crates/table/src/caller_limits.rs
@@ -1,22 +1,22 @@
-//! What a caller may send, and how long it may take.
+//! Limits on the requests and connections of callers.
 
 use std::time::Duration;
 
-/// What a caller may send, and how long it may take.
+/// Limits on the requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a request's head at most.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Bytes of a request's body at most.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Time from the first byte of a head to its last at most.
+    /// Maximum time from the first byte of a request head to its last.
     pub head_timeout: Duration,
-    /// Time that a connection may stay unused.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// What an entry goes by until a table says otherwise.
+    /// The limits that apply until an entry has loaded a table.
     fn default() -> Self {
         CallerLimits {
             head_bytes: 16 << 10,
--- a/crates/table/src/check.rs
+++ b/crates/table/src/check.rs
@@ -1,10 +1,10 @@
-//! What is wrong with a draft.
+//! Validation of a draft.
 
 use crate::{Draft, Route};
 use cfg::{Finding, Findings};
 use std::collections::BTreeMap;
 
-/// All that is wrong with a draft, in the order in which it is written.
+/// Validates a draft and returns all findings, in the order of the document.
 pub(crate) fn findings(draft: &Draft) -> Findings {
     let mut findings = Vec::new();
     check_services(draft, &mut findings);
@@ -24,12 +24,12 @@
 }
 
 fn check_routes(draft: &Draft, findings: &mut Vec<Finding>) {
-    let mut places = BTreeMap::new();
+    let mut seen = BTreeMap::new();
     for (position, route) in draft.routes.iter().enumerate() {
         let at = format!("routes[{position}]");
         check_route(draft, route, &at, findings);
-        let place = (route.host.as_str(), route.prefix.as_str());
-        if let Some(first) = places.insert(place, position) {
+        let host_and_prefix = (route.host.as_str(), route.prefix.as_str());
+        if let Some(first) = seen.insert(host_and_prefix, position) {
             let message = format!("routes[{first}] has this host and prefix already");
             findings.push(Finding::new(at, message));
         }
@@ -37,36 +37,36 @@
 }
 
 fn check_route(draft: &Draft, route: &Route, at: &str, findings: &mut Vec<Finding>) {
-    let mut found = |field: &str, message: String| {
+    let mut report = |field: &str, message: String| {
         findings.push(Finding::new(format!("{at}.{field}"), message));
     };
     if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
-        found("prefix", "must begin and end with a slash".to_owned());
+        report("prefix", "must begin and end with a slash".to_owned());
     }
     if route.timeout.is_zero() {
-        found("timeout", "must be above 0".to_owned());
+        report("timeout", "must be above 0".to_owned());
     }
     if route.split.iter().all(|share| share.weight == 0) {
-        found("split", "weights add up to 0".to_owned());
+        report("split", "weights add up to 0".to_owned());
     }
     for (position, share) in route.split.iter().enumerate() {
         let name = &share.service;
         if !draft.services.iter().any(|service| service.name == *name) {
             let message = format!("unknown service {name:?}");
-            found(&format!("split[{position}].service"), message);
+            report(&format!("split[{position}].service"), message);
         }
     }
 }
 
 fn check_keys(draft: &Draft, findings: &mut Vec<Finding>) {
-    let mut holders = BTreeMap::new();
+    let mut owners = BTreeMap::new();
     for (position, account) in draft.accounts.iter().enumerate() {
-        for (place, key) in account.keys.iter().enumerate() {
-            let first = *holders.entry(key.as_str()).or_insert(position);
+        for (index, key) in account.keys.iter().enumerate() {
+            let first = *owners.entry(key.as_str()).or_insert(position);
             if first != position {
-                // The key itself is a secret and stays out of the message.
+                // The key is a secret, so the message must not contain it.
                 let message = format!("accounts[{first}] has this key already");
-                let at = format!("accounts[{position}].keys[{place}]");
+                let at = format!("accounts[{position}].keys[{index}]");
                 findings.push(Finding::new(at, message));
             }
         }
--- a/crates/table/src/client_account.rs
+++ b/crates/table/src/client_account.rs
@@ -1,12 +1,12 @@
-//! Who may call.
+//! Client accounts and their keys.
 
-/// A client account and the keys that its callers show.
+/// A client account and the keys that authenticate its callers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientAccount {
-    /// Its name, which targets are told.
+    /// Name of the account, which is passed on to targets.
     pub name: String,
-    /// Keys of its callers.
+    /// API keys of its callers.
     pub keys: Vec<String>,
-    /// Priority of its requests in place of the route's; 0 goes first.
+    /// Overrides the route's priority for its requests; 0 is the highest.
     pub priority: Option<u32>,
 }
--- a/crates/table/src/draft.rs
+++ b/crates/table/src/draft.rs
@@ -1,18 +1,18 @@
-//! A table before it is checked.
+//! A route table before validation.
 
 use crate::{CallerLimits, ClientAccount, Route, Service};
 
-/// A table before it is checked.
+/// A route table before validation by [`Table::new`](crate::Table::new).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Draft {
-    /// Its number; the highest holds.
+    /// Version number; the table with the highest number is in force.
     pub number: u64,
-    /// Routes, in the order in which they were written.
+    /// Routes, in document order.
     pub routes: Vec<Route>,
-    /// Services that routes lead to.
+    /// Services that routes refer to.
     pub services: Vec<Service>,
-    /// Client accounts; with none, callers need no key.
+    /// Client accounts; when empty, callers need no key.
     pub accounts: Vec<ClientAccount>,
-    /// What callers may send.
+    /// Limits on the requests of callers.
     pub limits: CallerLimits,
 }
--- a/crates/table/src/engine.rs
+++ b/crates/table/src/engine.rs
@@ -1,39 +1,41 @@
-//! What model engines of a service are like.
+//! Performance profile of the model engines of a service.
 
 use std::time::Duration;
 
-/// What the model engines of a service are like, as their supplier tells.
+/// Performance profile of the model engines of a service, as stated by their
+/// supplier.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Engine {
-    /// Requests that one engine runs at a time.
+    /// Requests that one engine runs concurrently.
     pub slots: u32,
-    /// Tokens that the memory of one engine holds.
+    /// Capacity of the KV cache of one engine, in tokens.
     pub kv_capacity_tokens: u64,
-    /// Time of one decode step with nothing running.
+    /// Time of one decode step, without the part added per running request.
     pub base_step: Duration,
-    /// What each running request adds to a step.
+    /// Time that each running request adds to a decode step.
     pub step_per_request: Duration,
-    /// Prompt tokens read in a second.
+    /// Prefill throughput, in prompt tokens per second.
     pub prefill_tokens_per_second: f64,
-    /// How old load reports are.
+    /// Age of load reports on arrival.
     pub report_lag: Duration,
-    /// Its experts, where it is a rank of a group that runs on expert maps.
+    /// Experts, if the engine is a rank of an expert-parallel group that is
+    /// balanced with expert maps.
     pub experts: Option<Experts>,
 }
 
-/// The experts of a group's engines.
+/// Expert layout of the engines of a group.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Experts {
-    /// Layers with experts.
+    /// Number of layers that have experts.
     pub layers: u32,
-    /// Experts in each of them.
+    /// Number of experts in each of these layers.
     pub experts_per_layer: u32,
-    /// Experts that one rank holds in each layer at most.
+    /// Maximum number of experts that one rank holds per layer.
     pub slots_per_layer: u32,
-    /// Experts new to a rank in one layer that a map may bring at most.
+    /// Maximum number of experts per layer that a new map may add to one rank.
     pub max_new_per_layer: u32,
-    /// Bytes of one expert.
+    /// Size of one expert, in bytes.
     pub bytes_per_expert: u64,
-    /// Bytes that a rank loads in a second.
+    /// Rate at which a rank loads expert weights, in bytes per second.
     pub bytes_per_second: f64,
 }
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -1,13 +1,13 @@
-//! Route tables: which host and path goes to which service, and how.
+//! Route tables, which map hosts and paths to services.
 //!
-//! A [`Table`] is the whole of what an operator offers to callers: routes,
-//! services, client accounts with their keys, and what callers may send. It
-//! has a number; of two tables the one with the higher number holds.
-//! [`Table::new`] checks it and reports all findings at once.
+//! A [`Table`] holds everything that an operator offers to callers: routes,
+//! services, client accounts with their keys, and request limits. Each table
+//! has a number; of two tables the one with the higher number is in force.
+//! [`Table::new`] validates a [`Draft`] and reports all findings at once.
 //!
 //! ```
 //! use std::time::Duration;
-//! use table::{Access, CallerLimits, Draft, RequestKind, Route, Service, WeightedService, Table};
+//! use table::{Access, CallerLimits, Draft, RequestKind, Route, Service, Table, WeightedService};
 //!
 //! let draft = Draft {
 //!     number: 7,
--- a/crates/table/src/request_kind.rs
+++ b/crates/table/src/request_kind.rs
@@ -1,34 +1,34 @@
-//! What may be done with a request.
+//! Repeatability of requests, and access to routes.
 
 use std::time::Duration;
 
-/// What may be repeated of a request.
+/// Whether and how a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// It may run more than once.
+    /// The request is idempotent and may run more than once.
     Repeatable,
-    /// It must run once at most.
+    /// The request must run at most once.
     Once,
-    /// Its answer is a stream of events.
+    /// The answer is a stream of events.
     Stream {
-        /// Whether a stream that broke off may go on at another target.
+        /// Whether an interrupted stream may be resumed on another target.
         resume: Resume,
-        /// Longest pause between two events with which it is on time.
+        /// Longest pause between two events that still counts as on time.
         pause: Option<Duration>,
     },
 }
 
-/// Whether a stream that broke off may go on at another target.
+/// Whether an interrupted stream may be resumed on another target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resume {
-    /// It may, after the last event that the caller has.
+    /// Resumed after the last event that the caller has received.
     Anywhere,
-    /// It may not; such a stream must run once at most.
+    /// Not resumed; the request must run at most once.
     Never,
 }
 
 impl RequestKind {
-    /// Whether a request that may have run may run again.
+    /// Whether a request that may already have run may be sent again.
     ///
     /// ```
     /// use table::{RequestKind, Resume};
@@ -49,7 +49,7 @@
 /// Who may use a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Access {
-    /// Callers with the key of a client account, where there are accounts.
+    /// Callers with the key of a client account, if the table has accounts.
     Accounts,
     /// Anyone.
     Anyone,
--- a/crates/table/src/route.rs
+++ b/crates/table/src/route.rs
@@ -1,44 +1,45 @@
-//! Where a request goes.
+//! Routes of a table.
 
 use crate::{Access, RequestKind};
 use std::time::Duration;
 
-/// Where the requests for a host and the paths below a prefix go.
+/// A rule that sends requests for a host and path prefix to services.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Its name, for logs and metrics.
+    /// Name of the route in logs and metrics.
     pub name: String,
-    /// Host that callers name.
+    /// Host of the request.
     pub host: String,
-    /// What the path begins with; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// The services that it leads to.
+    /// Services that share the traffic, with their weights.
     pub split: Vec<WeightedService>,
-    /// What may be repeated.
+    /// Whether its requests may be repeated.
     pub kind: RequestKind,
-    /// Longest time that a caller is kept waiting.
+    /// Maximum time that a caller waits for its answer.
     pub timeout: Duration,
-    /// Time within which an answer is on time; of a stream, its first event.
+    /// Latency objective of an answer; for a stream, of its first event.
     pub objective: Duration,
-    /// 0 goes first.
+    /// Priority of its requests; 0 is the highest.
     pub priority: u32,
-    /// Targets that one request is given to at most.
+    /// Maximum number of targets that one request is sent to.
     pub attempts: u32,
-    /// Who may use it.
+    /// Who may use the route.
     pub access: Access,
 }
 
-/// A part of a route's requests.
+/// A service with its share of a route's traffic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightedService {
-    /// The service that gets it.
+    /// Name of the service.
     pub service: String,
-    /// How much, against the other shares of the route.
+    /// Weight relative to the other services of the route.
     pub weight: u32,
 }
 
 impl Route {
-    /// The service for one request; `draw` is any number, evenly distributed.
+    /// Selects the service for one request by weight. `draw` is a uniformly
+    /// distributed random number.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -62,8 +63,8 @@
     /// ```
     #[must_use]
     pub fn service(&self, draw: u64) -> &str {
-        let all: u64 = self.split.iter().map(|share| u64::from(share.weight)).sum();
-        let mut left = draw % all.max(1);
+        let total: u64 = self.split.iter().map(|share| u64::from(share.weight)).sum();
+        let mut left = draw % total.max(1);
         for share in &self.split {
             let weight = u64::from(share.weight);
             if left < weight {
--- a/crates/table/src/service.rs
+++ b/crates/table/src/service.rs
@@ -1,20 +1,20 @@
-//! What routes lead to.
+//! Services that routes refer to.
 
 use crate::Engine;
 
-/// A service: targets that all answer the same requests.
+/// A set of interchangeable targets that answer the same requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name; targets announce themselves under it.
+    /// Name of the service, under which its targets announce themselves.
     pub name: String,
-    /// Connections that one target accepts from all callers together.
+    /// Maximum number of connections that one target accepts in total.
     pub connections: u32,
-    /// What its engines are like, where its targets are model engines.
+    /// Performance profile, if the targets are model engines.
     pub engine: Option<Engine>,
 }
 
 impl Service {
-    /// A service of plain targets.
+    /// Creates a service whose targets are not model engines.
     ///
     /// ```
     /// assert!(table::Service::new("order-desk", 96).engine.is_none());
--- a/crates/table/src/table.rs
+++ b/crates/table/src/table.rs
@@ -1,26 +1,28 @@
-//! A table that was checked.
+//! A validated route table.
 
 use crate::{CallerLimits, ClientAccount, Draft, RequestKind, Route, Service, check};
 use cfg::Findings;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A route table that was checked, with what is needed to look things up.
+/// A validated route table with its lookup indexes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Table {
     draft: Draft,
-    /// Positions of routes by host, then prefix.
+    /// Positions in `draft.routes` by host, then prefix.
     routes: BTreeMap<String, BTreeMap<String, usize>>,
+    /// Positions in `draft.services` by name.
     services: BTreeMap<String, usize>,
+    /// Positions in `draft.accounts` by key.
     keys: BTreeMap<String, usize>,
 }
 
 impl Table {
-    /// Checks a draft.
+    /// Validates a draft and indexes it.
     ///
     /// # Errors
     ///
-    /// All findings at once, each with its place.
+    /// Returns all findings, each with its place in the draft.
     ///
     /// ```
     /// use table::{Draft, Table};
@@ -49,7 +51,7 @@
         })
     }
 
-    /// Its number; of two tables the one with the higher number holds.
+    /// Version number; of two tables the one with the higher number is in force.
     ///
     /// ```
     /// assert_eq!(table::Table::default().number(), 0);
@@ -59,7 +61,8 @@
         self.draft.number
     }
 
-    /// The route of the host with the longest prefix that begins the path.
+    /// Returns the route of the host with the longest prefix of the path. Hosts
+    /// are compared without regard to ASCII case.
     ///
     /// ```
     /// assert!(table::Table::default().route("desk.example", "/").is_none());
@@ -75,7 +78,7 @@
         self.draft.routes.get(*position)
     }
 
-    /// All routes, in the order in which they were written.
+    /// All routes, in document order.
     ///
     /// ```
     /// assert!(table::Table::default().routes().is_empty());
@@ -85,7 +88,7 @@
         &self.draft.routes
     }
 
-    /// The service of that name.
+    /// Returns the service of that name.
     ///
     /// ```
     /// assert!(table::Table::default().service("order-desk").is_none());
@@ -95,15 +98,17 @@
         self.draft.services.get(*self.services.get(name)?)
     }
 
-    /// The shortest pause that any route to the service lets its streams make.
+    /// Returns the shortest allowed pause between stream events over all routes
+    /// to the service.
     ///
     /// ```
     /// assert!(table::Table::default().shortest_pause("order-desk").is_none());
     /// ```
     #[must_use]
     pub fn shortest_pause(&self, service: &str) -> Option<Duration> {
-        let leads = |route: &&Route| route.split.iter().any(|share| share.service == service);
-        let routes = self.draft.routes.iter().filter(leads);
+        let uses_service =
+            |route: &&Route| route.split.iter().any(|share| share.service == service);
+        let routes = self.draft.routes.iter().filter(uses_service);
         let pauses = routes.filter_map(|route| match route.kind {
             RequestKind::Stream { pause, .. } => pause,
             RequestKind::Repeatable | RequestKind::Once => None,
@@ -111,7 +116,7 @@
         pauses.min()
     }
 
-    /// All services, in the order in which they were written.
+    /// All services, in document order.
     ///
     /// ```
     /// assert!(table::Table::default().services().is_empty());
@@ -121,7 +126,8 @@
         &self.draft.services
     }
 
-    /// Whether callers need a key on routes that aren't open to anyone.
+    /// Whether the table has client accounts. If so, callers need a key on routes
+    /// with [`Access::Accounts`](crate::Access::Accounts).
     ///
     /// ```
     /// assert!(!table::Table::default().has_accounts());
@@ -131,7 +137,7 @@
         !self.draft.accounts.is_empty()
     }
 
-    /// The client account that holds a key.
+    /// Returns the client account that a key belongs to.
     ///
     /// ```
     /// assert!(table::Table::default().account("n2ct").is_none());
@@ -141,7 +147,7 @@
         self.draft.accounts.get(*self.keys.get(key)?)
     }
 
-    /// What callers may send.
+    /// Limits on the requests of callers.
     ///
     /// ```
     /// assert_eq!(table::Table::default().limits().body_bytes, 4 << 20);
