--- a/crates/table/tests/table.rs
+++ b/crates/table/tests/table.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes, and what is wrong with a table.
+//! Route lookup and validation of route tables.
 
 use std::time::Duration;
 use table::{
@@ -44,13 +44,13 @@
     }
 }
 
-fn places(draft: Draft) -> Vec<String> {
+fn finding_places(draft: Draft) -> Vec<String> {
     let findings = Table::new(draft).unwrap_err().into_vec();
     findings.into_iter().map(|finding| finding.place).collect()
 }
 
 #[test]
-fn route_longest_prefix() {
+fn route_matches_longest_prefix() {
     let routes = vec![
         route("all", "a.example", "/"),
         route("lots", "a.example", "/lots/"),
@@ -58,18 +58,18 @@
         route("other", "b.example", "/lots/"),
     ];
     let table = Table::new(draft(routes)).unwrap();
-    let named = |host: &str, path: &str| table.route(host, path).map(|r| r.name.as_str());
-    assert_eq!(named("a.example", "/lots/burl/7"), Some("burl"));
-    assert_eq!(named("a.example", "/lots/oak"), Some("lots"));
-    assert_eq!(named("a.example", "/lots"), Some("all"));
-    assert_eq!(named("A.Example", "/"), Some("all"));
-    assert_eq!(named("b.example", "/lots/x"), Some("other"));
-    assert_eq!(named("b.example", "/"), None);
-    assert_eq!(named("c.example", "/lots/"), None);
+    let route_name = |host: &str, path: &str| table.route(host, path).map(|r| r.name.as_str());
+    assert_eq!(route_name("a.example", "/lots/burl/7"), Some("burl"));
+    assert_eq!(route_name("a.example", "/lots/oak"), Some("lots"));
+    assert_eq!(route_name("a.example", "/lots"), Some("all"));
+    assert_eq!(route_name("A.Example", "/"), Some("all"));
+    assert_eq!(route_name("b.example", "/lots/x"), Some("other"));
+    assert_eq!(route_name("b.example", "/"), None);
+    assert_eq!(route_name("c.example", "/lots/"), None);
 }
 
 #[test]
-fn shortest_pause_of_any_route() {
+fn shortest_pause_over_all_routes() {
     let stream = |prefix: &str, service: &str, pause: Option<u64>| Route {
         kind: RequestKind::Stream {
             resume: Resume::Anywhere,
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn service_split_by_weight() {
+fn service_is_split_by_weight() {
     let mut split = route("split", "a.example", "/");
     split.split = vec![share("desk", 3), share("none", 0), share("new", 1)];
     let drawn: Vec<&str> = (0..4).map(|draw| split.service(draw)).collect();
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn account_by_any_of_its_keys() {
+fn account_is_found_by_any_of_its_keys() {
     let mut draft = draft(Vec::new());
     draft.accounts = vec![account("huber", &["k1", "k2"]), account("maier", &["k3"])];
     let table = Table::new(draft).unwrap();
@@ -115,18 +115,18 @@
     assert!(table.account("k4").is_none());
 }
 
-/// An operator mistypes several things in one table. Were only the first one
-/// told, each correction would need another round.
+/// Guards against reporting only the first of several errors in a table, which
+/// would cost an operator one round per correction.
 #[test]
-fn new_all_findings_with_places() {
+fn new_reports_all_findings_with_places() {
     let mut unknown = route("a", "a.example", "/a/");
     unknown.split = vec![share("desk", 1), share("gone", 1)];
-    let mut weightless = route("b", "a.example", "/b/");
-    weightless.split = vec![share("desk", 0)];
-    let mut hasty = route("c", "a.example", "/c/");
-    hasty.timeout = Duration::ZERO;
-    let twice = route("d", "a.example", "/a/");
-    let mut draft = draft(vec![unknown, weightless, hasty, twice]);
+    let mut zero_weight = route("b", "a.example", "/b/");
+    zero_weight.split = vec![share("desk", 0)];
+    let mut zero_timeout = route("c", "a.example", "/c/");
+    zero_timeout.timeout = Duration::ZERO;
+    let duplicate = route("d", "a.example", "/a/");
+    let mut draft = draft(vec![unknown, zero_weight, zero_timeout, duplicate]);
     draft.accounts = vec![account("huber", &["k1"]), account("maier", &["k2", "k1"])];
     let expected = [
         "routes[0].split[1].service",
@@ -135,14 +135,14 @@
         "routes[3]",
         "accounts[1].keys[1]",
     ];
-    assert_eq!(places(draft), expected);
+    assert_eq!(finding_places(draft), expected);
 }
 
-/// A key that two accounts share would let one account's callers spend the
-/// other's allowance. The finding names the places and not the key, which is
-/// a secret and would stand in the operator's terminal.
+/// A key shared by two accounts would let the callers of one use the limits of
+/// the other. The finding gives the places but not the key, which is a secret
+/// and would otherwise appear in the operator's terminal.
 #[test]
-fn new_shared_key_not_told() {
+fn new_does_not_reveal_shared_key() {
     let mut draft = draft(Vec::new());
     draft.accounts = vec![
         account("huber", &["topsecret"]),
