--- a/crates/route/src/account.rs
+++ b/crates/route/src/account.rs
@@ -1,4 +1,4 @@
-//! One client account inside admission.
+//! Per-account state of admission.
 
 use std::collections::VecDeque;
 use std::time::Instant;
@@ -7,37 +7,37 @@
 
 #[derive(Debug)]
 pub(crate) struct Account {
-    pub(crate) ration: AccountLimiter,
+    pub(crate) limiter: AccountLimiter,
     pub(crate) running: u32,
-    /// Waiting requests, in the order of arrival within each priority.
+    /// Queued requests by priority, in order of arrival within each priority.
     pub(crate) waiting: VecDeque<TicketKey>,
-    /// Virtual time at which its last request's share of tokens is used up.
-    pub(crate) finish: f64,
+    /// Virtual finish time of the last admitted request.
+    pub(crate) virtual_finish: f64,
 }
 
 impl Account {
     pub(crate) fn new(limits: AccountLimits, now: Instant) -> Self {
         Account {
-            ration: AccountLimiter::new(limits, now),
+            limiter: AccountLimiter::new(limits, now),
             running: 0,
             waiting: VecDeque::new(),
-            finish: 0.0,
+            virtual_finish: 0.0,
         }
     }
 
     pub(crate) fn may_run(&self) -> bool {
-        let concurrent = self.ration.limits().concurrent;
+        let concurrent = self.limiter.limits().concurrent;
         concurrent == 0 || self.running < concurrent
     }
 
-    /// Whether one more may enter, running or waiting. As many as may run may
-    /// also wait, so that a burst is smoothed and not lost.
+    /// Whether one more request may run or wait. As many requests may wait as
+    /// may run, so that a burst is smoothed rather than refused.
     pub(crate) fn may_wait(&self) -> bool {
-        let concurrent = self.ration.limits().concurrent as usize;
+        let concurrent = self.limiter.limits().concurrent as usize;
         concurrent == 0 || self.waiting.len() + (self.running as usize) < 2 * concurrent
     }
 
     pub(crate) fn weight(&self) -> f64 {
-        self.ration.limits().share.max(1e-6)
+        self.limiter.limits().share.max(1e-6)
     }
 }
--- a/crates/route/src/account_limits.rs
+++ b/crates/route/src/account_limits.rs
@@ -1,15 +1,15 @@
-//! What a client account may use.
+//! Limits of a client account.
 
-/// Limits of one client account, as the release note sets them.
+/// Limits of one client account, as set by the release note.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AccountLimits {
-    /// Weight of the account's fair share.
+    /// Weight of the account in fair queueing.
     pub share: f64,
-    /// Tokens a second; 0 is unlimited.
+    /// Maximum rate in tokens per second; 0 means unlimited.
     pub tokens_per_s: f64,
-    /// Requests a second; 0 is unlimited.
+    /// Maximum rate in requests per second; 0 means unlimited.
     pub requests_per_s: f64,
-    /// Requests at once; 0 is unlimited.
+    /// Maximum number of concurrent requests; 0 means unlimited.
     pub concurrent: u32,
 }
 
--- a/crates/route/src/admission.rs
+++ b/crates/route/src/admission.rs
@@ -1,4 +1,4 @@
-//! Who is let in when there is not room for everyone.
+//! Admission control with weighted fair queueing.
 
 use std::time::Instant;
 
@@ -11,16 +11,18 @@
     Refusal, RefusalReason, TicketKey,
 };
 
-/// Limits and weighted fair shares of the client accounts of one pool.
+/// Enforces the limits and weighted fair shares of the client accounts of one
+/// pool.
 ///
-/// Accounts take turns by start-time fair queueing over tokens (Goyal, Vin
-/// and Cheng, 1996): the next place goes to the account whose virtual time is
-/// the least, and a request moves its account's virtual time on by its tokens
-/// over the account's weight. So one account that floods the pool waits
-/// behind itself, whatever its priority: priorities order the requests of one
-/// account and say who is shed first when the queue is full. As the targets' places can be taken by long requests before
-/// the others come, an account that holds more than twice its fair share of
-/// places leaves a reserve free.
+/// Accounts are scheduled by start-time fair queueing over tokens (Goyal, Vin
+/// and Cheng, 1996): the next free slot goes to the account with the least
+/// virtual time, and each request advances its account's virtual time by its
+/// tokens divided by the account's weight. An account that floods the pool
+/// therefore only delays its own requests, whatever their priority: priorities
+/// order the requests within one account and decide which are shed first when
+/// the queue is full. Because long requests can occupy the targets before other
+/// accounts send any, an account that holds more than twice its fair share of
+/// slots must leave a reserve free.
 ///
 /// ```
 /// use route::{AccountLimits, Admission, AdmissionSettings, AdmissionDecision, Capacity};
@@ -32,10 +34,10 @@
 /// let account = admission.insert(AccountLimits::default(), now);
 /// let deadline = now + Duration::from_secs(5);
 /// let AdmissionDecision::Admitted(first) = admission.submit(now, account, 100, 1, deadline) else {
-///     unreachable!("there is one place");
+///     unreachable!("there is one slot");
 /// };
 /// let AdmissionDecision::Queued(second) = admission.submit(now, account, 100, 1, deadline) else {
-///     unreachable!("the place is taken");
+///     unreachable!("the slot is taken");
 /// };
 /// admission.release(first, 100);
 /// assert_eq!(admission.advance(now).admitted, [second]);
@@ -45,33 +47,35 @@
     settings: AdmissionSettings,
     accounts: SlotMap<AccountKey, Account>,
     tickets: SlotMap<TicketKey, Ticket>,
-    places: Capacity,
+    capacity: Capacity,
     running: u32,
     waiting: usize,
-    /// Since when some request waits.
-    waiting_since: Option<Instant>,
+    /// Since when the queue has not been empty.
+    queue_busy_since: Option<Instant>,
     virtual_time: f64,
+    /// Requests shed in favour of others, not yet returned by `advance`.
     shed: Vec<(TicketKey, Refusal)>,
 }
 
-/// How far above its fair share of places an account may go without leaving
-/// the reserve free: chance alone lifts accounts above their share.
-const FAIR_EXCESS: f64 = 2.0;
-/// Requests beside that, as shares of a few places vary most.
-const FAIR_SLACK: f64 = 2.0;
+/// Factor by which an account may exceed its fair share of slots without
+/// leaving the reserve free. Random variation alone lifts accounts above their
+/// share.
+const FAIR_SHARE_FACTOR: f64 = 2.0;
+/// Requests allowed in addition, since shares of only a few slots vary most.
+const FAIR_SHARE_SLACK: f64 = 2.0;
 
 impl Admission {
-    /// Without accounts and without places.
+    /// Creates admission control without accounts and with no capacity.
     #[must_use]
     pub fn new(settings: AdmissionSettings) -> Self {
         Admission {
             settings,
             accounts: SlotMap::with_key(),
             tickets: SlotMap::with_key(),
-            places: Capacity::default(),
+            capacity: Capacity::default(),
             running: 0,
             waiting: 0,
-            waiting_since: None,
+            queue_busy_since: None,
             virtual_time: 0.0,
             shed: Vec::new(),
         }
@@ -85,34 +89,35 @@
     /// Changes an account's limits.
     pub fn set_limits(&mut self, key: AccountKey, limits: AccountLimits, now: Instant) {
         if let Some(account) = self.accounts.get_mut(key) {
-            account.ration.set_limits(limits, now);
+            account.limiter.set_limits(limits, now);
         }
     }
 
-    /// Changes how many requests may run at once.
-    pub fn set_capacity(&mut self, places: Capacity) {
-        self.places = places;
+    /// Sets how many requests may run concurrently.
+    pub fn set_capacity(&mut self, capacity: Capacity) {
+        self.capacity = capacity;
     }
 
-    /// Requests that run.
+    /// Number of running requests.
     #[must_use]
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// Requests of an account that run.
+    /// Number of running requests of an account.
     #[must_use]
     pub fn running_for(&self, key: AccountKey) -> u32 {
         self.accounts.get(key).map_or(0, |account| account.running)
     }
 
-    /// Asks for a request to be let in. `priority` is better when higher.
+    /// Submits a request. Requests with a higher `priority` go first; `tokens` is
+    /// an estimate of the tokens that it will use.
     pub fn submit(
         &mut self,
         now: Instant,
@@ -127,23 +132,23 @@
         if !account.may_wait() {
             return AdmissionDecision::Refused(self.refusal(RefusalReason::Concurrency));
         }
-        if let Err(refusal) = account.ration.take_rates(now, tokens) {
+        if let Err(refusal) = account.limiter.take_rates(now, tokens) {
             return AdmissionDecision::Refused(refusal);
         }
         let ticket = self.tickets.insert(Ticket {
             account: key,
             tokens,
             priority,
-            entered: now,
+            submitted: now,
             deadline,
             state: TicketState::Waiting,
         });
-        self.queue(ticket, key, priority, now);
-        self.place_one(ticket)
+        self.enqueue(ticket, key, priority, now);
+        self.admit_or_queue(ticket)
     }
 
-    /// Ends a request in whatever state it is; `used` tokens are charged to
-    /// its account in place of the estimate.
+    /// Ends a request in any state and charges `used` tokens to its account
+    /// instead of the estimate.
     pub fn release(&mut self, key: TicketKey, used: u32) {
         let Some(ticket) = self.tickets.remove(key) else {
             return;
@@ -155,93 +160,95 @@
             TicketState::Running => {
                 account.running = account.running.saturating_sub(1);
                 self.running = self.running.saturating_sub(1);
-                account.ration.settle(ticket.tokens, used);
-                let missed = f64::from(used) - f64::from(ticket.tokens);
-                account.finish += missed / account.weight();
+                account.limiter.settle(ticket.tokens, used);
+                let correction = f64::from(used) - f64::from(ticket.tokens);
+                account.virtual_finish += correction / account.weight();
             }
             TicketState::Waiting => {
                 account.waiting.retain(|waiting| *waiting != key);
-                account.ration.refund(ticket.tokens);
-                self.leave_queue();
+                account.limiter.refund(ticket.tokens);
+                self.decrement_waiting();
             }
         }
     }
 
-    /// Lets in whoever's turn it is and refuses whose deadline has passed.
+    /// Admits queued requests while there is capacity, and refuses those whose
+    /// wait or deadline has expired.
     pub fn advance(&mut self, now: Instant) -> QueueUpdate {
-        let mut advance = QueueUpdate {
+        let mut update = QueueUpdate {
             admitted: Vec::new(),
             refused: std::mem::take(&mut self.shed),
         };
-        self.expire(now, &mut advance.refused);
-        while let Some(ticket) = self.next() {
+        self.expire(now, &mut update.refused);
+        while let Some(ticket) = self.next_admissible() {
             self.admit(ticket);
-            advance.admitted.push(ticket);
+            update.admitted.push(ticket);
         }
-        advance
+        update
     }
 
-    fn place_one(&mut self, ticket: TicketKey) -> AdmissionDecision {
-        if self.waiting == 1 && self.next() == Some(ticket) {
+    fn admit_or_queue(&mut self, ticket: TicketKey) -> AdmissionDecision {
+        if self.waiting == 1 && self.next_admissible() == Some(ticket) {
             self.admit(ticket);
             return AdmissionDecision::Admitted(ticket);
         }
         if self.waiting > self.settings.queue
-            && let Some(worst) = self.worst()
+            && let Some(shed) = self.first_to_shed()
         {
             let refusal = self.refusal(RefusalReason::Shed);
-            self.release(worst, 0);
-            if worst == ticket {
+            self.release(shed, 0);
+            if shed == ticket {
                 return AdmissionDecision::Refused(refusal);
             }
-            self.shed.push((worst, refusal));
+            self.shed.push((shed, refusal));
         }
         AdmissionDecision::Queued(ticket)
     }
 
-    fn queue(&mut self, ticket: TicketKey, key: AccountKey, priority: u32, now: Instant) {
+    fn enqueue(&mut self, ticket: TicketKey, key: AccountKey, priority: u32, now: Instant) {
         let tickets = &self.tickets;
         if let Some(account) = self.accounts.get_mut(key) {
-            let goes_first = |other: &TicketKey| tickets[*other].priority >= priority;
-            let at = account.waiting.partition_point(goes_first);
-            account.waiting.insert(at, ticket);
+            let precedes = |other: &TicketKey| tickets[*other].priority >= priority;
+            let position = account.waiting.partition_point(precedes);
+            account.waiting.insert(position, ticket);
             self.waiting += 1;
-            self.waiting_since.get_or_insert(now);
+            self.queue_busy_since.get_or_insert(now);
         }
     }
 
-    fn leave_queue(&mut self) {
+    fn decrement_waiting(&mut self) {
         self.waiting -= 1;
         if self.waiting == 0 {
-            self.waiting_since = None;
+            self.queue_busy_since = None;
         }
     }
 
-    /// The waiting request whose turn it is, if there is a place for it.
-    fn next(&self) -> Option<TicketKey> {
-        let free = self.places.usable.floor() - f64::from(self.running);
+    /// Returns the queued request to admit next, if there is capacity for it.
+    fn next_admissible(&self) -> Option<TicketKey> {
+        let free = self.capacity.usable.floor() - f64::from(self.running);
         if free < 1.0 {
             return None;
         }
-        let reserve = self.places.total * self.settings.reserve + self.places.overcommit;
+        let reserve = self.capacity.total * self.settings.reserve + self.capacity.overcommit;
         let reserve = reserve.floor();
-        let share = self.fair_places();
+        let slots_per_weight = self.slots_per_weight();
         let candidates = self.accounts.values().filter_map(|account| {
             let ticket = *account.waiting.front()?;
-            let fair = account.weight() * share;
-            let within = f64::from(account.running) < FAIR_EXCESS * fair + FAIR_SLACK;
-            let fits = account.may_run() && (within || free > reserve);
-            fits.then_some((account.finish, ticket))
+            let fair = account.weight() * slots_per_weight;
+            let within_share =
+                f64::from(account.running) < FAIR_SHARE_FACTOR * fair + FAIR_SHARE_SLACK;
+            let fits = account.may_run() && (within_share || free > reserve);
+            fits.then_some((account.virtual_finish, ticket))
         });
         candidates
             .min_by(|a, b| a.0.total_cmp(&b.0))
             .map(|(_, ticket)| ticket)
     }
 
-    /// This entry's places for each unit of weight of all accounts.
-    fn fair_places(&self) -> f64 {
+    /// This entry's own slots per unit of weight, over all accounts.
+    fn slots_per_weight(&self) -> f64 {
         let weights: f64 = self.accounts.values().map(Account::weight).sum();
-        self.places.own_share / weights.max(1e-6)
+        self.capacity.own_share / weights.max(1e-6)
     }
 
     fn admit(&mut self, key: TicketKey) {
@@ -250,21 +257,22 @@
         };
         ticket.state = TicketState::Running;
         let ticket = *ticket;
-        self.leave_queue();
+        self.decrement_waiting();
         self.running += 1;
         let Some(account) = self.accounts.get_mut(ticket.account) else {
             return;
         };
         account.waiting.retain(|waiting| *waiting != key);
         account.running += 1;
-        let start = account.finish.max(self.virtual_time);
-        account.finish = start + f64::from(ticket.tokens.max(1)) / account.weight();
+        let start = account.virtual_finish.max(self.virtual_time);
+        account.virtual_finish = start + f64::from(ticket.tokens.max(1)) / account.weight();
         self.virtual_time = start;
     }
 
-    /// Whom to shed: the lowest priority, of those the account that has the
-    /// most waiting for its weight, of those the newest.
-    fn worst(&self) -> Option<TicketKey> {
+    /// Returns the request to shed: one of the lowest priority, from the account
+    /// with the most queued requests relative to its weight, and the newest of
+    /// that account.
+    fn first_to_shed(&self) -> Option<TicketKey> {
         let candidates = self.accounts.values().filter_map(|account| {
             let ticket = *account.waiting.back()?;
             let waiting = u32::try_from(account.waiting.len()).unwrap_or(u32::MAX);
@@ -277,33 +285,34 @@
     }
 
     fn expire(&mut self, now: Instant, refused: &mut Vec<(TicketKey, Refusal)>) {
-        let late: Vec<TicketKey> = self
+        let expired: Vec<TicketKey> = self
             .tickets
             .iter()
-            .filter(|(_, t)| t.state == TicketState::Waiting && self.is_late(t, now))
+            .filter(|(_, t)| t.state == TicketState::Waiting && self.is_expired(t, now))
             .map(|(key, _)| key)
             .collect();
-        for key in late {
+        for key in expired {
             self.release(key, 0);
             refused.push((key, self.refusal(RefusalReason::Expired)));
         }
     }
 
-    /// Whether a waiting request has waited for long enough.
+    /// Whether a queued request has reached its deadline or, in a standing queue,
+    /// the maximum wait.
     ///
-    /// A queue that never empties serves no more requests than a short one,
-    /// but each after the longest wait: callers see their first token seconds
-    /// late, all of them, for as long as the overload lasts. So waits in it
-    /// are cut short, as controlled delay does for packets (Nichols and
-    /// Jacobson, 2012) and Maurer for requests ("Fail at Scale", 2015).
-    fn is_late(&self, ticket: &Ticket, now: Instant) -> bool {
+    /// A queue that never empties serves no more requests than a short one, but
+    /// delays each of them by the full wait: during an overload all callers
+    /// would get their first token seconds late. Waits in a standing queue are
+    /// therefore cut short, as in controlled delay for packets (Nichols and
+    /// Jacobson, 2012) and for requests (Maurer, "Fail at Scale", 2015).
+    fn is_expired(&self, ticket: &Ticket, now: Instant) -> bool {
         if ticket.deadline <= now {
             return true;
         }
-        let since = |then| now.saturating_duration_since(then);
-        let stands = |then| since(then) >= self.settings.standing_after;
-        self.waiting_since.is_some_and(stands)
-            && since(ticket.entered) >= self.settings.standing_wait
+        let elapsed = |since| now.saturating_duration_since(since);
+        let is_standing = |since| elapsed(since) >= self.settings.standing_after;
+        self.queue_busy_since.is_some_and(is_standing)
+            && elapsed(ticket.submitted) >= self.settings.standing_wait
     }
 
     fn refusal(&self, reason: RefusalReason) -> Refusal {
--- a/crates/route/src/admission_decision.rs
+++ b/crates/route/src/admission_decision.rs
@@ -1,24 +1,25 @@
-//! What admission says of a request.
+//! Results of admission.
 
 use crate::{Refusal, TicketKey};
 
-/// What admission says of a request.
+/// Decision on a submitted request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It may run now; [`Admission::release`](crate::Admission::release) ends it.
+    /// The request may run now. [`Admission::release`](crate::Admission::release)
+    /// ends it.
     Admitted(TicketKey),
-    /// It waits for its turn, which a later
-    /// [`Admission::advance`](crate::Admission::advance) tells.
+    /// The request is queued until a later
+    /// [`Admission::advance`](crate::Admission::advance) admits or refuses it.
     Queued(TicketKey),
-    /// It is refused.
+    /// The request is refused.
     Refused(Refusal),
 }
 
-/// News for requests that were queued.
+/// Decisions on queued requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct QueueUpdate {
-    /// May run now.
+    /// Requests that may run now.
     pub admitted: Vec<TicketKey>,
-    /// Refused: shed for others, or waited past the deadline.
+    /// Requests that were shed in favour of others, or whose wait expired.
     pub refused: Vec<(TicketKey, Refusal)>,
 }
--- a/crates/route/src/admission_settings.rs
+++ b/crates/route/src/admission_settings.rs
@@ -1,21 +1,21 @@
-//! Settings of admission.
+//! Settings of admission control.
 
 use std::time::Duration;
 
 /// Settings of an [`Admission`](crate::Admission).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionSettings {
-    /// Requests that may wait for a place.
+    /// Maximum number of queued requests.
     pub queue: usize,
-    /// Part of the places that an account far above its fair share leaves
-    /// free for the others.
+    /// Fraction of all slots that an account far above its fair share must leave
+    /// free for others.
     pub reserve: f64,
-    /// When a shed request is told to come back.
+    /// Time after which the caller of a refused request may retry.
     pub retry_after: Duration,
-    /// A queue that was not empty for so long doesn't smooth a burst any more;
-    /// it only makes everyone wait.
+    /// Time without the queue being empty after which it counts as standing: it
+    /// no longer smooths a burst but only delays every request.
     pub standing_after: Duration,
-    /// Longest wait in such a queue.
+    /// Maximum wait in a standing queue.
     pub standing_wait: Duration,
 }
 
--- a/crates/route/src/affinity.rs
+++ b/crates/route/src/affinity.rs
@@ -4,21 +4,21 @@
 
 use crate::TargetKey;
 
-/// Slots that prefixes are hashed to.
+/// Number of slots that prefixes are hashed to.
 const SLOTS: usize = 256;
 
-/// For each slot the target with the highest rendezvous weight.
+/// Maps each hash slot to the target with the highest rendezvous weight.
 ///
-/// Computed when the targets change, so that a choice costs one look-up
-/// however many targets there are. A change moves only the slots of the
-/// targets that came or went (Thaler and Ravishankar, 1998).
+/// The table is computed when the set of targets changes, so a choice costs one
+/// lookup whatever the number of targets. A change only moves the slots of the
+/// targets that were added or removed (Thaler and Ravishankar, 1998).
 #[derive(Debug, Default)]
 pub(crate) struct Affinity {
     slots: Vec<TargetKey>,
 }
 
 impl Affinity {
-    /// Computes the table over targets and the hashes of their names.
+    /// Computes the table from targets and the hashes of their names.
     pub(crate) fn new(targets: &[(TargetKey, u64)]) -> Self {
         let mut slots = Vec::new();
         for slot in 0..SLOTS {
--- a/crates/route/src/start_state.rs
+++ b/crates/route/src/start_state.rs
@@ -1,13 +1,12 @@
-//! How a target comes into a pool.
+//! Whether a target that joins a pool is warm.
 
-/// How a target comes into a pool.
+/// Whether a target that joins a pool is warm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartState {
-    /// It has run for long, and only this entry is new to it. Taking it for
-    /// cold would leave most of its places idle after each restart of an
-    /// entry.
+    /// The target has been running and is only new to this entry. Treating it as
+    /// cold would leave most of its capacity idle after each restart of an entry.
     Warm,
-    /// It has just started: its caches are cold, and it is brought up to its
-    /// load slowly.
+    /// The target has just started: its caches are cold, and its load is ramped
+    /// up slowly.
     Cold,
 }
--- a/crates/route/src/startup_grace.rs
+++ b/crates/route/src/startup_grace.rs
@@ -1,35 +1,36 @@
-//! How long a request waits while nothing takes it.
+//! Waiting while no target is available.
 
 use std::time::{Duration, Instant};
 
-/// How long a request waits while its entry knows no route table yet, or no
-/// target of its service takes work.
+/// Bounds how long requests wait while an entry has no route table yet, or no
+/// target of the service is available.
 ///
-/// It answers the load that follows a loss of all processes: entries are back
-/// before control and targets are, and all callers whose answers were cut off
-/// come back at once. Refused, they come back once more at the most, and many
-/// are lost though targets are there within a second. What lasts longer is no
-/// start, and callers are told at once when to come back.
+/// After all processes have failed at once, entries restart sooner than control
+/// replicas and targets, while all callers with interrupted answers retry
+/// immediately. Callers that are refused retry at most once more, so refusing
+/// them would lose many requests although targets return within a second. An
+/// outage longer than the grace period is not a start: callers are then refused
+/// immediately, with a time to retry.
 ///
 /// ```
 /// use route::StartupGrace;
 /// use std::time::{Duration, Instant};
 ///
-/// let began = Instant::now();
-/// let deadline = began + Duration::from_secs(8);
-/// let until = StartupGrace::default().wait_until(began, deadline, began);
+/// let start = Instant::now();
+/// let deadline = start + Duration::from_secs(8);
+/// let until = StartupGrace::default().wait_until(start, deadline, start);
 /// assert!(until.is_some_and(|until| until < deadline));
-/// let later = began + Duration::from_secs(5);
-/// assert_eq!(StartupGrace::default().wait_until(began, deadline, later), None);
+/// let later = start + Duration::from_secs(5);
+/// assert_eq!(StartupGrace::default().wait_until(start, deadline, later), None);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StartupGrace {
-    /// Longest absence during which requests wait. Targets tell of themselves
-    /// every 1.2 s or so, and replicas of control are up half a second after
-    /// entries.
+    /// Time from the start of the outage during which requests wait. Targets
+    /// announce themselves about every 1.2 s, and control replicas are up about
+    /// 0.5 s after entries.
     pub period: Duration,
-    /// Part of the time that a request has left that it may wait; the rest is
-    /// for its answer.
+    /// Fraction of the time until its deadline that a request may wait; the rest
+    /// is left for its answer.
     pub wait_share: f64,
 }
 
@@ -43,13 +44,13 @@
 }
 
 impl StartupGrace {
-    /// When a request that comes `now` stops waiting; none if it is refused at
-    /// once. The absence began at `since`.
+    /// Returns until when a request that arrives at `now` may wait, or `None` if
+    /// it is refused immediately. The outage began at `since`.
     #[must_use]
     pub fn wait_until(&self, since: Instant, deadline: Instant, now: Instant) -> Option<Instant> {
-        let over = since + self.period;
-        let left = deadline.saturating_duration_since(now);
-        let until = over.min(now + left.mul_f64(self.wait_share));
+        let period_end = since + self.period;
+        let remaining = deadline.saturating_duration_since(now);
+        let until = period_end.min(now + remaining.mul_f64(self.wait_share));
         (until > now).then_some(until)
     }
 }
--- a/crates/route/src/ticket.rs
+++ b/crates/route/src/ticket.rs
@@ -1,4 +1,4 @@
-//! A request on its way through admission.
+//! Requests in admission.
 
 use std::time::Instant;
 
@@ -7,17 +7,17 @@
 new_key_type! {
     /// A client account in an [`Admission`](crate::Admission).
     pub struct AccountKey;
-    /// A request that waits or runs in an [`Admission`](crate::Admission).
+    /// A queued or running request in an [`Admission`](crate::Admission).
     pub struct TicketKey;
 }
 
-/// What admission knows of a request.
+/// State of a request in admission.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Ticket {
     pub(crate) account: AccountKey,
     pub(crate) tokens: u32,
     pub(crate) priority: u32,
-    pub(crate) entered: Instant,
+    pub(crate) submitted: Instant,
     pub(crate) deadline: Instant,
     pub(crate) state: TicketState,
 }
