--- a/crates/route/src/attempt.rs
+++ b/crates/route/src/attempt.rs
@@ -1,10 +1,10 @@
-//! Where an attempt runs.
+//! A running attempt.
 
 use std::time::Instant;
 
 use crate::{AttemptKey, Suspicion, TargetKey};
 
-/// Where and since when an attempt runs.
+/// A running attempt on a target.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
     pub(crate) key: AttemptKey,
@@ -14,6 +14,7 @@
     pub(crate) tokens: u32,
     pub(crate) suspicion: Suspicion,
     pub(crate) started: Instant,
+    /// Expected time to the first token, in seconds.
     pub(crate) expected: f64,
-    pub(crate) first: Option<Instant>,
+    pub(crate) first_token_at: Option<Instant>,
 }
--- a/crates/route/src/attempt_result.rs
+++ b/crates/route/src/attempt_result.rs
@@ -1,14 +1,14 @@
-//! How an attempt ended, as far as the choice of target cares.
+//! The result of an attempt, as relevant to the choice of target.
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// The answer is whole.
+    /// The answer is complete.
     Completed,
-    /// The target said that it has no room.
+    /// The target refused the request because it was full.
     Full,
-    /// The target was lost or broke the answer off.
+    /// The target was lost or the answer was interrupted.
     Failed,
-    /// The caller went away, or the attempt never started.
+    /// The caller disconnected, or the attempt never started.
     Cancelled,
 }
--- a/crates/route/src/budget.rs
+++ b/crates/route/src/budget.rs
@@ -2,13 +2,13 @@
 
 use std::time::{Duration, Instant};
 
-/// Bounds retries to a part of the requests.
+/// Limits retries to a fraction of the requests.
 ///
-/// When a target or an availability zone fails, each request fails at once
-/// and each is retried; without a bound the retries are load of their own,
-/// which overloads what still works. Users notice an outage that outlasts
-/// its cause. Each request pays a tenth of a retry in; a small reserve, which
-/// refills with time, lets a quiet service retry at all.
+/// When a target or an availability zone fails, all requests fail at once and
+/// are retried. Without a limit the retries overload the remaining targets, and
+/// the outage outlasts its cause. Each request earns a fraction of a retry, and
+/// a small reserve that refills over time allows retries of services with little
+/// traffic.
 ///
 /// ```
 /// use route::RetryBudget;
@@ -25,22 +25,25 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
+    /// Retries earned per request.
     ratio: f64,
     earned: f64,
     earned_max: f64,
-    refill: Duration,
+    /// Time in which one retry of the reserve is refilled.
+    refill_period: Duration,
     reserve: f64,
     reserve_max: f64,
-    refilled: Instant,
+    refilled_at: Instant,
 }
 
-/// Retries earned that are kept for later.
+/// Maximum number of earned retries that are kept.
 const MAX_EARNED: f64 = 100.0;
-/// Time in which one retry of the reserve comes back.
-const REFILL: Duration = Duration::from_secs(1);
+/// Time in which one retry of the reserve is refilled.
+const REFILL_PERIOD: Duration = Duration::from_secs(1);
 
 impl RetryBudget {
-    /// `ratio` retries for each request, and `reserve` beside them.
+    /// Creates a budget that earns `ratio` retries per request and starts with a
+    /// reserve of `reserve` retries.
     #[must_use]
     pub fn new(ratio: f64, reserve: u32, now: Instant) -> Self {
         let reserve = f64::from(reserve);
@@ -48,22 +51,22 @@
             ratio,
             earned: 0.0,
             earned_max: MAX_EARNED,
-            refill: REFILL,
+            refill_period: REFILL_PERIOD,
             reserve,
             reserve_max: reserve,
-            refilled: now,
+            refilled_at: now,
         }
     }
 
-    /// The same with at most `earned` retries kept for later, and one of the
-    /// reserve back in each `refill`.
+    /// Keeps at most `max_earned` earned retries, and refills one retry of the
+    /// reserve per `refill_period`.
     ///
-    /// Where targets bear so many retries in any ten seconds, those that quiet
-    /// times have earned at all entries must not come in one burst.
+    /// Targets tolerate a limited number of retries within ten seconds, so those
+    /// that all entries have earned in quiet times must not come in one burst.
     #[must_use]
-    pub fn bounded(mut self, earned: f64, refill: Duration) -> Self {
-        self.earned_max = earned;
-        self.refill = refill;
+    pub fn bounded(mut self, max_earned: f64, refill_period: Duration) -> Self {
+        self.earned_max = max_earned;
+        self.refill_period = refill_period;
         self
     }
 
@@ -72,34 +75,35 @@
         self.earned = (self.earned + self.ratio).min(self.earned_max);
     }
 
-    /// Takes one retry, if there is one.
+    /// Takes one retry if one is available, and returns whether it did.
     pub fn withdraw(&mut self, now: Instant) -> bool {
         self.refill(now);
-        for purse in [&mut self.earned, &mut self.reserve] {
-            if is_whole(*purse) {
-                *purse = (*purse - 1.0).max(0.0);
+        for balance in [&mut self.earned, &mut self.reserve] {
+            if has_one(*balance) {
+                *balance = (*balance - 1.0).max(0.0);
                 return true;
             }
         }
         false
     }
 
-    /// Whether there is a retry to be taken.
+    /// Whether a retry is available.
     pub fn can_withdraw(&mut self, now: Instant) -> bool {
         self.refill(now);
-        is_whole(self.earned) || is_whole(self.reserve)
+        has_one(self.earned) || has_one(self.reserve)
     }
 
     fn refill(&mut self, now: Instant) {
-        let elapsed = now.saturating_duration_since(self.refilled);
-        let refill = elapsed.as_secs_f64() / self.refill.as_secs_f64();
+        let elapsed = now.saturating_duration_since(self.refilled_at);
+        let refill = elapsed.as_secs_f64() / self.refill_period.as_secs_f64();
         self.reserve = (self.reserve + refill).min(self.reserve_max);
-        self.refilled = now;
+        self.refilled_at = now;
     }
 }
 
-/// Sums of tenths fall short of a whole by rounding.
-fn is_whole(purse: f64) -> bool {
+/// Whether the balance is at least one. Sums of tenths can fall slightly short
+/// of one by rounding.
+fn has_one(balance: f64) -> bool {
     let rounding = 1e-9;
-    purse + rounding >= 1.0
+    balance + rounding >= 1.0
 }
--- a/crates/route/src/capacity.rs
+++ b/crates/route/src/capacity.rs
@@ -1,6 +1,6 @@
-//! Places for requests on the targets of a pool.
+//! Capacity of the targets of a pool.
 
-/// Places for requests on the targets of a pool.
+/// Capacity of the targets of a pool, in concurrent requests.
 ///
 /// ```
 /// let capacity = route::Capacity::fixed(8.0);
@@ -8,20 +8,20 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Capacity {
-    /// Requests that this entry may run at once just now: those that run,
-    /// and as many more as there is room for.
+    /// Requests that this entry may currently run: those that it runs already,
+    /// plus those for which there is room.
     pub usable: f64,
-    /// This entry's own part of all places.
+    /// This entry's own share of the total.
     pub own_share: f64,
-    /// Places for the requests of all entries.
+    /// Slots for the requests of all entries.
     pub total: f64,
-    /// Room beyond those, where requests wait at the targets so that no
-    /// place is ever empty.
+    /// Requests beyond the total that may wait at the targets, so that no slot
+    /// stays empty.
     pub overcommit: f64,
 }
 
 impl Capacity {
-    /// So many places for one entry alone.
+    /// Capacity of `count` slots that a single entry uses alone.
     #[must_use]
     pub const fn fixed(count: f64) -> Self {
         Capacity {
--- a/crates/route/src/choice.rs
+++ b/crates/route/src/choice.rs
@@ -1,16 +1,16 @@
-//! Where a request is to run.
+//! The target chosen for a request.
 
 use std::time::Duration;
 
 use crate::TargetKey;
 
-/// The chosen target and rank.
+/// The target and rank chosen for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Choice {
     /// The target.
     pub target: TargetKey,
-    /// The rank inside the group; 0 for a plain service.
+    /// The rank within the group; 0 for a service that is not a model engine.
     pub rank: u32,
-    /// Time to the first token that is expected there.
+    /// Expected time to the first token.
     pub expected: Duration,
 }
--- a/crates/route/src/concurrency_limit.rs
+++ b/crates/route/src/concurrency_limit.rs
@@ -1,8 +1,9 @@
-//! How many requests a target is trusted with at once.
+//! Adaptive concurrency limit of a target.
 
-/// An adaptive limit of concurrency: additive increase while it is reached
-/// and answers come in the expected time, multiplicative decrease when they
-/// don't or the target says that it is full (as in TCP, RFC 5681).
+/// An adaptive concurrency limit with additive increase and multiplicative
+/// decrease, as in TCP (RFC 5681). It grows while at least half of it is in use
+/// and answers are timely, and shrinks when answers are late or the target
+/// reports that it is full.
 ///
 /// ```
 /// use route::ConcurrencyLimit;
@@ -19,31 +20,34 @@
     ceiling: f64,
 }
 
-/// Fewest requests at once: below this a target could never prove itself.
-const FLOOR: f64 = 1.0;
-const DECREASE: f64 = 0.9;
+/// Minimum limit. With less, a target would get no requests and its limit could
+/// never grow again.
+const MIN_LIMIT: f64 = 1.0;
+/// Factor applied to the limit on overload.
+const DECREASE_FACTOR: f64 = 0.9;
 
 impl ConcurrencyLimit {
-    /// Starts at `limit` requests at once.
+    /// Creates a limit of `limit` concurrent requests, which is also its ceiling.
     #[must_use]
     pub fn new(limit: u32) -> Self {
-        let limit = f64::from(limit).max(FLOOR);
+        let limit = f64::from(limit).max(MIN_LIMIT);
         ConcurrencyLimit {
             current: limit,
             ceiling: limit,
         }
     }
 
-    /// The present limit.
+    /// The current limit.
     #[must_use]
     pub fn current(&self) -> f64 {
         self.current
     }
 
-    /// The target's own statement of what it can run at once.
+    /// Sets the upper bound to the number of concurrent requests that the target
+    /// reports it can run.
     pub fn set_ceiling(&mut self, ceiling: f64) {
-        let ceiling = ceiling.max(FLOOR);
-        // A limit that was never cut back follows the target's statement.
+        let ceiling = ceiling.max(MIN_LIMIT);
+        // A limit that was not reduced follows the reported ceiling.
         if self.current >= self.ceiling {
             self.current = ceiling;
         }
@@ -51,15 +55,16 @@
         self.current = self.current.min(ceiling);
     }
 
-    /// An answer came in the expected time while `running` ran.
+    /// An answer arrived in the expected time while `running` requests ran.
     pub fn on_success(&mut self, running: f64) {
         if running >= self.current / 2.0 {
             self.current = (self.current + 1.0 / self.current).min(self.ceiling);
         }
     }
 
-    /// The target refused for want of room, or an answer came far too late.
+    /// The target refused a request because it was full, or an answer was far too
+    /// late.
     pub fn on_overload(&mut self) {
-        self.current = (self.current * DECREASE).max(FLOOR);
+        self.current = (self.current * DECREASE_FACTOR).max(MIN_LIMIT);
     }
 }
--- a/crates/route/src/ejection.rs
+++ b/crates/route/src/ejection.rs
@@ -1,14 +1,15 @@
-//! Targets that fail again and again are left out for a while.
+//! Ejection of targets that fail repeatedly.
 
 use std::time::{Duration, Instant};
 
 use crate::PoolSettings;
 
-/// Failures in a row, and until when the target is left out.
+/// Consecutive failures of a target, and the end of its ejection.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Ejection {
-    failures: u32,
-    times: u32,
+    consecutive_failures: u32,
+    /// Ejections since the last success; the period doubles with each.
+    ejections: u32,
     until: Option<Instant>,
 }
 
@@ -17,25 +18,27 @@
         self.until.is_some_and(|until| now < until)
     }
 
-    pub(crate) fn succeeded(&mut self) {
-        self.failures = 0;
-        self.times = 0;
+    pub(crate) fn record_success(&mut self) {
+        self.consecutive_failures = 0;
+        self.ejections = 0;
     }
 
-    /// Counts a failure and says whether the target is due to be ejected.
-    pub(crate) fn failed(&mut self, tuning: &PoolSettings) -> bool {
-        self.failures += 1;
-        self.failures >= tuning.ejection_failures
+    /// Counts a failure and returns whether the target should be ejected.
+    pub(crate) fn record_failure(&mut self, settings: &PoolSettings) -> bool {
+        self.consecutive_failures += 1;
+        self.consecutive_failures >= settings.ejection_failures
     }
 
-    pub(crate) fn eject(&mut self, now: Instant, tuning: &PoolSettings) {
-        self.until = Some(now + self.period(tuning));
-        self.times = self.times.saturating_add(1);
-        self.failures = 0;
+    pub(crate) fn eject(&mut self, now: Instant, settings: &PoolSettings) {
+        self.until = Some(now + self.period(settings));
+        self.ejections = self.ejections.saturating_add(1);
+        self.consecutive_failures = 0;
     }
 
-    fn period(&self, tuning: &PoolSettings) -> Duration {
-        let doubled = tuning.ejection.checked_mul(1 << self.times.min(16));
-        doubled.map_or(tuning.ejection_max, |time| time.min(tuning.ejection_max))
+    fn period(&self, settings: &PoolSettings) -> Duration {
+        let period = settings.ejection.checked_mul(1 << self.ejections.min(16));
+        period.map_or(settings.ejection_max, |period| {
+            period.min(settings.ejection_max)
+        })
     }
 }
--- a/crates/route/src/error.rs
+++ b/crates/route/src/error.rs
@@ -1,41 +1,41 @@
-//! The error of this crate.
+//! The error type of this crate.
 
 use std::fmt;
 
 /// A `Result` with this crate's [`Error`].
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A snapshot that could not be read.
+/// A quarantine snapshot that could not be read.
 #[derive(Debug)]
 pub struct Error {
-    code: Code,
+    kind: ErrorKind,
 }
 
 #[derive(Debug)]
-enum Code {
-    Snapshot(serde_json::Error),
-    Digits { place: String },
+enum ErrorKind {
+    InvalidJson(serde_json::Error),
+    InvalidFingerprint { place: String },
 }
 
 impl Error {
-    pub(crate) fn snapshot(source: serde_json::Error) -> Self {
+    pub(crate) fn invalid_json(source: serde_json::Error) -> Self {
         Error {
-            code: Code::Snapshot(source),
+            kind: ErrorKind::InvalidJson(source),
         }
     }
 
-    pub(crate) fn digits(place: String) -> Self {
+    pub(crate) fn invalid_fingerprint(place: String) -> Self {
         Error {
-            code: Code::Digits { place },
+            kind: ErrorKind::InvalidFingerprint { place },
         }
     }
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match &self.code {
-            Code::Snapshot(source) => write!(f, "invalid quarantine snapshot: {source}"),
-            Code::Digits { place } => {
+        match &self.kind {
+            ErrorKind::InvalidJson(source) => write!(f, "invalid quarantine snapshot: {source}"),
+            ErrorKind::InvalidFingerprint { place } => {
                 write!(f, "expected 64 hexadecimal digits at {place}")
             }
         }
@@ -44,9 +44,9 @@
 
 impl std::error::Error for Error {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
-        match &self.code {
-            Code::Snapshot(source) => Some(source),
-            Code::Digits { .. } => None,
+        match &self.kind {
+            ErrorKind::InvalidJson(source) => Some(source),
+            ErrorKind::InvalidFingerprint { .. } => None,
         }
     }
 }
--- a/crates/route/src/fingerprint.rs
+++ b/crates/route/src/fingerprint.rs
@@ -1,8 +1,9 @@
-//! What makes two requests the same request for the quarantine.
+//! Identity of a request for the quarantine.
 
 use std::fmt;
 
-/// SHA-256 over client account, model or service, and body digest.
+/// Identity of a request: SHA-256 of client account, model or service, and body
+/// digest.
 ///
 /// ```
 /// use route::Fingerprint;
@@ -25,13 +26,13 @@
         Fingerprint(digest)
     }
 
-    /// Reads a digest of exactly [`Fingerprint::LEN`] bytes.
+    /// Creates a fingerprint from a digest of exactly [`Fingerprint::LEN`] bytes.
     #[must_use]
     pub fn from_slice(bytes: &[u8]) -> Option<Self> {
         bytes.try_into().ok().map(Fingerprint)
     }
 
-    /// Reads 64 hexadecimal digits.
+    /// Parses 64 hexadecimal digits.
     #[must_use]
     pub fn from_hex(text: &str) -> Option<Self> {
         if text.len() != 2 * Fingerprint::LEN || !text.is_ascii() {
--- a/crates/route/src/key.rs
+++ b/crates/route/src/key.rs
@@ -1,10 +1,10 @@
-//! Keys into the arenas of a pool.
+//! Keys of targets and attempts.
 
 use slotmap::new_key_type;
 
 new_key_type! {
-    /// A target in a [`Pool`](crate::Pool).
+    /// A target in a [`Pool`](crate::Pool) or [`TargetSet`](crate::TargetSet).
     pub struct TargetKey;
-    /// An attempt that runs on a target of a [`Pool`](crate::Pool).
+    /// A running attempt on a target of a [`Pool`](crate::Pool).
     pub struct AttemptKey;
 }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -29,7 +29,7 @@
 mod attempt;
 mod attempt_result;
 mod budget;
-mod cache;
+mod cache_estimate;
 mod capacity;
 mod choice;
 mod concurrency_limit;
--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -129,7 +129,7 @@
     /// Takes a target's cache events; a gap in the sequence forgets the rest.
     pub fn cache_events(&mut self, key: TargetKey, sequence: u64, stored: &[u64], gone: &[u64]) {
         if let Some(target) = self.targets.get_mut(key) {
-            target.cache.events(sequence, stored, gone);
+            target.cache.apply_events(sequence, stored, gone);
         }
     }
 
@@ -206,7 +206,7 @@
             suspicion: demand.suspicion,
             started: now,
             expected: choice.expected.as_secs_f64(),
-            first: None,
+            first_token_at: None,
         });
         target.started(now, key, choice.rank, demand);
         key
@@ -217,13 +217,13 @@
         let Some(place) = self.attempts.get_mut(attempt) else {
             return;
         };
-        if place.first.is_some() {
+        if place.first_token_at.is_some() {
             return;
         }
         if let Some(target) = self.targets.get_mut(place.target) {
             target.answered(now, place);
         }
-        place.first = Some(now);
+        place.first_token_at = Some(now);
     }
 
     /// The attempt has ended.
@@ -240,7 +240,7 @@
         target.ended(now, &place);
         match ending {
             AttemptResult::Completed => {
-                target.ejection.succeeded();
+                target.ejection.record_success();
                 target.held(now.saturating_duration_since(place.started));
             }
             AttemptResult::Full => target.limit.on_overload(),
@@ -253,7 +253,7 @@
         let Some(target) = self.targets.get_mut(key) else {
             return;
         };
-        let due = target.ejection.failed(&self.tuning);
+        let due = target.ejection.record_failure(&self.tuning);
         if due && self.may_eject(now) {
             let target = &mut self.targets[key];
             target.ejection.eject(now, &self.tuning);
@@ -286,7 +286,7 @@
             self.best_of(now, demand, keys)
         };
         let preferred = self.preferred(now, demand).and_then(|key| {
-            let demand = demand.with_prefix_to_come();
+            let demand = demand.with_prefix_discount();
             self.best_of(now, &demand, std::iter::once(key))
         });
         let found = preferred.into_iter().chain(sampled);
--- a/crates/route/src/quarantine_document.rs
+++ b/crates/route/src/quarantine_document.rs
@@ -32,7 +32,7 @@
     }
 
     pub(crate) fn from_slice(json: &[u8]) -> Result<Self> {
-        serde_json::from_slice(json).map_err(Error::snapshot)
+        serde_json::from_slice(json).map_err(Error::invalid_json)
     }
 }
 
@@ -95,5 +95,5 @@
 }
 
 fn read(text: &str, place: impl FnOnce() -> String) -> Result<Fingerprint> {
-    Fingerprint::from_hex(text).ok_or_else(|| Error::digits(place()))
+    Fingerprint::from_hex(text).ok_or_else(|| Error::invalid_fingerprint(place()))
 }
--- a/crates/route/src/target.rs
+++ b/crates/route/src/target.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use crate::attempt::Attempt;
-use crate::cache::Cache;
+use crate::cache_estimate::CacheEstimate;
 use crate::ejection::Ejection;
 use crate::rank::Rank;
 use crate::{
@@ -30,7 +30,7 @@
     pub(crate) name_hash: u64,
     pub(crate) standing: TargetStatus,
     pub(crate) ejection: Ejection,
-    pub(crate) cache: Cache,
+    pub(crate) cache: CacheEstimate,
     pub(crate) limit: ConcurrencyLimit,
     pub(crate) own_running: u32,
     pub(crate) own_suspects: u32,
@@ -65,7 +65,7 @@
             name_hash: hash_bytes(name.bytes()),
             standing: TargetStatus::Unavailable,
             ejection: Ejection::default(),
-            cache: Cache::default(),
+            cache: CacheEstimate::default(),
             limit: ConcurrencyLimit::new(tuning.initial_limit),
             own_running: 0,
             own_suspects: 0,
@@ -90,7 +90,7 @@
     /// Forgets what was learnt of the former incarnation.
     pub(crate) fn restart(&mut self, now: Instant, tuning: &PoolSettings) {
         self.ejection = Ejection::default();
-        self.cache = Cache::default();
+        self.cache = CacheEstimate::default();
         self.limit = ConcurrencyLimit::new(tuning.initial_limit);
         self.ranks = vec![Rank::default()];
         self.own_running = 0;
@@ -249,7 +249,7 @@
             self.own_suspects += 1;
         }
         self.waiting.insert((now, key));
-        self.cache.sent(demand.prefix);
+        self.cache.record_sent(demand.prefix);
         if let Some(rank) = self.rank_mut(rank) {
             rank.started(now, demand.tokens);
         }
@@ -280,7 +280,7 @@
     }
 
     pub(crate) fn ended(&mut self, now: Instant, place: &Attempt) {
-        if place.first.is_none() {
+        if place.first_token_at.is_none() {
             self.prefilled(now, place);
         }
         self.own_running = self.own_running.saturating_sub(1);
