--- a/crates/route/src/account_demand.rs
+++ b/crates/route/src/account_demand.rs
@@ -1,25 +1,26 @@
-//! What callers of an account ask for at one entry.
+//! Demand of an account at one entry.
 
 use std::time::{Duration, Instant};
 
 use crate::{AccountLimits, FULL_QUOTA};
 
-/// Time over which the use of an account is averaged.
+/// Time constant of the moving average.
 const WINDOW: Duration = Duration::from_secs(1);
-/// Parts of the whole below which nobody is taken to ask for anything.
-const NOTHING: f64 = 1e-5;
+/// Fraction of the limits below which the demand counts as zero.
+const MIN_FRACTION: f64 = 1e-5;
 
-/// What callers of an account ask for at one entry, refused requests included.
+/// Demand of an account at one entry, as an exponential moving average. Refused
+/// requests are included.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AccountDemand {
-    at: Option<Instant>,
+    updated_at: Option<Instant>,
     requests: f64,
     tokens: f64,
-    present: f64,
+    concurrent: f64,
 }
 
 impl AccountDemand {
-    /// Notes a request that asks to be let in beside those that are `present`.
+    /// Records a request that arrives while `active` requests are running.
     ///
     /// ```
     /// use route::{AccountLimits, AccountDemand, FULL_QUOTA};
@@ -27,19 +28,19 @@
     ///
     /// let now = Instant::now();
     /// let limits = AccountLimits { concurrent: 4, ..AccountLimits::default() };
-    /// let mut usage = AccountDemand::default();
-    /// usage.record(now, 100, 1);
-    /// assert_eq!(usage.quota_demand(now, &limits), FULL_QUOTA / 2);
+    /// let mut demand = AccountDemand::default();
+    /// demand.record(now, 100, 1);
+    /// assert_eq!(demand.quota_demand(now, &limits), FULL_QUOTA / 2);
     /// ```
-    pub fn record(&mut self, now: Instant, tokens: u32, present: u32) {
-        *self = self.aged(now);
+    pub fn record(&mut self, now: Instant, tokens: u32, active: u32) {
+        *self = self.decayed(now);
         self.requests += 1.0;
         self.tokens += f64::from(tokens);
-        self.present = self.present.max(f64::from(present) + 1.0);
+        self.concurrent = self.concurrent.max(f64::from(active) + 1.0);
     }
 
-    /// The part of the limits that is asked for, of [`FULL_QUOTA`]; the largest of that of
-    /// each limit.
+    /// Returns the demand as a share of the limits, in units of [`FULL_QUOTA`]. It is the
+    /// largest of the shares of each limit.
     ///
     /// ```
     /// use route::{AccountLimits, AccountDemand};
@@ -50,39 +51,42 @@
     /// ```
     #[must_use]
     pub fn quota_demand(&self, now: Instant, limits: &AccountLimits) -> u32 {
-        let aged = self.aged(now);
+        let decayed = self.decayed(now);
         let seconds = WINDOW.as_secs_f64();
-        let part = |used: f64, limit: f64| if limit > 0.0 { used / limit } else { 0.0 };
-        let part = part(aged.requests / seconds, limits.requests_per_s)
-            .max(part(aged.tokens / seconds, limits.tokens_per_s))
-            .max(part(aged.present, f64::from(limits.concurrent)));
-        if part < NOTHING {
+        let fraction_of = |used: f64, limit: f64| if limit > 0.0 { used / limit } else { 0.0 };
+        let fraction = fraction_of(decayed.requests / seconds, limits.requests_per_s)
+            .max(fraction_of(decayed.tokens / seconds, limits.tokens_per_s))
+            .max(fraction_of(
+                decayed.concurrent,
+                f64::from(limits.concurrent),
+            ));
+        if fraction < MIN_FRACTION {
             return 0;
         }
-        to_parts(part)
+        to_quota(fraction)
     }
 
-    fn aged(&self, now: Instant) -> AccountDemand {
+    fn decayed(&self, now: Instant) -> AccountDemand {
         let age = self
-            .at
+            .updated_at
             .map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        let left = (-age.as_secs_f64() / WINDOW.as_secs_f64()).exp();
+        let decay = (-age.as_secs_f64() / WINDOW.as_secs_f64()).exp();
         AccountDemand {
-            at: Some(self.at.map_or(now, |at| at.max(now))),
-            requests: self.requests * left,
-            tokens: self.tokens * left,
-            present: self.present * left,
+            updated_at: Some(self.updated_at.map_or(now, |at| at.max(now))),
+            requests: self.requests * decay,
+            tokens: self.tokens * decay,
+            concurrent: self.concurrent * decay,
         }
     }
 }
 
-/// At least one part, and no more than all.
+/// Converts a fraction to units of [`FULL_QUOTA`]; at least one unit and at most all.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "the value is clamped to the range of the type before"
+    reason = "the value is clamped to the range of the type"
 )]
-fn to_parts(part: f64) -> u32 {
-    let whole = f64::from(FULL_QUOTA);
-    (part * whole).ceil().clamp(1.0, whole) as u32
+fn to_quota(fraction: f64) -> u32 {
+    let full = f64::from(FULL_QUOTA);
+    (fraction * full).ceil().clamp(1.0, full) as u32
 }
--- a/crates/route/src/account_limiter.rs
+++ b/crates/route/src/account_limiter.rs
@@ -1,10 +1,10 @@
-//! What one client account has used of its limits.
+//! Enforcement of the limits of one client account.
 
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 use crate::{AccountLimits, Refusal, RefusalReason, TokenBucket};
 
-/// Rates and concurrency of one client account.
+/// Enforces the rate and concurrency limits of one client account.
 ///
 /// ```
 /// use route::{AccountLimits, AccountLimiter, RefusalReason};
@@ -12,27 +12,30 @@
 ///
 /// let now = Instant::now();
 /// let limits = AccountLimits { concurrent: 1, ..AccountLimits::default() };
-/// let mut ration = AccountLimiter::new(limits, now);
-/// assert!(ration.acquire(now, 100).is_ok());
-/// assert_eq!(ration.acquire(now, 100).unwrap_err().reason, RefusalReason::Concurrency);
-/// ration.release(100, 80);
-/// assert!(ration.acquire(now, 100).is_ok());
+/// let mut limiter = AccountLimiter::new(limits, now);
+/// assert!(limiter.acquire(now, 100).is_ok());
+/// assert_eq!(limiter.acquire(now, 100).unwrap_err().reason, RefusalReason::Concurrency);
+/// limiter.release(100, 80);
+/// assert!(limiter.acquire(now, 100).is_ok());
 /// ```
 #[derive(Clone, Debug)]
 pub struct AccountLimiter {
     limits: AccountLimits,
-    present: u32,
+    active: u32,
     requests: TokenBucket,
     tokens: TokenBucket,
 }
 
+/// Time after which a request refused by the concurrency limit may be retried.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
+
 impl AccountLimiter {
-    /// Of which nothing is used yet.
+    /// Creates a limiter with unused limits.
     #[must_use]
     pub fn new(limits: AccountLimits, now: Instant) -> Self {
         AccountLimiter {
             limits,
-            present: 0,
+            active: 0,
             requests: TokenBucket::new(limits.requests_per_s, now),
             tokens: TokenBucket::new(limits.tokens_per_s, now),
         }
@@ -44,44 +47,46 @@
         &self.limits
     }
 
-    /// Changes the limits and keeps what is used.
+    /// Changes the limits and keeps the current use.
     pub fn set_limits(&mut self, limits: AccountLimits, now: Instant) {
         self.requests.set_rate(limits.requests_per_s, now);
         self.tokens.set_rate(limits.tokens_per_s, now);
         self.limits = limits;
     }
 
-    /// Requests that have entered and not left.
+    /// Number of requests that were acquired and not yet released.
     #[must_use]
     pub fn active(&self) -> u32 {
-        self.present
+        self.active
     }
 
-    /// Takes a request's part of all limits, or of none.
+    /// Charges a request with an estimate of `tokens` to all limits, or to none if one
+    /// of them is reached.
     ///
     /// # Errors
-    /// Which limit is reached, and when to come back.
+    /// Returns which limit is reached, and when to retry.
     pub fn acquire(&mut self, now: Instant, tokens: u32) -> Result<(), Refusal> {
-        if self.limits.concurrent > 0 && self.present >= self.limits.concurrent {
+        if self.limits.concurrent > 0 && self.active >= self.limits.concurrent {
             return Err(Refusal {
                 reason: RefusalReason::Concurrency,
                 retry_after: RETRY_AFTER,
             });
         }
         self.take_rates(now, tokens)?;
-        self.present += 1;
+        self.active += 1;
         Ok(())
     }
 
-    /// Ends a request that entered with `estimated` tokens and used `used`.
+    /// Ends a request that was acquired with `estimated` tokens and used `used`.
     pub fn release(&mut self, estimated: u32, used: u32) {
-        self.present = self.present.saturating_sub(1);
+        self.active = self.active.saturating_sub(1);
         self.settle(estimated, used);
     }
 
+    /// Charges a request to the rate limits only.
     pub(crate) fn take_rates(&mut self, now: Instant, tokens: u32) -> Result<(), Refusal> {
         let tokens = f64::from(tokens);
-        let refused = |reason| {
+        let refusal = |reason| {
             move |retry_after| Refusal {
                 reason,
                 retry_after,
@@ -89,21 +94,22 @@
         };
         self.requests
             .check(now, 1.0)
-            .map_err(refused(RefusalReason::RequestRate))?;
+            .map_err(refusal(RefusalReason::RequestRate))?;
         self.tokens
             .check(now, tokens)
-            .map_err(refused(RefusalReason::TokenRate))?;
+            .map_err(refusal(RefusalReason::TokenRate))?;
         self.requests.charge(1.0);
         self.tokens.charge(tokens);
         Ok(())
     }
 
+    /// Returns the charge of a request that did not run.
     pub(crate) fn refund(&mut self, tokens: u32) {
         self.requests.refund(1.0);
         self.tokens.refund(f64::from(tokens));
     }
 
-    /// Charges or gives back what the estimate of a request's tokens missed.
+    /// Corrects the charge of a request from its estimated to its used tokens.
     pub(crate) fn settle(&mut self, estimated: u32, used: u32) {
         if used > estimated {
             self.tokens.charge(f64::from(used - estimated));
@@ -112,6 +118,3 @@
         }
     }
 }
-
-/// When to come back for a free place of the account's own.
-const RETRY_AFTER: std::time::Duration = std::time::Duration::from_secs(1);
--- a/crates/route/src/elapsed_wait.rs
+++ b/crates/route/src/elapsed_wait.rs
@@ -1,51 +1,56 @@
-//! How much of their time callers have used before they come.
+//! Time that callers have already waited before a request arrives.
 
 use std::time::{Duration, Instant};
 
-/// How long the longest patience of callers is remembered, once or twice.
-const REMEMBERED: Duration = Duration::from_secs(10);
+/// Period over which the longest timeout is tracked. It is remembered for one to
+/// two periods.
+const PERIOD: Duration = Duration::from_secs(10);
 
-/// How much of their time the callers of one route have used before they come.
+/// Estimates how long the callers of one route have already waited when their
+/// request arrives.
 ///
-/// Callers say how long they still wait. One that was refused and comes back
-/// waits for less than one that comes for the first time, which is who has the
-/// longest patience of all.
+/// Callers send their remaining timeout. A caller that was refused and retries
+/// sends a shorter one than a caller on its first try, so the longest recent
+/// timeout is taken for the initial one.
 ///
 /// ```
 /// use route::ElapsedWait;
 /// use std::time::{Duration, Instant};
 ///
 /// let now = Instant::now();
-/// let mut used = ElapsedWait::new(now);
-/// assert_eq!(used.observe(Duration::from_secs(8), now), Duration::ZERO);
-/// assert_eq!(used.observe(Duration::from_secs(5), now), Duration::from_secs(3));
+/// let mut elapsed = ElapsedWait::new(now);
+/// assert_eq!(elapsed.observe(Duration::from_secs(8), now), Duration::ZERO);
+/// assert_eq!(elapsed.observe(Duration::from_secs(5), now), Duration::from_secs(3));
 /// ```
 #[derive(Clone, Debug)]
 pub struct ElapsedWait {
-    since: Instant,
+    period_start: Instant,
     longest: Duration,
-    /// The longest of the time before.
-    before: Duration,
+    /// The longest timeout of the previous period.
+    previous_longest: Duration,
 }
 
 impl ElapsedWait {
-    /// Nothing is known yet.
+    /// Creates an estimate without observations.
     #[must_use]
     pub fn new(now: Instant) -> ElapsedWait {
         ElapsedWait {
-            since: now,
+            period_start: now,
             longest: Duration::ZERO,
-            before: Duration::ZERO,
+            previous_longest: Duration::ZERO,
         }
     }
 
-    /// How much time a caller has used that waits for `patience` now.
-    pub fn observe(&mut self, patience: Duration, now: Instant) -> Duration {
-        if now.saturating_duration_since(self.since) >= REMEMBERED {
-            self.before = std::mem::take(&mut self.longest);
-            self.since = now;
+    /// Returns how long a caller with a remaining timeout of `remaining` has already
+    /// waited.
+    pub fn observe(&mut self, remaining: Duration, now: Instant) -> Duration {
+        if now.saturating_duration_since(self.period_start) >= PERIOD {
+            self.previous_longest = std::mem::take(&mut self.longest);
+            self.period_start = now;
         }
-        self.longest = self.longest.max(patience);
-        self.longest.max(self.before).saturating_sub(patience)
+        self.longest = self.longest.max(remaining);
+        self.longest
+            .max(self.previous_longest)
+            .saturating_sub(remaining)
     }
 }
--- a/crates/route/src/load_report.rs
+++ b/crates/route/src/load_report.rs
@@ -1,31 +1,31 @@
-//! What a target reports of its load.
+//! Load reports of targets.
 
 use std::time::{Duration, Instant};
 
-/// Load of one target, as it was when the target took the figures.
+/// Load of one target at the time of measurement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetLoadReport {
-    /// When the figures were taken, on the entry's clock.
+    /// Time of measurement, on the entry's clock.
     pub taken_at: Instant,
-    /// Requests that may run at once; 0 when the target doesn't say.
+    /// Maximum number of concurrent requests; 0 if the target does not report it.
     pub limit: u32,
-    /// Requests that wait for a place at the target.
+    /// Number of requests queued at the target.
     pub queued: u32,
-    /// One row a rank. A plain service has one rank, number 0.
+    /// Load per rank. A target that is not a model engine has a single rank 0.
     pub ranks: Vec<RankLoadReport>,
 }
 
 /// Load of one rank.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RankLoadReport {
-    /// The rank's number.
+    /// Number of the rank.
     pub rank: u32,
-    /// Requests that run on it.
+    /// Number of running requests.
     pub running: u32,
-    /// Prompt tokens that wait for their prefill.
+    /// Number of prompt tokens waiting for prefill.
     pub queued_tokens: u32,
-    /// KV cache in use, in thousandths.
+    /// Used fraction of the KV cache, in thousandths.
     pub kv_used_permille: u32,
-    /// Time of one step; zero when unknown.
+    /// Time of one decode step; zero if unknown.
     pub step: Duration,
 }
--- a/crates/route/src/pool_settings.rs
+++ b/crates/route/src/pool_settings.rs
@@ -1,34 +1,35 @@
-//! Settings of the choice of target.
+//! Settings of a pool.
 
 use std::time::Duration;
 
 /// Settings of a [`Pool`](crate::Pool).
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolSettings {
-    /// Targets compared for each choice.
+    /// Number of targets compared per choice.
     pub samples: usize,
-    /// This entry's part of all that a target runs, in (0, 1], until it is set.
+    /// Initial share of a target's capacity for this entry, in (0, 1].
     pub share: f64,
-    /// Time over which a fresh target is brought to its full load.
+    /// Time over which a cold target is ramped up to full load.
     pub slow_start: Duration,
-    /// Failures in a row after which a target is ejected.
+    /// Number of consecutive failures after which a target is ejected.
     pub ejection_failures: u32,
-    /// First time of ejection; doubles with each further one.
+    /// Duration of the first ejection; doubles with each further one.
     pub ejection: Duration,
-    /// Longest time of ejection.
+    /// Maximum duration of an ejection.
     pub ejection_max: Duration,
-    /// Largest part of the targets that may be ejected at once.
+    /// Maximum fraction of the targets that may be ejected at the same time.
     pub max_ejected_share: f64,
-    /// How far above the mean load prefix affinity may lift a target.
+    /// Maximum load of a target that is chosen by prefix affinity, as a multiple of
+    /// the mean load.
     pub affinity_bound: f64,
-    /// Step time assumed of a target that reports none.
+    /// Step time assumed for a target that reports none.
     pub default_step: Duration,
-    /// Steps for each prompt token of a prefill, as first assumed.
+    /// Initial estimate of the steps per prompt token of a prefill.
     pub steps_per_token: f64,
-    /// How far above its limit a target is filled, so that when one request
-    /// ends the next one is there already.
+    /// Load up to which a target is filled, as a multiple of its limit, so that the
+    /// next request is already there when one ends.
     pub overcommit: f64,
-    /// Requests at once that a target is first trusted with.
+    /// Initial concurrency limit of a target.
     pub initial_limit: u32,
 }
 
--- a/crates/route/src/quota_allocator.rs
+++ b/crates/route/src/quota_allocator.rs
@@ -1,17 +1,19 @@
-//! Who may use which part of an account's limits.
+//! Allocation of account quotas to entries.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use member::hash_name;
 
-/// The whole of an account's limits.
+/// The full quota of an account; shares are given in these units, so in
+/// ten-thousandths of the account's limits.
 pub const FULL_QUOTA: u32 = 10_000;
-/// Accounts that are kept track of; more are left to the entries' own parts.
-const MOST_ACCOUNTS: usize = 20_000;
+/// Maximum number of accounts that are tracked. Entries enforce their own static
+/// shares for any others.
+const MAX_ACCOUNTS: usize = 20_000;
 
-/// The number that stands for an account between entries and control. Two accounts that
-/// share one are granted the same part, which is then less than each might have.
+/// Returns the hash that identifies an account between entries and control. Two accounts
+/// with the same hash are granted shares of one quota, so each may get less than its own.
 ///
 /// ```
 /// assert_ne!(route::account_hash("huber"), route::account_hash("maier"));
@@ -22,113 +24,116 @@
     u32::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3]])
 }
 
-/// What an entry tells of its use of an account.
+/// An entry's use of an account, as it reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaUsage {
     /// Hash of the account's name.
     pub account: u32,
-    /// What its callers ask for there, of [`FULL_QUOTA`].
+    /// Demand of its callers at the entry, in units of [`FULL_QUOTA`].
     pub demand: u32,
-    /// What the entry gives out at most, by the last grant that it acts on.
+    /// Share that the entry may use under the last grant that it has applied, in units
+    /// of [`FULL_QUOTA`].
     pub held: u32,
 }
 
-/// The part of an account's limits that an entry may give out.
+/// The share of an account's quota that is granted to an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaGrant {
     /// Hash of the account's name.
     pub account: u32,
-    /// Of [`FULL_QUOTA`].
+    /// Granted share, in units of [`FULL_QUOTA`].
     pub share: u32,
 }
 
-/// Gives out the parts of all accounts' limits, at one leader.
+/// Allocates the quotas of all accounts to entries. Runs on the leader of control.
 ///
-/// A part is granted for a lease. What was granted to one entry is not granted to
-/// another before the first has said that it acts on less, or its lease is over: so
-/// the parts that are acted on never exceed the whole, whatever message is lost.
+/// Shares are granted for the time of a lease. A share granted to one entry is not
+/// granted to another before the first has reported that it uses less, or its lease has
+/// expired. The shares in use therefore never exceed the full quota, even if messages
+/// are lost.
 #[derive(Debug)]
 pub struct QuotaAllocator {
-    began: Instant,
+    elected_at: Instant,
     lease: Duration,
     accounts: BTreeMap<u32, Account>,
-    /// Number of the last report of each entry, and when it is forgotten.
-    reports: BTreeMap<u64, (u64, Instant)>,
-    /// When to look for what is over.
-    expires: Instant,
+    /// Sequence number of the last report of each entry, and when it expires.
+    last_reports: BTreeMap<u64, (u64, Instant)>,
+    /// When to remove expired grants next.
+    next_expiry: Instant,
 }
 
+/// What one entry demands and may be using of an account.
 #[derive(Clone, Copy, Debug)]
-struct Holding {
+struct Lease {
     demand: u32,
-    /// The most that the entry may act on.
+    /// Largest share that the entry may be using.
     outstanding: u32,
     until: Instant,
 }
 
-/// The holdings of one account.
+/// The leases of one account, by entry.
 #[derive(Debug, Default)]
 struct Account {
-    holdings: BTreeMap<u64, Holding>,
-    /// All that is outstanding.
-    taken: u32,
-    level: Level,
-    /// When the level was worked out. That looks at each holding, which for an account
-    /// of all of hundreds of entries is too much for each report.
-    levelled: Option<Instant>,
+    leases: BTreeMap<u64, Lease>,
+    /// Sum of the outstanding shares.
+    outstanding: u32,
+    fair_share: FairShare,
+    /// When the fair share was last computed. That visits every lease, which is too
+    /// expensive for each report if hundreds of entries use the account.
+    computed_at: Option<Instant>,
 }
 
-/// How far the whole goes round.
+/// Max-min fair division of the full quota.
 #[derive(Clone, Copy, Debug, Default)]
-struct Level {
-    /// Who asks for more gets this.
-    most: u32,
-    /// What nobody asks for.
+struct FairShare {
+    /// Limit on the share of entries with a higher demand.
+    max: u32,
+    /// Part of the quota that is not demanded by any entry.
     spare: u32,
-    total: u64,
+    total_demand: u64,
 }
 
-/// The level is worked out once in this part of a lease.
-const LEVEL_PART: u32 = 30;
+/// The fair share is computed at most this many times per lease.
+const COMPUTATIONS_PER_LEASE: u32 = 30;
 
 impl QuotaAllocator {
-    /// Begins at the moment when this leader was elected.
+    /// Creates an allocator for a leader that was elected at `elected_at`.
     ///
     /// ```
     /// use route::{QuotaAllocator, QuotaUsage, FULL_QUOTA};
     /// use std::time::{Duration, Instant};
     ///
-    /// let (began, lease) = (Instant::now(), Duration::from_secs(3));
-    /// let mut exchange = QuotaAllocator::new(began, lease);
-    /// let used = QuotaUsage { account: 7, demand: 100, held: 0 };
-    /// let parts = exchange.report(1, 1, &[used], began + lease);
-    /// assert_eq!(parts[0].share, FULL_QUOTA);
+    /// let (elected_at, lease) = (Instant::now(), Duration::from_secs(3));
+    /// let mut allocator = QuotaAllocator::new(elected_at, lease);
+    /// let usage = QuotaUsage { account: 7, demand: 100, held: 0 };
+    /// let grants = allocator.report(1, 1, &[usage], elected_at + lease);
+    /// assert_eq!(grants[0].share, FULL_QUOTA);
     /// ```
     #[must_use]
-    pub fn new(began: Instant, lease: Duration) -> Self {
+    pub fn new(elected_at: Instant, lease: Duration) -> Self {
         QuotaAllocator {
-            began,
+            elected_at,
             lease,
             accounts: BTreeMap::new(),
-            reports: BTreeMap::new(),
-            expires: began + lease,
+            last_reports: BTreeMap::new(),
+            next_expiry: elected_at + lease,
         }
     }
 
-    /// Takes in what an entry reports, and grants it its parts. `sequence` counts the
-    /// reports of each entry; one that was overtaken is granted nothing.
+    /// Processes the report of an entry and returns its grants. `sequence` numbers the
+    /// reports of each entry; a report that arrives after a later one gets no grants.
     ///
-    /// In its first lease a leader doesn't know what its predecessor granted, so it
-    /// grants each entry just what it holds.
+    /// During its first lease a leader does not know the grants of its predecessor, so it
+    /// grants each entry at most the share that it already holds.
     ///
     /// ```
     /// use route::{QuotaAllocator, QuotaUsage, FULL_QUOTA};
     /// use std::time::{Duration, Instant};
     ///
-    /// let (began, lease) = (Instant::now(), Duration::from_secs(3));
-    /// let mut exchange = QuotaAllocator::new(began, lease);
-    /// let held = QuotaUsage { account: 7, demand: 100, held: 400 };
-    /// assert_eq!(exchange.report(1, 1, &[held], began)[0].share, 400);
+    /// let (elected_at, lease) = (Instant::now(), Duration::from_secs(3));
+    /// let mut allocator = QuotaAllocator::new(elected_at, lease);
+    /// let usage = QuotaUsage { account: 7, demand: 100, held: 400 };
+    /// assert_eq!(allocator.report(1, 1, &[usage], elected_at)[0].share, 400);
     /// ```
     pub fn report(
         &mut self,
@@ -137,158 +142,167 @@
         uses: &[QuotaUsage],
         now: Instant,
     ) -> Vec<QuotaGrant> {
-        let last = self.reports.get(&entry);
+        let last = self.last_reports.get(&entry);
         if last.is_some_and(|(last, _)| sequence <= *last) {
             return Vec::new();
         }
-        self.reports.insert(entry, (sequence, now + self.lease * 2));
-        let parts = uses.iter().filter_map(|used| self.grant(entry, used, now));
-        parts.collect()
+        self.last_reports
+            .insert(entry, (sequence, now + self.lease * 2));
+        let grants = uses
+            .iter()
+            .filter_map(|usage| self.grant(entry, usage, now));
+        grants.collect()
     }
 
-    /// Forgets what is over; it looks once in each lease.
+    /// Removes expired leases, at most once per lease time.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
     ///
     /// let now = Instant::now();
-    /// let mut exchange = route::QuotaAllocator::new(now, Duration::from_secs(3));
-    /// exchange.expire(now);
-    /// assert_eq!(exchange.accounts(), 0);
+    /// let mut allocator = route::QuotaAllocator::new(now, Duration::from_secs(3));
+    /// allocator.expire(now);
+    /// assert_eq!(allocator.accounts(), 0);
     /// ```
     pub fn expire(&mut self, now: Instant) {
-        if now < self.expires {
+        if now < self.next_expiry {
             return;
         }
-        self.expires = now + self.lease;
+        self.next_expiry = now + self.lease;
         for account in self.accounts.values_mut() {
             account.expire(now);
         }
         self.accounts
-            .retain(|_, account| !account.holdings.is_empty());
-        self.reports.retain(|_, (_, until)| now < *until);
+            .retain(|_, account| !account.leases.is_empty());
+        self.last_reports.retain(|_, (_, until)| now < *until);
     }
 
-    /// Accounts of which parts are held.
+    /// Number of accounts with leases.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
     ///
-    /// let exchange = route::QuotaAllocator::new(Instant::now(), Duration::from_secs(3));
-    /// assert_eq!(exchange.accounts(), 0);
+    /// let allocator = route::QuotaAllocator::new(Instant::now(), Duration::from_secs(3));
+    /// assert_eq!(allocator.accounts(), 0);
     /// ```
     #[must_use]
     pub fn accounts(&self) -> usize {
         self.accounts.len()
     }
 
-    fn grant(&mut self, entry: u64, used: &QuotaUsage, now: Instant) -> Option<QuotaGrant> {
-        let known = self.accounts.contains_key(&used.account);
-        if !known && self.accounts.len() >= MOST_ACCOUNTS {
+    fn grant(&mut self, entry: u64, usage: &QuotaUsage, now: Instant) -> Option<QuotaGrant> {
+        let known = self.accounts.contains_key(&usage.account);
+        if !known && self.accounts.len() >= MAX_ACCOUNTS {
             return None;
         }
-        let settled = now >= self.began + self.lease;
-        let account = self.accounts.entry(used.account).or_default();
-        let asked = account.ask(entry, used.demand, now, self.lease);
-        let free = FULL_QUOTA.saturating_sub(account.taken - asked.outstanding);
-        let share = if settled {
-            account.level.part(used.demand).min(free)
+        let is_settled = now >= self.elected_at + self.lease;
+        let account = self.accounts.entry(usage.account).or_default();
+        let lease = account.record_demand(entry, usage.demand, now, self.lease);
+        let free = FULL_QUOTA.saturating_sub(account.outstanding - lease.outstanding);
+        let share = if is_settled {
+            account.fair_share.for_demand(usage.demand).min(free)
         } else {
-            used.held.min(free)
+            usage.held.min(free)
         };
-        let outstanding = share.max(used.held);
-        account.hold(
+        let outstanding = share.max(usage.held);
+        account.set_lease(
             entry,
-            Holding {
+            Lease {
                 outstanding,
-                ..asked
+                ..lease
             },
         );
         Some(QuotaGrant {
-            account: used.account,
+            account: usage.account,
             share,
         })
     }
 }
 
 impl Account {
-    /// Notes what an entry asks for.
-    fn ask(&mut self, entry: u64, demand: u32, now: Instant, lease: Duration) -> Holding {
-        let former = self.holdings.get(&entry);
-        let asked = Holding {
+    /// Records the demand of an entry and renews its lease.
+    fn record_demand(
+        &mut self,
+        entry: u64,
+        demand: u32,
+        now: Instant,
+        duration: Duration,
+    ) -> Lease {
+        let previous = self.leases.get(&entry);
+        let lease = Lease {
             demand,
-            outstanding: former.map_or(0, |former| former.outstanding),
-            until: now + lease,
+            outstanding: previous.map_or(0, |previous| previous.outstanding),
+            until: now + duration,
         };
-        let fresh = former.is_none();
-        self.holdings.insert(entry, asked);
+        let is_new = previous.is_none();
+        self.leases.insert(entry, lease);
         let due = self
-            .levelled
-            .is_none_or(|at| now >= at + lease / LEVEL_PART);
-        if due || fresh {
+            .computed_at
+            .is_none_or(|at| now >= at + duration / COMPUTATIONS_PER_LEASE);
+        if due || is_new {
             self.expire(now);
-            self.level = Level::of(self.holdings.values().map(|held| held.demand));
-            self.levelled = Some(now);
+            self.fair_share = FairShare::of(self.leases.values().map(|lease| lease.demand));
+            self.computed_at = Some(now);
         }
-        asked
+        lease
     }
 
-    fn hold(&mut self, entry: u64, holding: Holding) {
-        let former = if holding.outstanding == 0 && holding.demand == 0 {
-            self.holdings.remove(&entry)
+    fn set_lease(&mut self, entry: u64, lease: Lease) {
+        let previous = if lease.outstanding == 0 && lease.demand == 0 {
+            self.leases.remove(&entry)
         } else {
-            self.holdings.insert(entry, holding)
+            self.leases.insert(entry, lease)
         };
-        self.taken -= former.map_or(0, |former| former.outstanding);
-        self.taken += holding.outstanding;
+        self.outstanding -= previous.map_or(0, |previous| previous.outstanding);
+        self.outstanding += lease.outstanding;
     }
 
     fn expire(&mut self, now: Instant) {
-        let taken = &mut self.taken;
-        self.holdings.retain(|_, holding| {
-            let holds = now < holding.until;
-            if !holds {
-                *taken -= holding.outstanding;
+        let outstanding = &mut self.outstanding;
+        self.leases.retain(|_, lease| {
+            let is_valid = now < lease.until;
+            if !is_valid {
+                *outstanding -= lease.outstanding;
             }
-            holds
+            is_valid
         });
     }
 }
 
-impl Level {
-    /// All get what they ask for, as far as the whole goes round with equal parts for
-    /// those who ask for more.
+impl FairShare {
+    /// Computes the max-min fair division: each demand is met in full, or up to an equal
+    /// share for all demands that cannot be met.
     fn of(demands: impl Iterator<Item = u32>) -> Self {
-        let mut asked: Vec<u32> = demands.filter(|demand| *demand > 0).collect();
-        asked.sort_unstable();
-        let total = asked.iter().copied().map(u64::from).sum();
-        let mut left = FULL_QUOTA;
-        let mut count = u32::try_from(asked.len()).unwrap_or(u32::MAX);
-        for demand in asked {
-            if demand > left / count {
-                return Level {
-                    most: left / count,
+        let mut sorted: Vec<u32> = demands.filter(|demand| *demand > 0).collect();
+        sorted.sort_unstable();
+        let total_demand = sorted.iter().copied().map(u64::from).sum();
+        let mut remaining = FULL_QUOTA;
+        let mut count = u32::try_from(sorted.len()).unwrap_or(u32::MAX);
+        for demand in sorted {
+            if demand > remaining / count {
+                return FairShare {
+                    max: remaining / count,
                     spare: 0,
-                    total,
+                    total_demand,
                 };
             }
-            left -= demand;
+            remaining -= demand;
             count -= 1;
         }
-        Level {
-            most: FULL_QUOTA,
-            spare: left,
-            total,
+        FairShare {
+            max: FULL_QUOTA,
+            spare: remaining,
+            total_demand,
         }
     }
 
-    /// The part of one who asks for `demand`: that, and of what nobody asks for a part
-    /// by it.
-    fn part(self, demand: u32) -> u32 {
-        if self.total == 0 {
-            return demand.min(self.most);
+    /// Returns the share for a demand: the demand, limited to the fair share, plus a part
+    /// of the spare quota in proportion to the demand.
+    fn for_demand(self, demand: u32) -> u32 {
+        if self.total_demand == 0 {
+            return demand.min(self.max);
         }
-        let spare = u64::from(self.spare) * u64::from(demand) / self.total;
-        demand.min(self.most) + u32::try_from(spare).unwrap_or(0)
+        let spare = u64::from(self.spare) * u64::from(demand) / self.total_demand;
+        demand.min(self.max) + u32::try_from(spare).unwrap_or(0)
     }
 }
--- a/crates/route/src/refusal.rs
+++ b/crates/route/src/refusal.rs
@@ -1,33 +1,33 @@
-//! Why a request is not let in.
+//! Refusals of requests by admission.
 
 use std::time::Duration;
 
-/// A refusal, with when asking again makes sense.
+/// A refusal, with the time after which a retry makes sense.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Why the request was refused.
     pub reason: RefusalReason,
-    /// When to come back.
+    /// Time after which to retry.
     pub retry_after: Duration,
 }
 
-/// Why a request is not let in.
+/// Why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RefusalReason {
-    /// The account's rate in requests is used up.
+    /// The account has reached its request rate limit.
     RequestRate,
-    /// The account's rate in tokens is used up.
+    /// The account has reached its token rate limit.
     TokenRate,
-    /// The account runs as many requests as it may at once.
+    /// The account has reached its concurrency limit.
     Concurrency,
-    /// The queue is full of requests that go first.
+    /// The queue is full and the request was the first to shed.
     Shed,
-    /// The deadline passed while the request waited for a place.
+    /// The request waited too long, or past its deadline.
     Expired,
 }
 
 impl RefusalReason {
-    /// A short name for metrics.
+    /// Name of the reason in metrics.
     ///
     /// ```
     /// assert_eq!(route::RefusalReason::TokenRate.name(), "token_rate");
--- a/crates/route/src/retry_after_schedule.rs
+++ b/crates/route/src/retry_after_schedule.rs
@@ -1,78 +1,81 @@
-//! When callers who are refused may come back.
+//! Times at which refused callers may retry.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Time over which it is counted how many requests end.
-const COUNTED: Duration = Duration::from_secs(2);
+/// Time window in which completed requests are counted.
+const WINDOW: Duration = Duration::from_secs(2);
 
-/// When callers who are refused may come back: once there is room for them, by
-/// how many requests have ended lately and how many callers were told to come
-/// back before.
+/// Schedules the retries of refused callers for when there should be room for
+/// them, given the recent rate of completed requests and the retries that are
+/// already scheduled.
 ///
-/// It answers the burst that lasts longer than a fixed time to come back:
-/// callers would find all targets full once more, and most don't come a third
-/// time.
+/// With a fixed retry time, callers would find all targets full again in a burst
+/// that lasts longer, and most callers do not retry twice.
 ///
 /// ```
 /// use route::RetryAfterSchedule;
 /// use std::time::{Duration, Instant};
 ///
 /// let now = Instant::now();
-/// let (least, most) = (Duration::from_secs(1), Duration::from_secs(3));
-/// let mut schedule = RetryAfterSchedule::new(least);
+/// let (min_wait, max_wait) = (Duration::from_secs(1), Duration::from_secs(3));
+/// let mut schedule = RetryAfterSchedule::new(min_wait);
 /// for _ in 0..8 {
 ///     schedule.record_completion(now);
 /// }
-/// // Four requests end in a second, so the first eight find room within two.
-/// let told: Vec<Duration> = (0..8).map(|_| schedule.next_retry_after(most, now)).collect();
-/// assert_eq!(told[0], least);
-/// assert_eq!(told[7], Duration::from_secs(2));
+/// // Four requests complete per second, so there is room for eight within 2 s.
+/// let waits: Vec<Duration> =
+///     (0..8).map(|_| schedule.next_retry_after(max_wait, now)).collect();
+/// assert_eq!(waits[0], min_wait);
+/// assert_eq!(waits[7], Duration::from_secs(2));
 /// ```
 #[derive(Clone, Debug)]
 pub struct RetryAfterSchedule {
-    least: Duration,
-    /// When requests have ended.
-    ended: VecDeque<Instant>,
-    /// When callers were told to come back.
-    told: VecDeque<Instant>,
+    min_wait: Duration,
+    /// Times at which requests completed, within the window.
+    completions: VecDeque<Instant>,
+    /// Times of the retries scheduled so far that are still to come.
+    scheduled: VecDeque<Instant>,
 }
 
 impl RetryAfterSchedule {
-    /// Callers come back after `least` at the earliest.
+    /// Creates a schedule in which callers retry after `min_wait` at the earliest.
     #[must_use]
-    pub fn new(least: Duration) -> RetryAfterSchedule {
+    pub fn new(min_wait: Duration) -> RetryAfterSchedule {
         RetryAfterSchedule {
-            least,
-            ended: VecDeque::new(),
-            told: VecDeque::new(),
+            min_wait,
+            completions: VecDeque::new(),
+            scheduled: VecDeque::new(),
         }
     }
 
-    /// A request has ended, and so there was room for another one.
+    /// A request has completed, which made room for another one.
     pub fn record_completion(&mut self, now: Instant) {
-        self.forget(now);
-        self.ended.push_back(now);
+        self.remove_old(now);
+        self.completions.push_back(now);
     }
 
-    /// When one more caller may come back, after `most` at the latest.
-    pub fn next_retry_after(&mut self, most: Duration, now: Instant) -> Duration {
-        self.forget(now);
-        let most = most.max(self.least);
-        let before = u32::try_from(self.told.len()).unwrap_or(u32::MAX);
-        let each = u32::try_from(self.ended.len()).ok();
-        let each = each.and_then(|ended| COUNTED.checked_div(ended));
-        let room = each.map_or(most, |each| each.saturating_mul(before.saturating_add(1)));
-        let room = room.clamp(self.least, most);
-        self.told.push_back(now + room);
-        room
+    /// Schedules one more retry and returns the time until then, at most
+    /// `max_wait`.
+    pub fn next_retry_after(&mut self, max_wait: Duration, now: Instant) -> Duration {
+        self.remove_old(now);
+        let max_wait = max_wait.max(self.min_wait);
+        let ahead = u32::try_from(self.scheduled.len()).unwrap_or(u32::MAX);
+        let completed = u32::try_from(self.completions.len()).ok();
+        let interval = completed.and_then(|completed| WINDOW.checked_div(completed));
+        let wait = interval.map_or(max_wait, |interval| {
+            interval.saturating_mul(ahead.saturating_add(1))
+        });
+        let wait = wait.clamp(self.min_wait, max_wait);
+        self.scheduled.push_back(now + wait);
+        wait
     }
 
-    fn forget(&mut self, now: Instant) {
-        let old = |at: &Instant| now.saturating_duration_since(*at) >= COUNTED;
-        while self.ended.front().is_some_and(old) {
-            self.ended.pop_front();
+    fn remove_old(&mut self, now: Instant) {
+        let is_old = |at: &Instant| now.saturating_duration_since(*at) >= WINDOW;
+        while self.completions.front().is_some_and(is_old) {
+            self.completions.pop_front();
         }
-        self.told.retain(|at| now < *at);
+        self.scheduled.retain(|at| now < *at);
     }
 }
--- a/crates/route/src/target.rs
+++ b/crates/route/src/target.rs
@@ -113,7 +113,7 @@
         self.set_ranks(&numbers);
         for row in &report.ranks {
             if let Some(rank) = self.rank_mut(row.rank) {
-                rank.reported(*row, report.taken_at);
+                rank.apply_report(*row, report.taken_at);
             }
         }
         if report.limit > 0 {
--- a/crates/route/src/target_status.rs
+++ b/crates/route/src/target_status.rs
@@ -1,13 +1,13 @@
 //! Whether a target may be given new work.
 
-/// What is known of a target's fitness for new work.
+/// Whether a target may be given new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TargetStatus {
-    /// Offered, announced, healthy and reachable.
+    /// The target is offered, announced, healthy and reachable.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// The target finishes its requests and accepts no new ones.
     Draining,
-    /// Not offered, not announced, not healthy or not reachable.
+    /// The target is not offered, not announced, not healthy or not reachable.
     #[default]
     Unavailable,
 }
--- a/crates/route/src/token_bucket.rs
+++ b/crates/route/src/token_bucket.rs
@@ -1,71 +1,71 @@
-//! A rate with a burst.
+//! Token bucket.
 
 use std::time::{Duration, Instant};
 
-/// Time's worth of the rate that may be used at once.
-const BURST: f64 = 2.0;
+/// Capacity of the bucket, in seconds' worth of the rate.
+const BURST_SECONDS: f64 = 2.0;
 
-/// A token bucket that holds two seconds' worth of its rate.
+/// A token bucket that holds up to two seconds' worth of its rate.
 ///
 /// ```
 /// use route::TokenBucket;
 /// use std::time::{Duration, Instant};
 ///
 /// let now = Instant::now();
-/// let mut rate = TokenBucket::new(10.0, now);
-/// assert!(rate.take(now, 20.0).is_ok());
-/// let wait = rate.take(now, 5.0).unwrap_err();
+/// let mut bucket = TokenBucket::new(10.0, now);
+/// assert!(bucket.take(now, 20.0).is_ok());
+/// let wait = bucket.take(now, 5.0).unwrap_err();
 /// assert_eq!(wait, Duration::from_millis(500));
 /// ```
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     per_second: f64,
     level: f64,
-    at: Instant,
+    refilled_at: Instant,
 }
 
 impl TokenBucket {
-    /// A full bucket; a rate of 0 is unlimited.
+    /// Creates a full bucket. A rate of 0 is unlimited.
     #[must_use]
     pub fn new(per_second: f64, now: Instant) -> Self {
         TokenBucket {
             per_second,
-            level: per_second * BURST,
-            at: now,
+            level: per_second * BURST_SECONDS,
+            refilled_at: now,
         }
     }
 
-    /// Changes the rate and keeps what has been used.
+    /// Changes the rate and keeps the current use.
     pub fn set_rate(&mut self, per_second: f64, now: Instant) {
         self.refill(now);
         if self.per_second <= 0.0 {
-            self.level = per_second * BURST;
+            self.level = per_second * BURST_SECONDS;
         }
         self.per_second = per_second;
-        self.level = self.level.min(per_second * BURST);
+        self.level = self.level.min(per_second * BURST_SECONDS);
     }
 
-    /// Takes `amount`, which may be more than the bucket ever holds: then it
-    /// is given once the bucket is full and the rest is owed.
+    /// Takes `amount`. An amount above the capacity of the bucket is taken once
+    /// the bucket is full, and leaves it with a negative level.
     ///
     /// # Errors
-    /// How long to wait, when there is not enough.
+    /// Returns how long to wait if the level is too low.
     pub fn take(&mut self, now: Instant, amount: f64) -> Result<(), Duration> {
         self.check(now, amount)?;
         self.charge(amount);
         Ok(())
     }
 
-    /// Says whether [`TokenBucket::take`] would succeed.
+    /// Checks whether [`TokenBucket::take`] would succeed, without taking anything.
     ///
     /// # Errors
-    /// How long to wait, when there is not enough.
+    /// Returns how long to wait if the level is too low.
     pub fn check(&mut self, now: Instant, amount: f64) -> Result<(), Duration> {
         if self.per_second <= 0.0 {
             return Ok(());
         }
         self.refill(now);
-        let needed = amount.min(self.per_second * BURST);
+        let needed = amount.min(self.per_second * BURST_SECONDS);
         if self.level >= needed {
             return Ok(());
         }
@@ -73,23 +73,25 @@
         Err(Duration::try_from_secs_f64(wait).unwrap_or(Duration::MAX))
     }
 
-    /// Takes `amount` even when it is not there; it is owed then.
+    /// Takes `amount` unconditionally; the level may become negative.
     pub fn charge(&mut self, amount: f64) {
         if self.per_second > 0.0 {
             self.level -= amount;
         }
     }
 
-    /// Gives back what was taken for nothing.
+    /// Returns an amount that was taken but not used.
     pub fn refund(&mut self, amount: f64) {
         if self.per_second > 0.0 {
-            self.level = (self.level + amount).min(self.per_second * BURST);
+            self.level = (self.level + amount).min(self.per_second * BURST_SECONDS);
         }
     }
 
     fn refill(&mut self, now: Instant) {
-        let elapsed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.level = (self.level + elapsed * self.per_second).min(self.per_second * BURST);
-        self.at = self.at.max(now);
+        let elapsed = now
+            .saturating_duration_since(self.refilled_at)
+            .as_secs_f64();
+        self.level = (self.level + elapsed * self.per_second).min(self.per_second * BURST_SECONDS);
+        self.refilled_at = self.refilled_at.max(now);
     }
 }
--- a/crates/route/src/verdict.rs
+++ b/crates/route/src/verdict.rs
@@ -1,8 +1,8 @@
-//! What a crash report led to.
+//! Result of a crash report.
 
 use crate::Fingerprint;
 
-/// The requests that a crash report concerns, as they stand after it.
+/// State of the requests of a crash report after it was processed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Verdict {
     /// Requests that ran on the crashed target and are now suspect.
