--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -1,4 +1,4 @@
-//! The targets of one model group or service, and the choice among them.
+//! Pool of targets, and the choice among them.
 
 use std::time::{Duration, Instant};
 
@@ -13,11 +13,11 @@
     Suspicion, TargetKey, TargetLoadReport, TargetStatus,
 };
 
-/// The targets that one kind of request may be sent to.
+/// The targets of one model group or service, with the choice among them.
 ///
 /// ```
 /// use rand::{SeedableRng, rngs::SmallRng};
-/// use route::{StartState, PlacementRequest, Pool, TargetStatus, PoolSettings};
+/// use route::{PlacementRequest, Pool, PoolSettings, StartState, TargetStatus};
 /// use std::time::{Duration, Instant};
 ///
 /// let now = Instant::now();
@@ -26,33 +26,33 @@
 /// pool.set_status(key, TargetStatus::Ready);
 ///
 /// let mut rng = SmallRng::seed_from_u64(1);
-/// let demand = PlacementRequest::of_tokens(300);
-/// let choice = pool.choose(now, &demand, &mut rng).expect("a target is ready");
-/// let attempt = pool.start(now, &choice, &demand);
+/// let request = PlacementRequest::of_tokens(300);
+/// let choice = pool.choose(now, &request, &mut rng).expect("a target is ready");
+/// let attempt = pool.start(now, &choice, &request);
 /// pool.answer_started(now + Duration::from_millis(50), attempt);
 /// pool.end(now + Duration::from_secs(1), attempt, route::AttemptResult::Completed);
 /// assert_eq!(pool.running(key), 0);
 /// ```
 #[derive(Debug)]
 pub struct Pool {
-    tuning: PoolSettings,
+    settings: PoolSettings,
     targets: SlotMap<TargetKey, Target>,
     ready: Vec<TargetKey>,
     affinity: Affinity,
     attempts: SlotMap<AttemptKey, Attempt>,
 }
 
-/// Fewest targets that must stay when others are ejected.
-const KEPT: usize = 1;
-/// Least part of a target that an entry may be given.
-const LEAST_SHARE: f64 = 1e-3;
+/// Minimum number of ready targets that are never ejected.
+const MIN_NOT_EJECTED: usize = 1;
+/// Minimum share of a target that an entry may be given.
+const MIN_SHARE: f64 = 1e-3;
 
 impl Pool {
-    /// A pool without targets.
+    /// Creates a pool without targets.
     #[must_use]
-    pub fn new(tuning: PoolSettings) -> Self {
+    pub fn new(settings: PoolSettings) -> Self {
         Pool {
-            tuning,
+            settings,
             targets: SlotMap::with_key(),
             ready: Vec::new(),
             affinity: Affinity::default(),
@@ -60,76 +60,77 @@
         }
     }
 
-    /// Adds a target at a network distance; it is absent until its standing
-    /// is set.
+    /// Adds a target with a network delay of `distance`. It is unavailable until
+    /// its status is set.
     pub fn insert(
         &mut self,
         name: &str,
         distance: Duration,
-        arrival: StartState,
+        start_state: StartState,
         now: Instant,
     ) -> TargetKey {
-        let mut target = Target::new(name, distance, now, &self.tuning);
-        if arrival == StartState::Warm {
+        let mut target = Target::new(name, distance, now, &self.settings);
+        if start_state == StartState::Warm {
             target.set_warm();
         }
         self.targets.insert(target)
     }
 
-    /// Sets which ranks a target has; load reports say so too.
+    /// Sets which ranks a target has. Load reports set them too.
     pub fn set_ranks(&mut self, key: TargetKey, ranks: &[u32]) {
         if let Some(target) = self.targets.get_mut(key) {
             target.set_ranks(ranks);
         }
     }
 
-    /// Takes a target out for good.
+    /// Removes a target and its attempts.
     pub fn remove(&mut self, key: TargetKey) {
         self.targets.remove(key);
-        self.attempts.retain(|_, place| place.target != key);
-        self.rebuild();
+        self.attempts.retain(|_, attempt| attempt.target != key);
+        self.rebuild_ready();
     }
 
     /// Changes whether the target may be given new work.
-    pub fn set_status(&mut self, key: TargetKey, standing: TargetStatus) {
+    pub fn set_status(&mut self, key: TargetKey, status: TargetStatus) {
         let Some(target) = self.targets.get_mut(key) else {
             return;
         };
-        if target.standing != standing {
-            target.standing = standing;
-            self.rebuild();
+        if target.status != status {
+            target.status = status;
+            self.rebuild_ready();
         }
     }
 
-    /// The target came back as a new incarnation: what ran is gone, and it
-    /// is brought up to load slowly.
+    /// The target has restarted as a new incarnation. Its attempts are lost, and
+    /// its load is ramped up slowly.
     pub fn restarted(&mut self, now: Instant, key: TargetKey) {
         if let Some(target) = self.targets.get_mut(key) {
-            target.restart(now, &self.tuning);
-            self.attempts.retain(|_, place| place.target != key);
+            target.restart(now, &self.settings);
+            self.attempts.retain(|_, attempt| attempt.target != key);
         }
     }
 
-    /// Changes this entry's part of what a target runs: one over the number of
-    /// entries that send it work. They differ from target to target where each
-    /// entry keeps links to some of them only.
+    /// Sets this entry's share of a target's capacity, which is 1 / n for a target
+    /// used by n entries. It differs between targets if each entry only links to
+    /// some of them.
     pub fn set_share(&mut self, key: TargetKey, share: f64) {
         if let Some(target) = self.targets.get_mut(key) {
-            target.share = share.clamp(LEAST_SHARE, 1.0);
+            target.share = share.clamp(MIN_SHARE, 1.0);
         }
     }
 
-    /// Takes a load report. One older than the last is dropped.
+    /// Applies a load report, unless it is older than the last one.
     pub fn report(&mut self, key: TargetKey, report: &TargetLoadReport) {
         if let Some(target) = self.targets.get_mut(key) {
-            target.report(report);
+            target.apply_report(report);
         }
     }
 
-    /// Takes a target's cache events; a gap in the sequence forgets the rest.
-    pub fn cache_events(&mut self, key: TargetKey, sequence: u64, stored: &[u64], gone: &[u64]) {
+    /// Applies a target's cache events. A gap in the sequence clears what is known
+    /// of its cache.
+    pub fn cache_events(&mut self, key: TargetKey, sequence: u64, stored: &[u64], evicted: &[u64]) {
         if let Some(target) = self.targets.get_mut(key) {
-            target.cache.apply_events(sequence, stored, gone);
+            target.cache.apply_events(sequence, stored, evicted);
         }
     }
 
@@ -139,46 +140,47 @@
         &self.ready
     }
 
-    /// The name of a target.
+    /// Name of a target.
     #[must_use]
     pub fn name(&self, key: TargetKey) -> Option<&str> {
         self.targets.get(key).map(|target| target.name.as_str())
     }
 
-    /// Own attempts that run on a target.
+    /// Number of attempts of this entry that run on a target.
     #[must_use]
     pub fn running(&self, key: TargetKey) -> u32 {
         self.targets.get(key).map_or(0, |target| target.own_running)
     }
 
-    /// Places for requests on all ready targets. This looks at each of them.
+    /// Capacity of all ready targets that are not ejected. Takes time in proportion
+    /// to their number.
     #[must_use]
     pub fn capacity(&self, now: Instant) -> Capacity {
         let ready = self.ready.iter().filter_map(|key| self.targets.get(*key));
         let ready = ready.filter(|target| !target.ejection.is_active(now));
-        let mut places = Capacity::default();
+        let mut capacity = Capacity::default();
         for target in ready {
-            let limit = target.limit.current() * target.warmth(now, &self.tuning);
-            places.total += limit;
-            places.overcommit += limit * (self.tuning.overcommit - 1.0);
-            places.own_share += limit * target.share;
-            places.usable += f64::from(target.own_running) + target.room(now, &self.tuning);
+            let limit = target.limit.current() * target.ramp_up_factor(now, &self.settings);
+            capacity.total += limit;
+            capacity.overcommit += limit * (self.settings.overcommit - 1.0);
+            capacity.own_share += limit * target.share;
+            capacity.usable += f64::from(target.own_running) + target.room(now, &self.settings);
         }
-        places
+        capacity
     }
 
-    /// Chooses target and rank by the least expected time to first token
-    /// among a few sampled targets and the one that the prefix belongs to.
+    /// Chooses the target and rank with the least expected time to the first token
+    /// among a few sampled targets and the one that the prefix is assigned to.
     ///
-    /// `None` when no ready target has room.
+    /// Returns `None` if no ready target has room.
     pub fn choose(
         &self,
         now: Instant,
-        demand: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         rng: &mut impl Rng,
     ) -> Option<Choice> {
-        let best = self.best_of_sample(now, demand, rng);
-        let best = best.or_else(|| self.best_of(now, demand, self.ready.iter().copied()));
+        let best = self.best_of_sample(now, request, rng);
+        let best = best.or_else(|| self.best_of(now, request, self.ready.iter().copied()));
         best.map(|(target, estimate)| Choice {
             target,
             rank: estimate.rank,
@@ -186,163 +188,166 @@
         })
     }
 
-    /// Registers an attempt at the chosen place.
+    /// Registers an attempt on the chosen target.
     pub fn start(
         &mut self,
         now: Instant,
         choice: &Choice,
-        demand: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
     ) -> AttemptKey {
         let Some(target) = self.targets.get_mut(choice.target) else {
             return AttemptKey::default();
         };
-        let incarnation = target.arrived();
+        let incarnation = target.incarnation_start();
         let key = self.attempts.insert_with_key(|key| Attempt {
             key,
             target: choice.target,
             incarnation,
             rank: choice.rank,
-            tokens: demand.tokens,
-            suspicion: demand.suspicion,
+            tokens: request.tokens,
+            suspicion: request.suspicion,
             started: now,
             expected: choice.expected.as_secs_f64(),
             first_token_at: None,
         });
-        target.started(now, key, choice.rank, demand);
+        target.started(now, key, choice.rank, request);
         key
     }
 
-    /// The first token or byte of the attempt's answer has arrived.
-    pub fn answer_started(&mut self, now: Instant, attempt: AttemptKey) {
-        let Some(place) = self.attempts.get_mut(attempt) else {
+    /// Records that the first token or byte of the answer has arrived.
+    pub fn answer_started(&mut self, now: Instant, key: AttemptKey) {
+        let Some(attempt) = self.attempts.get_mut(key) else {
             return;
         };
-        if place.first_token_at.is_some() {
+        if attempt.first_token_at.is_some() {
             return;
         }
-        if let Some(target) = self.targets.get_mut(place.target) {
-            target.answered(now, place);
+        if let Some(target) = self.targets.get_mut(attempt.target) {
+            target.answer_started(now, attempt);
         }
-        place.first_token_at = Some(now);
+        attempt.first_token_at = Some(now);
     }
 
-    /// The attempt has ended.
-    pub fn end(&mut self, now: Instant, attempt: AttemptKey, ending: AttemptResult) {
-        let Some(place) = self.attempts.remove(attempt) else {
+    /// Records the end of an attempt.
+    pub fn end(&mut self, now: Instant, key: AttemptKey, result: AttemptResult) {
+        let Some(attempt) = self.attempts.remove(key) else {
             return;
         };
-        let Some(target) = self.targets.get_mut(place.target) else {
+        let Some(target) = self.targets.get_mut(attempt.target) else {
             return;
         };
-        if place.incarnation != target.arrived() {
+        if attempt.incarnation != target.incarnation_start() {
             return;
         }
-        target.ended(now, &place);
-        match ending {
+        target.ended(now, &attempt);
+        match result {
             AttemptResult::Completed => {
                 target.ejection.record_success();
-                target.held(now.saturating_duration_since(place.started));
+                target.record_hold(now.saturating_duration_since(attempt.started));
             }
             AttemptResult::Full => target.limit.on_overload(),
-            AttemptResult::Failed => self.failed(now, place.target),
+            AttemptResult::Failed => self.record_failure(now, attempt.target),
             AttemptResult::Cancelled => {}
         }
     }
 
-    fn failed(&mut self, now: Instant, key: TargetKey) {
+    fn record_failure(&mut self, now: Instant, key: TargetKey) {
         let Some(target) = self.targets.get_mut(key) else {
             return;
         };
-        let due = target.ejection.record_failure(&self.tuning);
-        if due && self.may_eject(now) {
+        let should_eject = target.ejection.record_failure(&self.settings);
+        if should_eject && self.may_eject(now) {
             let target = &mut self.targets[key];
-            target.ejection.eject(now, &self.tuning);
+            target.ejection.eject(now, &self.settings);
         }
     }
 
-    /// Whether one more target may be left out: a fault of the network near
-    /// the entry looks like a fault of each target, and ejecting them all
-    /// would turn a disturbance into an outage.
+    /// Whether one more target may be ejected. A network fault near the entry looks
+    /// like a fault of every target, and ejecting all of them would turn a
+    /// disturbance into an outage.
     fn may_eject(&self, now: Instant) -> bool {
         let ready = self.ready.iter().filter_map(|key| self.targets.get(*key));
         let ejected = ready.filter(|target| target.ejection.is_active(now));
         let ejected = ejected.count() + 1;
         let total = self.ready.len();
-        let allowed = to_f64(total) * self.tuning.max_ejected_share;
-        to_f64(ejected) <= allowed.max(1.0) && ejected + KEPT <= total
+        let allowed = to_f64(total) * self.settings.max_ejected_share;
+        to_f64(ejected) <= allowed.max(1.0) && ejected + MIN_NOT_EJECTED <= total
     }
 
     fn best_of_sample(
         &self,
         now: Instant,
-        demand: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         rng: &mut impl Rng,
     ) -> Option<(TargetKey, Estimate)> {
         let count = self.ready.len();
-        let sampled = if count <= self.tuning.samples {
-            self.best_of(now, demand, self.ready.iter().copied())
+        let sampled = if count <= self.settings.samples {
+            self.best_of(now, request, self.ready.iter().copied())
         } else {
-            let keys = (0..self.tuning.samples).map(|_| self.ready[rng.random_range(0..count)]);
-            self.best_of(now, demand, keys)
+            let keys = (0..self.settings.samples).map(|_| self.ready[rng.random_range(0..count)]);
+            self.best_of(now, request, keys)
         };
-        let preferred = self.preferred(now, demand).and_then(|key| {
-            let demand = demand.with_prefix_discount();
-            self.best_of(now, &demand, std::iter::once(key))
+        let by_affinity = self.affinity_target(now, request).and_then(|key| {
+            let request = request.with_prefix_discount();
+            self.best_of(now, &request, std::iter::once(key))
         });
-        let found = preferred.into_iter().chain(sampled);
-        found.min_by(|a, b| a.1.seconds.total_cmp(&b.1.seconds))
+        let candidates = by_affinity.into_iter().chain(sampled);
+        candidates.min_by(|a, b| a.1.seconds.total_cmp(&b.1.seconds))
     }
 
-    /// The target that the prefix belongs to, unless it is fuller than its
-    /// neighbours by more than the bound (Mirrokni and others, 2018).
-    fn preferred(&self, now: Instant, demand: &PlacementRequest<'_>) -> Option<TargetKey> {
-        let key = self.affinity.target(demand.prefix?.hash)?;
+    /// The target that the prefix is assigned to, unless its load exceeds that of a
+    /// sample of targets by more than the bound (consistent hashing with bounded
+    /// loads; Mirrokni and others, 2018).
+    fn affinity_target(&self, now: Instant, request: &PlacementRequest<'_>) -> Option<TargetKey> {
+        let key = self.affinity.target(request.prefix?.hash)?;
         let target = self.targets.get(key)?;
-        let neighbours = self.ready.iter().take(self.tuning.samples);
-        let fills = neighbours.filter_map(|key| self.targets.get(*key));
-        let (sum, count) = fills.fold((0.0, 0.0), |(sum, count), t| (sum + t.fill(), count + 1.0));
-        let bound = self.tuning.affinity_bound * (sum / f64::max(count, 1.0));
-        let fits = target.fill() <= bound || target.own_running == 0;
-        (fits && target.room(now, &self.tuning) >= 1.0).then_some(key)
+        let sample = self.ready.iter().take(self.settings.samples);
+        let sample = sample.filter_map(|key| self.targets.get(*key));
+        let (sum, count) = sample.fold((0.0, 0.0), |(sum, count), t| {
+            (sum + t.utilization(), count + 1.0)
+        });
+        let bound = self.settings.affinity_bound * (sum / f64::max(count, 1.0));
+        let fits = target.utilization() <= bound || target.own_running == 0;
+        (fits && target.room(now, &self.settings) >= 1.0).then_some(key)
     }
 
     fn best_of(
         &self,
         now: Instant,
-        demand: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         keys: impl Iterator<Item = TargetKey>,
     ) -> Option<(TargetKey, Estimate)> {
         keys.filter_map(|key| {
             let target = self.targets.get(key)?;
-            self.is_fit(now, key, target, demand).then_some(())?;
-            Some((key, target.estimate(now, demand, &self.tuning)))
+            self.is_eligible(now, key, target, request).then_some(())?;
+            Some((key, target.estimate(now, request, &self.settings)))
         })
         .min_by(|a, b| a.1.seconds.total_cmp(&b.1.seconds))
     }
 
-    fn is_fit(
+    fn is_eligible(
         &self,
         now: Instant,
         key: TargetKey,
         target: &Target,
-        demand: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
     ) -> bool {
-        let alone = demand.suspicion == Suspicion::Clear || target.own_suspects == 0;
-        target.standing == TargetStatus::Ready
+        let isolated = request.suspicion == Suspicion::Clear || target.own_suspects == 0;
+        target.status == TargetStatus::Ready
             && !target.ejection.is_active(now)
-            && alone
-            && !demand.avoid.contains(&key)
-            && target.room(now, &self.tuning) >= 1.0
+            && isolated
+            && !request.avoid.contains(&key)
+            && target.room(now, &self.settings) >= 1.0
     }
 
-    fn rebuild(&mut self) {
+    fn rebuild_ready(&mut self) {
         let ready = self
             .targets
             .iter()
-            .filter(|(_, t)| t.standing == TargetStatus::Ready);
-        let named: Vec<(TargetKey, u64)> = ready.map(|(key, t)| (key, t.name_hash)).collect();
-        self.ready = named.iter().map(|(key, _)| *key).collect();
-        self.affinity = Affinity::new(&named);
+            .filter(|(_, t)| t.status == TargetStatus::Ready);
+        let hashes: Vec<(TargetKey, u64)> = ready.map(|(key, t)| (key, t.name_hash)).collect();
+        self.ready = hashes.iter().map(|(key, _)| *key).collect();
+        self.affinity = Affinity::new(&hashes);
     }
 }
 
--- a/crates/route/src/quarantine.rs
+++ b/crates/route/src/quarantine.rs
@@ -1,49 +1,54 @@
-//! Requests that crash the targets they run on.
+//! Quarantine of requests that crash targets.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::quarantine_document::{self, CrashDocument, Document};
 use crate::{Fingerprint, Result, Verdict};
 
-/// Suspects and convicted requests that are remembered, each.
+/// Maximum number of suspects, and of convicted requests.
 const MAX_REQUESTS: usize = 4096;
-/// Crashes whose reports are merged before the oldest is forgotten.
+/// Maximum number of crashes that are kept for merging their reports.
 const MAX_CRASHES: usize = 256;
-/// Requests remembered of one crash.
-const MAX_REQUESTS_OF_CRASH: usize = 4096;
+/// Maximum number of requests kept per crash.
+const MAX_REQUESTS_PER_CRASH: usize = 4096;
 
 /// The replicated record of requests that crash targets.
 ///
-/// Whatever ran on a crashed target becomes suspect, for one of them may have
-/// caused the crash. A suspect runs again only where no other suspect runs.
-/// If that target crashes too, the one suspect on it is convicted and refused
-/// everywhere, which explains the crash: the others on it stay as they were.
-/// A crash with several earlier suspects on the target convicts none of them,
-/// since any of them may be a bystander.
+/// All requests that ran on a crashed target become suspect, since any of them
+/// may have caused the crash. A suspect only runs again on a target without
+/// another suspect. If that target crashes too, its only suspect is convicted
+/// and refused everywhere. As this explains the crash, the other requests on the
+/// target do not become suspect. A crash with several earlier suspects on the
+/// target convicts none of them, since any of them may be a bystander.
 ///
-/// A crash is identified by target and incarnation. Its reports may come
-/// from several reporters, or twice: they are merged, and a conviction is
-/// taken back when a later report of the same crash shows that the convicted
-/// request was not the only suspect on the target after all.
+/// A crash is identified by target and incarnation. It may be reported several
+/// times and by several reporters. Reports are merged, and a conviction is
+/// revoked if a later report of the same crash shows that the convicted request
+/// was not the only suspect on the target.
 ///
-/// All parts are bounded; the oldest are forgotten first.
+/// All collections are bounded; the oldest entries are removed first.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Quarantine {
     version: u64,
+    /// Number of reports processed so far.
     clock: u64,
+    /// Suspects, with the clock at which they were added.
     suspects: BTreeMap<Fingerprint, u64>,
+    /// Convicted requests, with the clock at which they were added.
     convicted: BTreeMap<Fingerprint, u64>,
+    /// Crashes by target and incarnation.
     crashes: BTreeMap<(String, u64), Crash>,
 }
 
-/// What is known of one crash.
+/// Merged reports of one crash.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Crash {
-    /// When it was first reported, in reports.
+    /// Clock at which the crash was first reported.
     reported: u64,
-    /// Everything that ran on the target.
+    /// Requests that ran on the target.
     ran: BTreeSet<Fingerprint>,
-    /// Those of them that were suspect or convicted before this crash.
+    /// Requests that ran on the target and were already suspect or convicted before
+    /// this crash.
     prior: BTreeSet<Fingerprint>,
     /// The request that this crash convicted.
     convicted: Option<Fingerprint>,
@@ -56,7 +61,8 @@
         Quarantine::default()
     }
 
-    /// Changes whenever a suspect or convicted request is added or removed.
+    /// Version number; changes whenever a suspect or convicted request is added or
+    /// removed.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
@@ -75,7 +81,7 @@
     /// // Both suspects ran on the second target: neither is convicted.
     /// let verdict = quarantine.crashed("advisor-02", 1, &[a, b]);
     /// assert!(verdict.convicted.is_empty());
-    /// // One ran without the other.
+    /// // One of them ran without the other.
     /// let verdict = quarantine.crashed("advisor-03", 1, &[a]);
     /// assert_eq!(verdict.convicted, [a]);
     /// ```
@@ -91,16 +97,16 @@
             reported: self.clock,
             ..Crash::default()
         });
-        let news = self.merge(&mut crash, fingerprints);
-        self.judge(&mut crash, &news);
+        let added = self.merge(&mut crash, fingerprints);
+        self.judge(&mut crash, &added);
         let verdict = self.verdict(&crash);
         self.crashes.insert(id, crash);
-        self.forget_oldest();
+        self.remove_oldest();
         verdict
     }
 
-    /// Clears a request of suspicion and conviction, and says whether it was
-    /// known. Crashes reported so far no longer count against it.
+    /// Clears a request of suspicion and conviction, and returns whether it was
+    /// suspect or convicted. Crashes reported so far no longer count against it.
     pub fn pardon(&mut self, fingerprint: &Fingerprint) -> bool {
         let suspect = self.suspects.remove(fingerprint).is_some();
         let convicted = self.convicted.remove(fingerprint).is_some();
@@ -111,7 +117,7 @@
         known
     }
 
-    /// Whether the request may run only where no other suspect runs.
+    /// Whether the request may only run on a target without another suspect.
     #[must_use]
     pub fn is_suspect(&self, fingerprint: &Fingerprint) -> bool {
         self.suspects.contains_key(fingerprint)
@@ -123,17 +129,17 @@
         self.convicted.contains_key(fingerprint)
     }
 
-    /// All suspects, in order.
+    /// All suspects, in order of fingerprint.
     pub fn suspects(&self) -> impl Iterator<Item = &Fingerprint> {
         self.suspects.keys()
     }
 
-    /// All convicted requests, in order.
+    /// All convicted requests, in order of fingerprint.
     pub fn convicted(&self) -> impl Iterator<Item = &Fingerprint> {
         self.convicted.keys()
     }
 
-    /// The whole state as JSON, the same bytes for the same state.
+    /// Serializes the state as JSON. Equal states give equal bytes.
     #[must_use]
     pub fn to_json(&self) -> Vec<u8> {
         let crashes = self.crashes.iter().map(|((target, incarnation), crash)| {
@@ -149,14 +155,14 @@
         Document {
             version: self.version,
             clock: self.clock,
-            suspects: quarantine_document::write_ages(&self.suspects),
-            convicted: quarantine_document::write_ages(&self.convicted),
+            suspects: quarantine_document::write_requests(&self.suspects),
+            convicted: quarantine_document::write_requests(&self.convicted),
             crashes: crashes.collect(),
         }
         .to_vec()
     }
 
-    /// Reads what [`Quarantine::to_json`] wrote.
+    /// Deserializes the output of [`Quarantine::to_json`].
     ///
     /// ```
     /// use route::{Fingerprint, Quarantine};
@@ -169,7 +175,7 @@
     /// ```
     ///
     /// # Errors
-    /// When the bytes are not such a document.
+    /// Returns an error if the bytes are not such a document.
     pub fn from_json(json: &[u8]) -> Result<Self> {
         let document = Document::from_slice(json)?;
         let mut crashes = BTreeMap::new();
@@ -186,39 +192,40 @@
         Ok(Quarantine {
             version: document.version,
             clock: document.clock,
-            suspects: quarantine_document::read_ages(&document.suspects, "suspects")?,
-            convicted: quarantine_document::read_ages(&document.convicted, "convicted")?,
+            suspects: quarantine_document::read_requests(&document.suspects, "suspects")?,
+            convicted: quarantine_document::read_requests(&document.convicted, "convicted")?,
             crashes,
         })
     }
 
-    /// Adds the reported requests, noting which were suspect before this
-    /// crash rather than because of it, and returns those not heard of yet.
+    /// Adds the reported requests to a crash, notes which were suspect before this
+    /// crash rather than because of it, and returns those not reported before.
     fn merge(&self, crash: &mut Crash, fingerprints: &[Fingerprint]) -> Vec<Fingerprint> {
-        let mut news = Vec::new();
+        let mut added = Vec::new();
         for fingerprint in fingerprints {
-            if crash.ran.len() >= MAX_REQUESTS_OF_CRASH {
+            if crash.ran.len() >= MAX_REQUESTS_PER_CRASH {
                 break;
             }
             if !crash.ran.insert(*fingerprint) {
                 continue;
             }
-            news.push(*fingerprint);
+            added.push(*fingerprint);
             if self.is_suspect(fingerprint) || self.is_convicted(fingerprint) {
                 crash.prior.insert(*fingerprint);
             }
         }
-        news
+        added
     }
 
-    fn judge(&mut self, crash: &mut Crash, news: &[Fingerprint]) {
+    /// Updates suspects and convictions after a report with requests `added`.
+    fn judge(&mut self, crash: &mut Crash, added: &[Fingerprint]) {
         if let Some(convicted) = crash.convicted
             && crash.prior.len() > 1
         {
             crash.convicted = None;
-            self.take_back(convicted);
+            self.revoke(convicted);
             let ran: Vec<Fingerprint> = crash.ran.iter().copied().collect();
-            self.suspect(&ran);
+            self.add_suspects(&ran);
             return;
         }
         if let Some(only) = crash.only_prior() {
@@ -228,7 +235,7 @@
         // A convicted request on the target explains the crash.
         let explained = crash.prior.iter().any(|prior| self.is_convicted(prior));
         if !explained {
-            self.suspect(news);
+            self.add_suspects(added);
         }
     }
 
@@ -240,14 +247,14 @@
         }
     }
 
-    fn take_back(&mut self, fingerprint: Fingerprint) {
+    fn revoke(&mut self, fingerprint: Fingerprint) {
         if self.convicted.remove(&fingerprint).is_some() {
             self.suspects.insert(fingerprint, self.clock);
             self.version += 1;
         }
     }
 
-    fn suspect(&mut self, fingerprints: &[Fingerprint]) {
+    fn add_suspects(&mut self, fingerprints: &[Fingerprint]) {
         for fingerprint in fingerprints {
             let known = self.is_convicted(fingerprint) || self.is_suspect(fingerprint);
             if !known {
@@ -258,20 +265,20 @@
     }
 
     fn verdict(&self, crash: &Crash) -> Verdict {
-        let of = |kept: &BTreeMap<Fingerprint, u64>| {
+        let ran_and_in = |requests: &BTreeMap<Fingerprint, u64>| {
             let ran = crash.ran.iter().copied();
-            ran.filter(|fingerprint| kept.contains_key(fingerprint))
+            ran.filter(|fingerprint| requests.contains_key(fingerprint))
                 .collect()
         };
         Verdict {
-            suspects: of(&self.suspects),
-            convicted: of(&self.convicted),
+            suspects: ran_and_in(&self.suspects),
+            convicted: ran_and_in(&self.convicted),
         }
     }
 
-    fn forget_oldest(&mut self) {
-        let dropped = forget(&mut self.suspects) + forget(&mut self.convicted);
-        if dropped > 0 {
+    fn remove_oldest(&mut self) {
+        let removed = truncate(&mut self.suspects) + truncate(&mut self.convicted);
+        if removed > 0 {
             self.version += 1;
         }
         while self.crashes.len() > MAX_CRASHES {
@@ -285,7 +292,7 @@
 }
 
 impl Crash {
-    /// The only earlier suspect on the target, if it was one alone.
+    /// Returns the earlier suspect on the target, if there was exactly one.
     fn only_prior(&self) -> Option<Fingerprint> {
         let mut prior = self.prior.iter();
         let only = prior.next()?;
@@ -293,15 +300,15 @@
     }
 }
 
-/// Drops the oldest beyond the bound and returns how many those were.
-fn forget(kept: &mut BTreeMap<Fingerprint, u64>) -> usize {
-    let excess = kept.len().saturating_sub(MAX_REQUESTS);
+/// Removes the oldest requests beyond [`MAX_REQUESTS`] and returns their number.
+fn truncate(requests: &mut BTreeMap<Fingerprint, u64>) -> usize {
+    let excess = requests.len().saturating_sub(MAX_REQUESTS);
     for _ in 0..excess {
-        let oldest = kept.iter().min_by_key(|(_, age)| **age);
+        let oldest = requests.iter().min_by_key(|(_, added_at)| **added_at);
         let Some(fingerprint) = oldest.map(|(fingerprint, _)| *fingerprint) else {
             break;
         };
-        kept.remove(&fingerprint);
+        requests.remove(&fingerprint);
     }
     excess
 }
--- a/crates/route/src/quarantine_document.rs
+++ b/crates/route/src/quarantine_document.rs
@@ -1,4 +1,4 @@
-//! The quarantine's snapshot as JSON.
+//! JSON snapshot of the quarantine.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -27,7 +27,7 @@
 
 impl Document {
     pub(crate) fn to_vec(&self) -> Vec<u8> {
-        // Serialising strings and numbers into memory has no way to fail.
+        // Serializing strings and numbers into memory cannot fail.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
@@ -65,35 +65,37 @@
 
     pub(crate) fn read_convicted(&self, place: &str) -> Result<Option<Fingerprint>> {
         let text = self.convicted.as_deref();
-        text.map(|text| read(text, || format!("{place}.convicted")))
+        text.map(|text| parse(text, || format!("{place}.convicted")))
             .transpose()
     }
 }
 
-pub(crate) fn write_ages(ages: &BTreeMap<Fingerprint, u64>) -> BTreeMap<String, u64> {
-    let rows = ages.iter().map(|(f, age)| (f.to_string(), *age));
+pub(crate) fn write_requests(requests: &BTreeMap<Fingerprint, u64>) -> BTreeMap<String, u64> {
+    let rows = requests
+        .iter()
+        .map(|(f, added_at)| (f.to_string(), *added_at));
     rows.collect()
 }
 
-pub(crate) fn read_ages(
+pub(crate) fn read_requests(
     rows: &BTreeMap<String, u64>,
     place: &str,
 ) -> Result<BTreeMap<Fingerprint, u64>> {
-    let mut ages = BTreeMap::new();
-    for (text, age) in rows {
-        ages.insert(read(text, || format!("{place}.{text}"))?, *age);
+    let mut requests = BTreeMap::new();
+    for (text, added_at) in rows {
+        requests.insert(parse(text, || format!("{place}.{text}"))?, *added_at);
     }
-    Ok(ages)
+    Ok(requests)
 }
 
 fn read_set(texts: &[String], place: &str) -> Result<BTreeSet<Fingerprint>> {
     let mut set = BTreeSet::new();
     for (i, text) in texts.iter().enumerate() {
-        set.insert(read(text, || format!("{place}[{i}]"))?);
+        set.insert(parse(text, || format!("{place}[{i}]"))?);
     }
     Ok(set)
 }
 
-fn read(text: &str, place: impl FnOnce() -> String) -> Result<Fingerprint> {
+fn parse(text: &str, place: impl FnOnce() -> String) -> Result<Fingerprint> {
     Fingerprint::from_hex(text).ok_or_else(|| Error::invalid_fingerprint(place()))
 }
--- a/crates/route/src/quota_allocator.rs
+++ b/crates/route/src/quota_allocator.rs
@@ -93,14 +93,15 @@
     total_demand: u64,
 }
 
-/// The fair share is computed at most this many times per lease.
+/// Number of times per lease that the fair share is recomputed, besides when an entry is
+/// new.
 const COMPUTATIONS_PER_LEASE: u32 = 30;
 
 impl QuotaAllocator {
     /// Creates an allocator for a leader that was elected at `elected_at`.
     ///
     /// ```
-    /// use route::{QuotaAllocator, QuotaUsage, FULL_QUOTA};
+    /// use route::{FULL_QUOTA, QuotaAllocator, QuotaUsage};
     /// use std::time::{Duration, Instant};
     ///
     /// let (elected_at, lease) = (Instant::now(), Duration::from_secs(3));
@@ -127,7 +128,7 @@
     /// grants each entry at most the share that it already holds.
     ///
     /// ```
-    /// use route::{QuotaAllocator, QuotaUsage, FULL_QUOTA};
+    /// use route::{FULL_QUOTA, QuotaAllocator, QuotaUsage};
     /// use std::time::{Duration, Instant};
     ///
     /// let (elected_at, lease) = (Instant::now(), Duration::from_secs(3));
--- a/crates/route/src/subset.rs
+++ b/crates/route/src/subset.rs
@@ -2,16 +2,16 @@
 
 use member::{hash_name, mix};
 
-/// Fewest links of each entry and of each target.
+/// Minimum number of links of each entry and of each target.
 ///
-/// All entries must hold the same settings: each works out by itself what the
-/// others do.
+/// All entries must have the same settings, since each computes the links of all
+/// others by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SubsetSettings {
-    /// Targets of one kind that an entry links at least, as far as there are
-    /// so many.
+    /// Minimum number of targets of one kind that an entry links to, if there are
+    /// that many.
     pub targets: usize,
-    /// Entries that link each target at least, as far as there are so many.
+    /// Minimum number of entries that link to each target, if there are that many.
     pub entries: usize,
 }
 
@@ -24,48 +24,48 @@
     }
 }
 
-/// An entry or a target, and the availability zone that it stands in.
+/// An entry or a target with its availability zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZonedNode<'a> {
-    /// Its name.
+    /// Name of the entry or target.
     pub name: &'a str,
-    /// Its availability zone.
+    /// Name of its availability zone.
     pub zone: &'a str,
 }
 
-/// A target of an entry's subset.
+/// A target that an entry links to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkedTarget {
-    /// Position among the targets.
+    /// Position in the list of targets.
     pub target: usize,
-    /// Entries that link it, this one included.
+    /// Number of entries that link to the target, including this one.
     pub entries: u32,
 }
 
-/// Whether a target can be given work, as far as an entry knows.
+/// Whether an entry can send requests to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reachability {
-    /// It can.
+    /// The target is reachable.
     Up,
-    /// It was not tried, or not for long enough.
+    /// The target was not tried yet, or not for long enough.
     Unknown,
-    /// It can't.
+    /// The target is not reachable.
     Down,
 }
 
 /// The targets of one kind that an entry keeps links to.
 ///
-/// Links of each entry to each target would cost both ends a heartbeat for
-/// each: at hundreds of entries and targets that alone is more than a node may
-/// spend. So each entry picks a few targets and each target a few entries, both
-/// by rendezvous hashing (Thaler and Ravishankar, 1998), and what either side
-/// picked is linked. Without the second pick a target could be left out by all
-/// entries, and its places would stay empty.
+/// Links between all entries and all targets would each cost both ends a
+/// heartbeat, which with hundreds of entries and targets exceeds the budget of a
+/// node. Therefore each entry picks a few targets and each target a few entries,
+/// both by rendezvous hashing (Thaler and Ravishankar, 1998), and there is a link
+/// wherever either side picked the other. Without the picks of targets, a target
+/// might be picked by no entry and stay idle.
 ///
-/// Half of an entry's picks are in its own availability zone, if there are so
-/// many: the nearer ones answer sooner. The others are anywhere, so that the
-/// loss of a zone leaves it some, and a zone with more callers than targets
-/// gives work to the others.
+/// Half of an entry's picks are in its own availability zone, if there are
+/// enough targets, for lower latency. The others may be in any zone, so that an
+/// entry still has targets after the loss of its zone, and a zone with more
+/// callers than targets can use those of others.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Subset {
     linked: Vec<LinkedTarget>,
@@ -73,44 +73,44 @@
 }
 
 impl Subset {
-    /// The subset of the entry at position `me` of `entries`.
+    /// Computes the subset of the entry at position `own` in `entries`.
     ///
     /// ```
-    /// use route::{ZonedNode, Subset, SubsetSettings};
+    /// use route::{Subset, SubsetSettings, ZonedNode};
     ///
-    /// let site = |name| ZonedNode { name, zone: "celje" };
-    /// let entries = ["entry-1", "entry-2"].map(site);
-    /// let targets = ["advisor-01", "advisor-02", "advisor-03"].map(site);
-    /// let all = Subset::of(SubsetSettings::default(), 0, &entries, &targets);
-    /// assert_eq!(all.linked().len(), 3);
-    /// assert!(all.linked().iter().all(|linked| linked.entries == 2));
+    /// let node = |name| ZonedNode { name, zone: "celje" };
+    /// let entries = ["entry-1", "entry-2"].map(node);
+    /// let targets = ["advisor-01", "advisor-02", "advisor-03"].map(node);
+    /// let subset = Subset::of(SubsetSettings::default(), 0, &entries, &targets);
+    /// assert_eq!(subset.linked().len(), 3);
+    /// assert!(subset.linked().iter().all(|linked| linked.entries == 2));
     /// ```
     #[must_use]
     pub fn of(
-        cfg: SubsetSettings,
-        me: usize,
+        settings: SubsetSettings,
+        own: usize,
         entries: &[ZonedNode],
         targets: &[ZonedNode],
     ) -> Subset {
         let graph = Graph::new(entries, targets);
         let mut links = Links::new(entries.len(), targets.len());
         for entry in 0..entries.len() {
-            for target in graph.picks_of_entry(entry, cfg.targets) {
+            for target in graph.picks_of_entry(entry, settings.targets) {
                 links.add(entry, target);
             }
         }
         for target in 0..targets.len() {
-            for entry in graph.picks_of_target(target, cfg.entries) {
+            for entry in graph.picks_of_target(target, settings.entries) {
                 links.add(entry, target);
             }
         }
         let mut subset = Subset::default();
-        for target in graph.by_weight(me) {
-            if links.has(me, target) {
-                let entries = links.entries[target];
+        for target in graph.by_weight(own) {
+            if links.has(own, target) {
+                let entries = links.entries_per_target[target];
                 subset.linked.push(LinkedTarget { target, entries });
             } else {
-                let entries = links.entries[target] + 1;
+                let entries = links.entries_per_target[target] + 1;
                 subset.reserve.push(LinkedTarget { target, entries });
             }
         }
@@ -127,8 +127,8 @@
         &self.linked
     }
 
-    /// The other targets, in the order in which to turn to them when too few of
-    /// the subset can be reached.
+    /// The other targets, in the order in which to link to them when too few
+    /// targets of the subset are reachable.
     ///
     /// ```
     /// assert!(route::Subset::default().reserve().is_empty());
@@ -138,82 +138,84 @@
         &self.reserve
     }
 
-    /// The targets to link now: the subset, and as many of the others as it takes
-    /// for `least` that may be up.
+    /// The targets to link to now: the subset, and targets of the reserve until
+    /// `min_usable` targets are not known to be down.
     ///
-    /// An entry may lose its whole subset while the rest of the targets live, for
-    /// instance when the network fails between them. Its callers would be refused
-    /// for as long as that lasts. Each target of the reserve that is down as well
-    /// asks for one more besides its own replacement, so that a few steps go
-    /// through any number of them.
+    /// An entry may lose its whole subset while the other targets still run, for
+    /// instance by a network failure, and would have to refuse all its callers
+    /// until the end of the failure. Each target of the reserve that is down adds
+    /// one target besides its own replacement, so that a few rounds reach any
+    /// number of targets.
     ///
     /// ```
-    /// use route::{Reachability, ZonedNode, Subset, SubsetSettings};
+    /// use route::{Reachability, Subset, SubsetSettings, ZonedNode};
     ///
-    /// let site = |name| ZonedNode { name, zone: "celje" };
-    /// let entries = ["entry-1", "entry-2", "entry-3"].map(site);
-    /// let targets = ["advisor-01", "advisor-02", "advisor-03", "advisor-04"].map(site);
-    /// let cfg = SubsetSettings { targets: 1, entries: 1 };
-    /// let subset = Subset::of(cfg, 0, &entries, &targets);
-    /// let usual = subset.with_reserve(1, |_| Reachability::Up);
-    /// assert_eq!(usual, subset.linked());
-    /// let lost = subset.with_reserve(1, |_| Reachability::Down);
-    /// assert_eq!(lost.len(), 4);
+    /// let node = |name| ZonedNode { name, zone: "celje" };
+    /// let entries = ["entry-1", "entry-2", "entry-3"].map(node);
+    /// let targets = ["advisor-01", "advisor-02", "advisor-03", "advisor-04"].map(node);
+    /// let settings = SubsetSettings { targets: 1, entries: 1 };
+    /// let subset = Subset::of(settings, 0, &entries, &targets);
+    /// let healthy = subset.with_reserve(1, |_| Reachability::Up);
+    /// assert_eq!(healthy, subset.linked());
+    /// let all_down = subset.with_reserve(1, |_| Reachability::Down);
+    /// assert_eq!(all_down.len(), 4);
     /// ```
     #[must_use]
     pub fn with_reserve(
         &self,
-        least: usize,
-        reach: impl Fn(usize) -> Reachability,
+        min_usable: usize,
+        reachability: impl Fn(usize) -> Reachability,
     ) -> Vec<LinkedTarget> {
         let mut chosen = self.linked.clone();
-        let hopeful = chosen
+        let usable = chosen
             .iter()
-            .filter(|l| reach(l.target) != Reachability::Down);
-        let mut short = least.saturating_sub(hopeful.count());
+            .filter(|l| reachability(l.target) != Reachability::Down);
+        let mut missing = min_usable.saturating_sub(usable.count());
         for linked in &self.reserve {
-            if short == 0 {
+            if missing == 0 {
                 break;
             }
             chosen.push(*linked);
-            match reach(linked.target) {
-                Reachability::Down => short += 1,
-                Reachability::Up | Reachability::Unknown => short -= 1,
+            match reachability(linked.target) {
+                Reachability::Down => missing += 1,
+                Reachability::Up | Reachability::Unknown => missing -= 1,
             }
         }
         chosen
     }
 }
 
-/// Which entry links which target, and how many link each target.
+/// Links between entries and targets, with the number of entries per target.
 struct Links {
-    width: usize,
-    cells: Vec<bool>,
-    entries: Vec<u32>,
+    target_count: usize,
+    /// One row of `target_count` cells per entry.
+    linked: Vec<bool>,
+    entries_per_target: Vec<u32>,
 }
 
 impl Links {
     fn new(entries: usize, targets: usize) -> Self {
         Links {
-            width: targets,
-            cells: vec![false; entries * targets],
-            entries: vec![0; targets],
+            target_count: targets,
+            linked: vec![false; entries * targets],
+            entries_per_target: vec![0; targets],
         }
     }
 
     fn has(&self, entry: usize, target: usize) -> bool {
-        let cell = self.cells.get(entry * self.width + target);
+        let cell = self.linked.get(entry * self.target_count + target);
         cell.copied().unwrap_or(false)
     }
 
     fn add(&mut self, entry: usize, target: usize) {
-        let cell = &mut self.cells[entry * self.width + target];
-        self.entries[target] += u32::from(!*cell);
+        let cell = &mut self.linked[entry * self.target_count + target];
+        self.entries_per_target[target] += u32::from(!*cell);
         *cell = true;
     }
 }
 
-/// The rendezvous weights between entries and targets.
+/// Rendezvous weights between entries and targets. Nodes are pairs of a hash and an
+/// availability zone.
 struct Graph<'a> {
     entries: Vec<(u64, &'a str)>,
     targets: Vec<(u64, &'a str)>,
@@ -221,10 +223,10 @@
 
 impl<'a> Graph<'a> {
     fn new(entries: &[ZonedNode<'a>], targets: &[ZonedNode<'a>]) -> Self {
-        let hashed = |site: &ZonedNode<'a>| (hash_name(site.name), site.zone);
+        let hashed = |node: &ZonedNode<'a>| (hash_name(node.name), node.zone);
         Graph {
             entries: entries.iter().map(hashed).collect(),
-            // Turned, so that an entry and a target of one name differ.
+            // Rotated, so that an entry and a target with the same name differ.
             targets: targets
                 .iter()
                 .map(hashed)
@@ -237,7 +239,7 @@
         mix(self.entries[entry].0 ^ self.targets[target].0)
     }
 
-    /// All targets, those of the highest weight first.
+    /// All targets, in descending order of weight.
     fn by_weight(&self, entry: usize) -> Vec<usize> {
         let mut targets: Vec<usize> = (0..self.targets.len()).collect();
         if entry < self.entries.len() {
@@ -249,11 +251,11 @@
     fn picks_of_entry(&self, entry: usize, count: usize) -> Vec<usize> {
         let zone = self.entries[entry].1;
         let weight = |target: &usize| self.weight(entry, *target);
-        let (near, mut far): (Vec<usize>, Vec<usize>) =
+        let (same_zone, mut remaining): (Vec<usize>, Vec<usize>) =
             (0..self.targets.len()).partition(|target| self.targets[*target].1 == zone);
-        let (mut picks, rest) = heaviest(near, count.div_ceil(2), weight);
-        far.extend(rest);
-        let (others, _) = heaviest(far, count - picks.len(), weight);
+        let (mut picks, rest) = heaviest(same_zone, count.div_ceil(2), weight);
+        remaining.extend(rest);
+        let (others, _) = heaviest(remaining, count - picks.len(), weight);
         picks.extend(others);
         picks
     }
@@ -264,7 +266,7 @@
     }
 }
 
-/// The `count` of the highest weight, and the rest.
+/// Splits the items into the `count` of the highest weight and the rest.
 fn heaviest(
     mut items: Vec<usize>,
     count: usize,
@@ -276,9 +278,9 @@
     if items.len() <= count {
         return (items, Vec::new());
     }
-    let mut weighed: Vec<(u64, usize)> = items.drain(..).map(|i| (weight(&i), i)).collect();
-    weighed.select_nth_unstable_by(count - 1, |a, b| b.cmp(a));
-    let rest = weighed.split_off(count);
-    let plain = |rows: Vec<(u64, usize)>| rows.into_iter().map(|(_, item)| item).collect();
-    (plain(weighed), plain(rest))
+    let mut weighted: Vec<(u64, usize)> = items.drain(..).map(|i| (weight(&i), i)).collect();
+    weighted.select_nth_unstable_by(count - 1, |a, b| b.cmp(a));
+    let rest = weighted.split_off(count);
+    let strip = |rows: Vec<(u64, usize)>| rows.into_iter().map(|(_, item)| item).collect();
+    (strip(weighted), strip(rest))
 }
--- a/crates/route/src/target.rs
+++ b/crates/route/src/target.rs
@@ -1,4 +1,4 @@
-//! One target of a pool, as this entry sees it.
+//! Estimated state of one target of a pool.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -15,43 +15,48 @@
 
 /// Weight of a new observation in a moving average.
 const SMOOTHING: f64 = 0.1;
-/// Observed by expected time is kept within this factor either way.
-const FACTOR_MAX: f64 = 16.0;
-/// An answer this many times later than expected counts as overload.
-const LATE: f64 = 4.0;
-/// Expected times below this are too short to call an answer late by them.
-const LATE_FLOOR: f64 = 0.1;
-/// Part of the full load that a fresh target starts with.
-const SLOW_START_FLOOR: f64 = 0.1;
+/// Limit on the ratio of observed to expected time, and on its reciprocal.
+const MAX_TIME_RATIO: f64 = 16.0;
+/// An answer that takes this many times longer than expected counts as overload.
+const LATE_FACTOR: f64 = 4.0;
+/// Lower bound in seconds of the expected time in that comparison; shorter times
+/// vary too much.
+const LATE_MIN_EXPECTED: f64 = 0.1;
+/// Fraction of the full load that a cold target starts with.
+const SLOW_START_MIN: f64 = 0.1;
 
+/// One target of a pool, as known to this entry.
 #[derive(Debug)]
 pub(crate) struct Target {
     pub(crate) name: String,
     pub(crate) name_hash: u64,
-    pub(crate) standing: TargetStatus,
+    pub(crate) status: TargetStatus,
     pub(crate) ejection: Ejection,
     pub(crate) cache: CacheEstimate,
     pub(crate) limit: ConcurrencyLimit,
     pub(crate) own_running: u32,
     pub(crate) own_suspects: u32,
-    /// This entry's part of what the target runs, in (0, 1].
+    /// This entry's share of the target's capacity, in (0, 1].
     pub(crate) share: f64,
+    /// Network delay, in seconds.
     distance: f64,
     ranks: Vec<Rank>,
-    since: Instant,
-    arrival: StartState,
-    reported: Option<Instant>,
-    /// Requests that waited for a place when the last report was taken.
+    /// When the current incarnation was added or restarted.
+    started_at: Instant,
+    start_state: StartState,
+    /// Time of measurement of the last report.
+    reported_at: Option<Instant>,
+    /// Requests queued at the target according to the last report.
     queued: f64,
-    /// Observed by expected time to first token, a moving average.
-    factor: f64,
-    /// Time that an attempt holds its place, a moving average in seconds.
-    hold: f64,
-    /// Own attempts without a first token, oldest first.
+    /// Ratio of observed to expected time to the first token, a moving average.
+    time_ratio: f64,
+    /// Time that an attempt occupies a slot in seconds, a moving average.
+    slot_seconds: f64,
+    /// Attempts of this entry without a first token, oldest first.
     waiting: BTreeSet<(Instant, AttemptKey)>,
 }
 
-/// The rank that suits a request best, and the expected seconds there.
+/// The best rank for a request, and the expected time to the first token there.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Estimate {
     pub(crate) rank: u32,
@@ -59,61 +64,66 @@
 }
 
 impl Target {
-    pub(crate) fn new(name: &str, distance: Duration, now: Instant, tuning: &PoolSettings) -> Self {
+    pub(crate) fn new(
+        name: &str,
+        distance: Duration,
+        now: Instant,
+        settings: &PoolSettings,
+    ) -> Self {
         Target {
             name: name.to_owned(),
             name_hash: hash_bytes(name.bytes()),
-            standing: TargetStatus::Unavailable,
+            status: TargetStatus::Unavailable,
             ejection: Ejection::default(),
             cache: CacheEstimate::default(),
-            limit: ConcurrencyLimit::new(tuning.initial_limit),
+            limit: ConcurrencyLimit::new(settings.initial_limit),
             own_running: 0,
             own_suspects: 0,
-            share: tuning.share,
+            share: settings.share,
             distance: distance.as_secs_f64(),
             ranks: vec![Rank::default()],
-            since: now,
-            arrival: StartState::Cold,
-            reported: None,
+            started_at: now,
+            start_state: StartState::Cold,
+            reported_at: None,
             queued: 0.0,
-            factor: 1.0,
-            hold: 1.0,
+            time_ratio: 1.0,
+            slot_seconds: 1.0,
             waiting: BTreeSet::new(),
         }
     }
 
-    /// A target that has run for long already.
+    /// Marks the target as warm, so that it is given full load at once.
     pub(crate) fn set_warm(&mut self) {
-        self.arrival = StartState::Warm;
+        self.start_state = StartState::Warm;
     }
 
-    /// Forgets what was learnt of the former incarnation.
-    pub(crate) fn restart(&mut self, now: Instant, tuning: &PoolSettings) {
+    /// Resets everything that was known of the previous incarnation.
+    pub(crate) fn restart(&mut self, now: Instant, settings: &PoolSettings) {
         self.ejection = Ejection::default();
         self.cache = CacheEstimate::default();
-        self.limit = ConcurrencyLimit::new(tuning.initial_limit);
+        self.limit = ConcurrencyLimit::new(settings.initial_limit);
         self.ranks = vec![Rank::default()];
         self.own_running = 0;
         self.own_suspects = 0;
         self.waiting.clear();
-        self.since = now;
-        self.arrival = StartState::Cold;
-        self.reported = None;
+        self.started_at = now;
+        self.start_state = StartState::Cold;
+        self.reported_at = None;
         self.queued = 0.0;
-        self.factor = 1.0;
+        self.time_ratio = 1.0;
     }
 
-    pub(crate) fn report(&mut self, report: &TargetLoadReport) {
-        if self.reported.is_some_and(|last| report.taken_at < last) {
+    pub(crate) fn apply_report(&mut self, report: &TargetLoadReport) {
+        if self.reported_at.is_some_and(|last| report.taken_at < last) {
             return;
         }
-        self.reported = Some(report.taken_at);
+        self.reported_at = Some(report.taken_at);
         self.queued = f64::from(report.queued);
-        let numbers: Vec<u32> = report.ranks.iter().map(|row| row.rank).collect();
+        let numbers: Vec<u32> = report.ranks.iter().map(|load| load.rank).collect();
         self.set_ranks(&numbers);
-        for row in &report.ranks {
-            if let Some(rank) = self.rank_mut(row.rank) {
-                rank.apply_report(*row, report.taken_at);
+        for load in &report.ranks {
+            if let Some(rank) = self.rank_mut(load.rank) {
+                rank.apply_report(*load, report.taken_at);
             }
         }
         if report.limit > 0 {
@@ -121,8 +131,9 @@
         }
     }
 
-    /// Sets which ranks the target has, and keeps what is known of those that
-    /// stay. One that it doesn't have would look idle and be chosen.
+    /// Sets which ranks the target has and keeps the state of existing ones. A rank
+    /// that the target does not have must be removed, since it would look idle and
+    /// be chosen.
     pub(crate) fn set_ranks(&mut self, numbers: &[u32]) {
         if numbers.is_empty() {
             return;
@@ -142,35 +153,36 @@
             .find(|rank| rank.report.rank == number)
     }
 
-    /// The best rank for the request and the time to first token there.
+    /// Estimates the best rank for the request and the time to the first token there.
     pub(crate) fn estimate(
         &self,
         now: Instant,
-        demand: &PlacementRequest<'_>,
-        tuning: &PoolSettings,
+        request: &PlacementRequest<'_>,
+        settings: &PoolSettings,
     ) -> Estimate {
-        let cached = self.cache.cached(demand.prefix);
-        let tokens = f64::from(demand.tokens.saturating_sub(cached).max(1));
-        let seconds = |rank: &Rank| self.prefill_seconds(rank, tokens, tuning);
+        let cached = self.cache.cached(request.prefix);
+        let tokens = f64::from(request.tokens.saturating_sub(cached).max(1));
+        let seconds = |rank: &Rank| self.prefill_seconds(rank, tokens, settings);
         let best = self
             .ranks
             .iter()
             .map(|rank| (rank.report.rank, seconds(rank)))
             .min_by(|a, b| a.1.total_cmp(&b.1));
         let (rank, prefill) = best.unwrap_or((0, 0.0));
-        let served = (prefill + self.place_seconds()) * self.factor / self.warmth(now, tuning);
+        let service_time = (prefill + self.slot_wait_seconds()) * self.time_ratio
+            / self.ramp_up_factor(now, settings);
         Estimate {
             rank,
-            seconds: self.distance + served + self.overdue_seconds(now, served),
+            seconds: self.distance + service_time + self.overdue_seconds(now, service_time),
         }
     }
 
-    /// Steps until the first token, in seconds. KV in use and running
-    /// requests lengthen the rank's decode steps, and through the slowest
-    /// rank those of the whole group.
-    fn prefill_seconds(&self, rank: &Rank, tokens: f64, tuning: &PoolSettings) -> f64 {
+    /// Time of the steps until the first token, in seconds. Running requests and
+    /// used KV cache lengthen the decode steps of a rank, and the slowest rank
+    /// determines those of the whole group.
+    fn prefill_seconds(&self, rank: &Rank, tokens: f64, settings: &PoolSettings) -> f64 {
         let step = if rank.report.step.is_zero() {
-            tuning.default_step.as_secs_f64()
+            settings.default_step.as_secs_f64()
         } else {
             rank.report.step.as_secs_f64()
         };
@@ -178,30 +190,30 @@
         let running = rank.running(self.share);
         let kv = f64::from(rank.report.kv_used_permille) / 1000.0;
         let load = running / self.limit.current().max(1.0);
-        step * (1.0 + (queued + tokens) * tuning.steps_per_token + load + kv)
+        step * (1.0 + (queued + tokens) * settings.steps_per_token + load + kv)
     }
 
-    /// Time until a place is free, when more wait than there are places.
-    fn place_seconds(&self) -> f64 {
-        let places = self.limit.current();
-        let excess = self.running() + 1.0 - places;
+    /// Time until a slot is free in seconds, if there are more requests than slots.
+    fn slot_wait_seconds(&self) -> f64 {
+        let slots = self.limit.current();
+        let excess = self.running() + 1.0 - slots;
         if excess > 0.0 {
-            excess * self.hold / places
+            excess * self.slot_seconds / slots
         } else {
             0.0
         }
     }
 
-    /// Requests that run or wait at the target, as estimated.
+    /// Estimated number of requests that run or wait at the target.
     fn running(&self) -> f64 {
         let ranks = self.ranks.iter();
         let running: f64 = ranks.map(|rank| rank.running(self.share)).sum();
         running + self.queued
     }
 
-    /// How long past its expected first token the oldest waiting attempt is.
-    /// Reports of a target that stalled stay good until they stop coming; an
-    /// attempt without its first token tells sooner.
+    /// How far the oldest waiting attempt exceeds twice the expected time, in
+    /// seconds. The last reports of a stalled target still look good until they
+    /// stop arriving; an attempt without a first token reveals the stall sooner.
     fn overdue_seconds(&self, now: Instant, expected: f64) -> f64 {
         let oldest = self.waiting.first();
         oldest.map_or(0.0, |(started, _)| {
@@ -210,30 +222,29 @@
         })
     }
 
-    /// How much of its full load the target is given, in (0, 1].
-    pub(crate) fn warmth(&self, now: Instant, tuning: &PoolSettings) -> f64 {
-        let age = now.saturating_duration_since(self.since);
-        if self.arrival == StartState::Warm || age >= tuning.slow_start {
+    /// Fraction of the full load that the target is given, in (0, 1].
+    pub(crate) fn ramp_up_factor(&self, now: Instant, settings: &PoolSettings) -> f64 {
+        let age = now.saturating_duration_since(self.started_at);
+        if self.start_state == StartState::Warm || age >= settings.slow_start {
             return 1.0;
         }
-        (age.as_secs_f64() / tuning.slow_start.as_secs_f64()).max(SLOW_START_FLOOR)
+        (age.as_secs_f64() / settings.slow_start.as_secs_f64()).max(SLOW_START_MIN)
     }
 
-    /// How many more requests this entry may send.
+    /// Number of additional requests that this entry may send.
     ///
-    /// The entries share the target's limit. Each may always use its own
-    /// part; beyond that it may use what the others leave, as far as the
-    /// reports tell.
-    pub(crate) fn room(&self, now: Instant, tuning: &PoolSettings) -> f64 {
-        let limit = self.limit.current() * tuning.overcommit * self.warmth(now, tuning);
+    /// The entries share the target's limit. Each may always use its own share,
+    /// and beyond that what others leave unused according to the reports.
+    pub(crate) fn room(&self, now: Instant, settings: &PoolSettings) -> f64 {
+        let limit = self.limit.current() * settings.overcommit * self.ramp_up_factor(now, settings);
         let own = f64::from(self.own_running);
-        let part = (limit * self.share).floor().max(1.0);
-        let left = limit - self.running();
-        (part - own).max(left.floor()).max(0.0)
+        let own_share = (limit * self.share).floor().max(1.0);
+        let unused = limit - self.running();
+        (own_share - own).max(unused.floor()).max(0.0)
     }
 
-    /// Requests of this entry for each place of its own part.
-    pub(crate) fn fill(&self) -> f64 {
+    /// Ratio of this entry's requests to its own share of the slots.
+    pub(crate) fn utilization(&self) -> f64 {
         f64::from(self.own_running) / (self.limit.current() * self.share).max(1.0)
     }
 
@@ -242,63 +253,67 @@
         now: Instant,
         key: AttemptKey,
         rank: u32,
-        demand: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
     ) {
         self.own_running += 1;
-        if demand.suspicion == Suspicion::Suspect {
+        if request.suspicion == Suspicion::Suspect {
             self.own_suspects += 1;
         }
         self.waiting.insert((now, key));
-        self.cache.record_sent(demand.prefix);
+        self.cache.record_sent(request.prefix);
         if let Some(rank) = self.rank_mut(rank) {
-            rank.started(now, demand.tokens);
+            rank.started(now, request.tokens);
         }
     }
 
-    /// Takes the time of a first token, against what was expected.
-    pub(crate) fn answered(&mut self, now: Instant, place: &Attempt) {
-        self.prefilled(now, place);
-        let waited = now.saturating_duration_since(place.started).as_secs_f64();
-        let served = (waited - self.distance).max(0.0);
-        let expected = (place.expected - self.distance).max(1e-4);
-        let observed = self.factor * served / expected;
-        let factor = self.factor + SMOOTHING * (observed - self.factor);
-        self.factor = factor.clamp(1.0 / FACTOR_MAX, FACTOR_MAX);
+    /// Records the first token of an attempt, and compares its time with the
+    /// expected one.
+    pub(crate) fn answer_started(&mut self, now: Instant, attempt: &Attempt) {
+        self.prefilled(now, attempt);
+        let waited = now.saturating_duration_since(attempt.started).as_secs_f64();
+        let service_time = (waited - self.distance).max(0.0);
+        let expected = (attempt.expected - self.distance).max(1e-4);
+        let observed = self.time_ratio * service_time / expected;
+        let ratio = self.time_ratio + SMOOTHING * (observed - self.time_ratio);
+        self.time_ratio = ratio.clamp(1.0 / MAX_TIME_RATIO, MAX_TIME_RATIO);
         let running = self.running();
-        if served > LATE * expected.max(LATE_FLOOR) && running > self.limit.current() / 2.0 {
+        if service_time > LATE_FACTOR * expected.max(LATE_MIN_EXPECTED)
+            && running > self.limit.current() / 2.0
+        {
             self.limit.on_overload();
         } else {
             self.limit.on_success(running);
         }
     }
 
-    pub(crate) fn prefilled(&mut self, now: Instant, place: &Attempt) {
-        self.waiting.remove(&(place.started, place.key));
-        if let Some(rank) = self.rank_mut(place.rank) {
-            rank.prefilled(now, place.tokens);
+    pub(crate) fn prefilled(&mut self, now: Instant, attempt: &Attempt) {
+        self.waiting.remove(&(attempt.started, attempt.key));
+        if let Some(rank) = self.rank_mut(attempt.rank) {
+            rank.prefilled(now, attempt.tokens);
         }
     }
 
-    pub(crate) fn ended(&mut self, now: Instant, place: &Attempt) {
-        if place.first_token_at.is_none() {
-            self.prefilled(now, place);
+    pub(crate) fn ended(&mut self, now: Instant, attempt: &Attempt) {
+        if attempt.first_token_at.is_none() {
+            self.prefilled(now, attempt);
         }
         self.own_running = self.own_running.saturating_sub(1);
-        if place.suspicion == Suspicion::Suspect {
+        if attempt.suspicion == Suspicion::Suspect {
             self.own_suspects = self.own_suspects.saturating_sub(1);
         }
-        if let Some(rank) = self.rank_mut(place.rank) {
+        if let Some(rank) = self.rank_mut(attempt.rank) {
             rank.ended(now);
         }
     }
 
-    /// The time of the present incarnation's arrival, which tells attempts of
-    /// a former one apart.
-    pub(crate) fn arrived(&self) -> Instant {
-        self.since
+    /// Start of the current incarnation, which distinguishes its attempts from those
+    /// of previous ones.
+    pub(crate) fn incarnation_start(&self) -> Instant {
+        self.started_at
     }
 
-    pub(crate) fn held(&mut self, time: Duration) {
-        self.hold += SMOOTHING * (time.as_secs_f64() - self.hold);
+    /// Records how long an attempt occupied its slot.
+    pub(crate) fn record_hold(&mut self, time: Duration) {
+        self.slot_seconds += SMOOTHING * (time.as_secs_f64() - self.slot_seconds);
     }
 }
