--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,11 +1,11 @@
-//! Choice of target, limits, fairness, retries, quarantine.
+//! Load balancing, admission control, retry budgets and quarantine.
 //!
-//! Everything here is pure: the present time is an argument, random choices
-//! are drawn from a generator that the caller passes in, and the answers are
-//! plain values. The entry's actors hold the sockets and timers and call in.
+//! This crate does no I/O. Functions take the current time and the random number
+//! generator as arguments and return plain values. Sockets and timers belong to
+//! the entry that calls it.
 //!
-//! [`Quarantine`] is replicated state: every control replica applies the same
-//! reports in the same order and holds the same quarantine.
+//! [`Quarantine`] is replicated state: all control replicas apply the same
+//! reports in the same order and reach the same state.
 //!
 //! ```
 //! use route::{Fingerprint, Quarantine};
--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -42,7 +42,7 @@
     attempts: SlotMap<AttemptKey, Attempt>,
 }
 
-/// Minimum number of ready targets that are never ejected.
+/// Minimum number of ready targets that are not ejected.
 const MIN_NOT_EJECTED: usize = 1;
 /// Minimum share of a target that an entry may be given.
 const MIN_SHARE: f64 = 1e-3;
--- a/crates/route/src/quarantine.rs
+++ b/crates/route/src/quarantine.rs
@@ -18,8 +18,8 @@
 /// may have caused the crash. A suspect only runs again on a target without
 /// another suspect. If that target crashes too, its only suspect is convicted
 /// and refused everywhere. As this explains the crash, the other requests on the
-/// target do not become suspect. A crash with several earlier suspects on the
-/// target convicts none of them, since any of them may be a bystander.
+/// target keep their state. A crash with several earlier suspects on the target
+/// convicts none of them, since any of them may be a bystander.
 ///
 /// A crash is identified by target and incarnation. It may be reported several
 /// times and by several reporters. Reports are merged, and a conviction is
--- a/crates/route/src/target.rs
+++ b/crates/route/src/target.rs
@@ -19,8 +19,8 @@
 const MAX_TIME_RATIO: f64 = 16.0;
 /// An answer that takes this many times longer than expected counts as overload.
 const LATE_FACTOR: f64 = 4.0;
-/// Lower bound in seconds of the expected time in that comparison; shorter times
-/// vary too much.
+/// Minimum expected time in that comparison, in seconds. Below it, an answer that
+/// takes several times longer is still not late.
 const LATE_MIN_EXPECTED: f64 = 0.1;
 /// Fraction of the full load that a cold target starts with.
 const SLOW_START_MIN: f64 = 0.1;
@@ -97,7 +97,7 @@
         self.start_state = StartState::Warm;
     }
 
-    /// Resets everything that was known of the previous incarnation.
+    /// Resets what was learned about the previous incarnation.
     pub(crate) fn restart(&mut self, now: Instant, settings: &PoolSettings) {
         self.ejection = Ejection::default();
         self.cache = CacheEstimate::default();
--- a/crates/route/src/target_set.rs
+++ b/crates/route/src/target_set.rs
@@ -1,4 +1,4 @@
-//! The targets of one service that all entries reach straight.
+//! The targets of a service to which all entries connect directly.
 
 use std::time::{Duration, Instant};
 
@@ -9,63 +9,63 @@
 use crate::TargetKey;
 use crate::target_state::TargetState;
 
-/// What a target says of its load in an answer.
+/// Load of a target, as reported in an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests that run there.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait there.
+    /// Number of queued requests.
     pub waiting: u32,
 }
 
-/// What is known of a target's load when a request is sent there.
+/// Estimated load of a target at the time a request is sent there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadEstimate {
-    /// Requests of this entry.
+    /// Number of requests of this entry.
     pub own: u32,
-    /// Requests of all other entries, by the target's last word.
+    /// Number of requests of all other entries, according to the last report.
     pub others: u32,
-    /// How old that word is; none if it hasn't told its load yet.
+    /// Age of that report, or `None` if the target has not reported its load yet.
     pub age: Option<Duration>,
 }
 
-/// How an attempt at a target of a set went.
+/// Outcome of an attempt on a target of a set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DispatchOutcome {
-    /// It was answered.
+    /// The target answered.
     Answered,
-    /// The target said that it did not run it: it is full, or another one.
+    /// The target reported that it did not run the request, because it is full or
+    /// unable to.
     Declined,
-    /// Another target answered at its address.
+    /// Another target answered at the same address.
     Replaced,
-    /// The target failed it, or could not be reached.
+    /// The target failed or could not be reached.
     Failed,
-    /// Nobody waits for it any more.
+    /// The caller no longer waits for the answer.
     Abandoned,
 }
 
-/// Limits of a set of targets.
+/// Settings of a [`TargetSet`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TargetSetSettings {
-    /// Requests that may wait at a target for each of its slots. A request
-    /// that waits there begins as soon as another one ends, a whole round trip
-    /// sooner than one that is sent then. Those that wait longer than their
-    /// objective allows only make all that come after them late too.
+    /// Maximum number of requests that wait at a target, per slot. A waiting
+    /// request starts as soon as another one ends, one round trip earlier than if
+    /// it were sent only then. Requests that wait longer than their objective
+    /// allows only delay all later ones too.
     pub queue_per_slot: f64,
-    /// How the pauses of a target's streams grow with what it runs, where it
-    /// is a model engine.
+    /// Step time of the targets under load, if they are model engines.
     pub step_time: Option<StepTimeModel>,
-    /// Slots that a target in another availability zone must have more free
-    /// than one near by to be preferred. One such slot saves a third of the
-    /// bytes between zones; the loads of targets differ by as much anyway.
+    /// Number of additional free slots that a target in another availability zone
+    /// must have to be preferred to one in the same zone. One slot saves a third
+    /// of the traffic between zones, and loads of targets differ by as much anyway.
     pub cross_zone_penalty: f64,
-    /// How long a target that could not be reached is passed over at first;
-    /// each further failure doubles it.
+    /// Duration of the first ejection of a target that failed; doubles with each
+    /// further failure.
     pub ejection: Duration,
-    /// Longest time that it is passed over.
+    /// Maximum duration of an ejection.
     pub ejection_max: Duration,
-    /// How long a target that said that it did not run a request is passed
-    /// over: a group that forms anew declines all for half a second or so.
+    /// Time for which a target that declined a request is not used. A group that
+    /// re-forms declines all requests for about 0.5 s.
     pub decline_backoff: Duration,
 }
 
@@ -82,25 +82,24 @@
     }
 }
 
-/// How far a target is.
+/// Whether a target is in the availability zone of the entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Locality {
-    /// In the entry's own availability zone.
+    /// In the same availability zone as the entry.
     SameZone,
-    /// In another one.
+    /// In another availability zone.
     OtherZone,
 }
 
-/// The targets of one service that all entries reach straight, and the choice
-/// among them.
+/// The targets of a service to which all entries connect directly, with the
+/// choice among them.
 ///
-/// No entry sees what the others send. What a target tells of its load with
-/// each answer stands in for it: what runs there less this entry's own part
-/// was sent by others.
+/// Entries do not know what other entries send. They infer it from the load that
+/// a target reports with each answer, by subtracting their own requests.
 ///
 /// ```
 /// use rand::{SeedableRng, rngs::SmallRng};
-/// use route::{Locality, TargetSet, TargetSetSettings, DispatchOutcome};
+/// use route::{DispatchOutcome, Locality, TargetSet, TargetSetSettings};
 /// use std::time::Instant;
 ///
 /// let now = Instant::now();
@@ -114,115 +113,117 @@
 /// ```
 #[derive(Debug)]
 pub struct TargetSet {
-    tuning: TargetSetSettings,
+    settings: TargetSetSettings,
     targets: SlotMap<TargetKey, TargetState>,
-    /// The target that is tried again, and since when.
-    trial: Option<(TargetKey, Instant)>,
-    /// Usual time that a request runs, once one has ended.
-    runs: Option<Duration>,
+    /// The target that is being probed, and the start of the probe.
+    probe: Option<(TargetKey, Instant)>,
+    /// Moving average of the duration of requests, once one has completed.
+    mean_duration: Option<Duration>,
 }
 
-/// What a request asks of a target.
+/// Timing of a request to be placed.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct PlacementDemand {
-    /// Time in which it must begin to be answered to be on time.
-    pub(crate) left: Duration,
-    /// Usual time that a request runs.
-    pub(crate) runs: Duration,
+pub(crate) struct RequestTiming {
+    /// Time until its answer must start to be on time.
+    pub(crate) time_left: Duration,
+    /// Mean duration of requests.
+    pub(crate) mean_duration: Duration,
 }
 
-/// Weight of the newest request in the usual time that one runs.
-const RUNS_WEIGHT: f64 = 0.1;
+/// Weight of the latest request in the mean duration.
+const DURATION_WEIGHT: f64 = 0.1;
 
-/// Time of a trial: a target that can't run a request declines it within a few
-/// milliseconds, and begins to answer some hundred later if it can.
-const TRIAL: Duration = Duration::from_millis(50);
+/// Duration of a probe. A target that cannot run a request declines it within a few
+/// milliseconds; one that can starts to answer some 100 ms later.
+const PROBE_DURATION: Duration = Duration::from_millis(50);
 
 impl TargetSet {
-    /// A set without targets.
+    /// Creates a set without targets.
     #[must_use]
-    pub fn new(tuning: TargetSetSettings) -> TargetSet {
+    pub fn new(settings: TargetSetSettings) -> TargetSet {
         TargetSet {
-            tuning,
+            settings,
             targets: SlotMap::with_key(),
-            trial: None,
-            runs: None,
+            probe: None,
+            mean_duration: None,
         }
     }
 
-    /// Adds a target that takes work.
+    /// Adds a target that accepts requests.
     pub fn insert(&mut self, slots: u32, distance: Locality) -> TargetKey {
         self.targets.insert(TargetState::new(slots, distance))
     }
 
-    /// Takes a target out; what runs there ends by itself.
+    /// Removes a target. Its running requests are not affected.
     pub fn remove(&mut self, key: TargetKey) {
         self.targets.remove(key);
     }
 
-    /// Changes whether a target may be given new work.
-    pub fn set_accepting(&mut self, key: TargetKey, open: bool) {
+    /// Sets whether a target may be given new requests.
+    pub fn set_accepting(&mut self, key: TargetKey, accepting: bool) {
         if let Some(target) = self.targets.get_mut(key) {
-            target.open = open;
+            target.accepting = accepting;
         }
     }
 
-    /// Takes in how many times longer than usual each target takes for its
-    /// work.
+    /// Sets the slowdown of each target, as a factor on its usual step time.
     ///
-    /// The ranks of a group begin each step together, so one that is slow
-    /// delays the streams of all. It is given the requests with which it keeps
-    /// up with the fastest.
+    /// The ranks of a group start each step together, so a slow rank delays the
+    /// streams of all others. It is limited to the number of requests at which it
+    /// keeps up with the fastest rank.
     pub fn set_slowdowns(&mut self, slowdowns: &[(TargetKey, f64)]) {
         let fastest = slowdowns.iter().map(|(_, slowdown)| *slowdown);
         let fastest = fastest.fold(f64::INFINITY, f64::min);
         for (key, slowdown) in slowdowns {
             if let Some(target) = self.targets.get_mut(*key) {
-                target.set_slowdown(slowdown / fastest, &self.tuning);
+                target.set_slowdown(slowdown / fastest, &self.settings);
             }
         }
     }
 
-    /// Whether a target is so slow that the streams which it runs should go on
-    /// at others.
+    /// Whether a target is so slow that its streams should be migrated to other
+    /// targets.
     #[must_use]
     pub fn should_migrate_streams(&self, key: TargetKey) -> bool {
-        self.targets.get(key).is_some_and(TargetState::sheds)
+        self.targets
+            .get(key)
+            .is_some_and(TargetState::should_migrate_streams)
     }
 
-    /// The target at which a stream of a slow one goes on. Pauses that are too
-    /// long are no reason against it: the slow target causes them.
+    /// Chooses the target to which a stream of a slow target is migrated. Long
+    /// pauses of a target's streams do not rule it out, since the slow target
+    /// causes them.
     pub fn choose_for_migration(
         &self,
         tried: &[TargetKey],
         now: Instant,
         rng: &mut impl Rng,
     ) -> Option<TargetKey> {
-        let fit = self.targets.iter().filter(|(key, target)| {
+        let eligible = self.targets.iter().filter(|(key, target)| {
             target.is_available()
                 && !target.is_ejected(now)
-                && target.has_slot(&self.tuning)
+                && target.has_slot(&self.settings)
                 && !tried.contains(key)
         });
-        self.cheapest(fit, rng)
+        self.lowest_cost(eligible, rng)
     }
 
-    /// A target was heard of. Its address was another one's for a while if it
-    /// was replaced before.
+    /// Records that a target announced itself at the time `at`. If another target
+    /// answered at its address before that time, the address is its own again.
     pub fn record_announcement(&mut self, key: TargetKey, at: Instant) {
         if let Some(target) = self.targets.get_mut(key) {
-            target.heard(at);
+            target.record_announcement(at);
         }
     }
 
-    /// Chooses the target with the most free places, for its size, among
-    /// those that weren't tried. One that failed lately is taken only if
-    /// there is no other. `None` if all are full.
+    /// Chooses the target with the largest fraction of free slots among those not
+    /// in `tried`. An ejected target is only chosen if there is no other. Returns
+    /// `None` if all are full.
     ///
-    /// Of the targets that declined with places free, as all ranks of a group
-    /// do that forms anew, one is tried at a time. Were each request sent to
-    /// each of them, the retries that the service bears would be spent before
-    /// the group is there again.
+    /// When a group re-forms, all its ranks decline requests although they have
+    /// free slots. Of such targets, one is probed at a time. If each request were
+    /// sent to each of them, the retry budget of the service would be spent before
+    /// the group is back.
     pub fn choose(
         &mut self,
         tried: &[TargetKey],
@@ -232,160 +233,176 @@
         self.choose_within(Duration::MAX, tried, now, rng)
     }
 
-    /// As [`TargetSet::choose`], for a request that is on time if it begins to be
-    /// answered in the time `left`.
+    /// Like [`TargetSet::choose`], for a request that is on time if its answer
+    /// starts within `time_left`.
     ///
-    /// At a model engine it gets a place if it is about to have a slot by then:
-    /// by Little's law one becomes free each time that a request runs, divided
-    /// by the slots. One whose time is over gets a place only while some are
-    /// left for those that can be on time.
+    /// A model engine only accepts a request that should get a slot in time. By
+    /// Little's law, slots become free at intervals of the mean request duration
+    /// divided by the number of slots. A request that is already late is only
+    /// accepted while there are slots left for requests that can be on time.
     pub fn choose_within(
         &mut self,
-        left: Duration,
+        time_left: Duration,
         tried: &[TargetKey],
         now: Instant,
         rng: &mut impl Rng,
     ) -> Option<TargetKey> {
-        self.end_trial(now);
-        let demand = PlacementDemand {
-            left,
-            runs: self.runs.unwrap_or_default(),
+        self.end_probe(now);
+        let timing = RequestTiming {
+            time_left,
+            mean_duration: self.mean_duration.unwrap_or_default(),
         };
-        let untried =
-            |(key, target): &(TargetKey, &TargetState)| target.is_open() && !tried.contains(key);
-        let open = || self.targets.iter().filter(untried);
-        let available = || open().filter(|(_, target)| target.is_available());
-        let sound = available().filter(|(_, target)| !target.is_ejected(now));
-        let chosen = self.least_loaded(&demand, sound, now, rng).or_else(|| {
-            let mut any = available().filter(|(_, target)| target.is_ejected(now));
-            let soonest = any.by_ref().min_by_key(|(_, target)| target.ejected_until);
+        let untried = |(key, target): &(TargetKey, &TargetState)| {
+            target.is_accepting() && !tried.contains(key)
+        };
+        let accepting = || self.targets.iter().filter(untried);
+        let available = || accepting().filter(|(_, target)| target.is_available());
+        let healthy = available().filter(|(_, target)| !target.is_ejected(now));
+        let chosen = self.least_loaded(&timing, healthy, now, rng).or_else(|| {
+            let mut ejected = available().filter(|(_, target)| target.is_ejected(now));
+            let soonest = ejected
+                .by_ref()
+                .min_by_key(|(_, target)| target.ejected_until);
             soonest
-                .filter(|(_, target)| target.has_room(&demand, &self.tuning, now))
+                .filter(|(_, target)| target.has_room(&timing, &self.settings, now))
                 .map(|(key, _)| key)
         });
-        if chosen.is_some() || self.trial.is_some() {
+        if chosen.is_some() || self.probe.is_some() {
             return chosen;
         }
-        let due = open().filter(|(_, target)| target.unable_until.is_some_and(|at| now >= at));
-        let chosen = self.least_loaded(&demand, due, now, rng)?;
-        self.trial = Some((chosen, now));
+        let due =
+            accepting().filter(|(_, target)| target.declining_until.is_some_and(|at| now >= at));
+        let chosen = self.least_loaded(&timing, due, now, rng)?;
+        self.probe = Some((chosen, now));
         Some(chosen)
     }
 
-    /// A target that hasn't declined by the end of its trial runs the request,
-    /// and then its group is there again.
-    fn end_trial(&mut self, now: Instant) {
-        if self.trial.is_some_and(|(_, since)| now >= since + TRIAL) {
-            self.trial = None;
+    /// Ends the probe when its time is over. The target has not declined by then,
+    /// so it runs the request and its whole group is back.
+    fn end_probe(&mut self, now: Instant) {
+        if self
+            .probe
+            .is_some_and(|(_, since)| now >= since + PROBE_DURATION)
+        {
+            self.probe = None;
             for target in self.targets.values_mut() {
-                target.unable_until = None;
+                target.declining_until = None;
             }
         }
     }
 
-    /// When a target that declined may be tried again.
+    /// When a target that declined may be probed next.
     #[must_use]
     pub fn next_probe(&self) -> Option<Instant> {
-        if let Some((_, since)) = self.trial {
-            return Some(since + TRIAL);
+        if let Some((_, since)) = self.probe {
+            return Some(since + PROBE_DURATION);
         }
-        let open = self.targets.values().filter(|target| target.is_open());
-        open.filter_map(|target| target.unable_until).min()
+        let accepting = self.targets.values().filter(|target| target.is_accepting());
+        accepting.filter_map(|target| target.declining_until).min()
     }
 
     fn least_loaded<'a>(
         &self,
-        demand: &PlacementDemand,
+        timing: &RequestTiming,
         targets: impl Iterator<Item = (TargetKey, &'a TargetState)>,
         now: Instant,
         rng: &mut impl Rng,
     ) -> Option<TargetKey> {
-        let fit = targets.filter(|(_, target)| target.has_room(demand, &self.tuning, now));
-        self.cheapest(fit, rng)
+        let eligible = targets.filter(|(_, target)| target.has_room(timing, &self.settings, now));
+        self.lowest_cost(eligible, rng)
     }
 
-    fn cheapest<'a>(
+    fn lowest_cost<'a>(
         &self,
         targets: impl Iterator<Item = (TargetKey, &'a TargetState)>,
         rng: &mut impl Rng,
     ) -> Option<TargetKey> {
         let mut best: Option<(f64, TargetKey)> = None;
         for (key, target) in targets {
-            // Entries that know the same would all choose the same one.
-            let jitter = rng.random_range(0.0..TIE);
-            let cost = target.cost(&self.tuning) + jitter;
-            if best.is_none_or(|(least, _)| cost < least) {
+            // Without jitter, entries with the same view would all choose the
+            // same target.
+            let jitter = rng.random_range(0.0..COST_JITTER);
+            let cost = target.cost(&self.settings) + jitter;
+            if best.is_none_or(|(lowest, _)| cost < lowest) {
                 best = Some((cost, key));
             }
         }
         best.map(|(_, key)| key)
     }
 
-    /// Whether any target takes new work when it has room.
+    /// Whether any target accepts new requests when it has room.
     #[must_use]
     pub fn has_available(&self) -> bool {
         self.targets.values().any(TargetState::is_available)
     }
 
-    /// Targets that take new work when they have room.
+    /// Number of targets that accept new requests when they have room.
     #[must_use]
     pub fn available_count(&self) -> usize {
         let available = |target: &&TargetState| target.is_available();
         self.targets.values().filter(available).count()
     }
 
-    /// A request is sent to a target.
+    /// Records that a request was sent to a target.
     pub fn start(&mut self, key: TargetKey) {
         if let Some(target) = self.targets.get_mut(key) {
             target.own += 1;
         }
     }
 
-    /// A target tells its load, which counts requests of all entries.
+    /// Records the load reported by a target, which includes requests of all entries.
     pub fn report_load(&mut self, key: TargetKey, load: ReportedLoad, now: Instant) {
         if let Some(target) = self.targets.get_mut(key) {
-            target.take(load, now);
+            target.report_load(load, now);
         }
     }
 
-    /// What is known of a target's load, if it is in the set.
+    /// Returns the estimated load of a target, if it is in the set.
     #[must_use]
     pub fn load_estimate(&self, key: TargetKey, now: Instant) -> Option<LoadEstimate> {
-        self.targets.get(key).map(|target| target.seen(now))
+        self.targets
+            .get(key)
+            .map(|target| target.load_estimate(now))
     }
 
-    /// A stream of a target paused for so long between two events, and is late
-    /// if it pauses for longer than `most`.
-    pub fn record_pause(&mut self, key: TargetKey, pause: Duration, most: Duration, now: Instant) {
+    /// Records a pause between two events of a target's stream. The stream is late
+    /// if a pause is longer than `max_pause`.
+    pub fn record_pause(
+        &mut self,
+        key: TargetKey,
+        pause: Duration,
+        max_pause: Duration,
+        now: Instant,
+    ) {
         if let Some(target) = self.targets.get_mut(key) {
-            target.paused(pause, most, now);
+            target.record_pause(pause, max_pause, now);
         }
     }
 
-    /// A request is over.
+    /// Records the end of a request.
     pub fn end(&mut self, key: TargetKey, outcome: DispatchOutcome, now: Instant) {
-        self.trial = self.trial.filter(|(tried, _)| *tried != key);
+        self.probe = self.probe.filter(|(probed, _)| *probed != key);
         if let Some(target) = self.targets.get_mut(key) {
             target.own = target.own.saturating_sub(1);
-            target.learn(outcome, now, &self.tuning);
+            target.record_outcome(outcome, now, &self.settings);
         }
     }
 
-    /// A request was answered in full, for which it took so long.
-    pub fn record_duration(&mut self, time: Duration) {
-        self.runs = Some(match self.runs {
-            Some(usual) => usual.mul_f64(1.0 - RUNS_WEIGHT) + time.mul_f64(RUNS_WEIGHT),
-            None => time,
+    /// Records the duration of a request that was answered in full.
+    pub fn record_duration(&mut self, duration: Duration) {
+        self.mean_duration = Some(match self.mean_duration {
+            Some(mean) => mean.mul_f64(1.0 - DURATION_WEIGHT) + duration.mul_f64(DURATION_WEIGHT),
+            None => duration,
         });
     }
 
-    /// Requests of this entry at a target.
+    /// Number of requests of this entry at a target.
     #[must_use]
     pub fn running(&self, key: TargetKey) -> u32 {
         self.targets.get(key).map_or(0, |target| target.own)
     }
 }
 
-/// Costs that differ by less than this are taken for equal: a tenth of what
-/// one request more makes at a target of ten slots.
-const TIE: f64 = 0.01;
+/// Costs that differ by less than this count as equal: a tenth of the cost of one
+/// request at a target with ten slots.
+const COST_JITTER: f64 = 0.01;
