--- a/crates/route/tests/absence.rs
+++ b/crates/route/tests/absence.rs
@@ -1,44 +1,45 @@
-//! How long requests wait while nothing takes them.
+//! Waiting while no target is available.
 
 use route::StartupGrace;
 use std::time::{Duration, Instant};
 
-const STREAM: Duration = Duration::from_secs(8);
+const TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Power was lost everywhere and a thousand requests come back while the entries
-/// start. A target is there after a second: all that wait as long are answered,
-/// and were they refused instead, those who have come back once would be lost.
+/// Guards against refusing requests during a restart of the whole system. A thousand
+/// requests are retried while the entries start, and a target is available after 1 s.
+/// Callers that were refused would not retry again.
 #[test]
-fn waits_until_targets_are_back() {
-    let absence = StartupGrace::default();
-    let began = Instant::now();
-    let back = began + Duration::from_secs(1);
-    let waiting = (0..1_000).filter(|n| {
-        let came = began + Duration::from_millis(*n);
-        let until = absence.wait_until(began, came + STREAM, came);
-        until.is_some_and(|until| until >= back)
+fn wait_until_covers_restart() {
+    let grace = StartupGrace::default();
+    let outage_start = Instant::now();
+    let target_back = outage_start + Duration::from_secs(1);
+    let answered = (0..1_000).filter(|millis| {
+        let arrival = outage_start + Duration::from_millis(*millis);
+        let until = grace.wait_until(outage_start, arrival + TIMEOUT, arrival);
+        until.is_some_and(|until| until >= target_back)
     });
-    assert_eq!(waiting.count(), 1_000);
+    assert_eq!(answered.count(), 1_000);
 }
 
-/// A service has no target for good. Each request is told so at once, and none is
-/// held until its time is nearly over.
+/// Guards against holding requests while a service has no targets for a long time. They
+/// must be refused immediately.
 #[test]
-fn waits_until_absent_for_long() {
-    let absence = StartupGrace::default();
-    let began = Instant::now();
-    for later in 2..60 {
-        let now = began + Duration::from_secs(later);
-        assert_eq!(absence.wait_until(began, now + STREAM, now), None);
+fn wait_until_in_long_outage() {
+    let grace = StartupGrace::default();
+    let outage_start = Instant::now();
+    for seconds in 2..60 {
+        let now = outage_start + Duration::from_secs(seconds);
+        assert_eq!(grace.wait_until(outage_start, now + TIMEOUT, now), None);
     }
 }
 
-/// A caller with little time left keeps most of it for the answer.
+/// Guards against using up the time of a request with a near deadline: most of it must be
+/// left for the answer.
 #[test]
-fn waits_until_little_time_left() {
-    let absence = StartupGrace::default();
+fn wait_until_near_deadline() {
+    let grace = StartupGrace::default();
     let now = Instant::now();
-    let until = absence.wait_until(now, now + Duration::from_millis(300), now);
+    let until = grace.wait_until(now, now + Duration::from_millis(300), now);
     assert_eq!(until, Some(now + Duration::from_millis(100)));
-    assert_eq!(absence.wait_until(now, now, now), None);
+    assert_eq!(grace.wait_until(now, now, now), None);
 }
--- a/crates/route/tests/admission.rs
+++ b/crates/route/tests/admission.rs
@@ -11,16 +11,17 @@
 
 const LONG: Duration = Duration::from_hours(1);
 
-fn admission(places: f64) -> Admission {
+fn admission(slots: f64) -> Admission {
     let mut admission = Admission::new(AdmissionSettings::default());
-    admission.set_capacity(Capacity::fixed(places));
+    admission.set_capacity(Capacity::fixed(slots));
     admission
 }
 
-/// One large account floods the pool while nine small ones send now and then.
-/// In order of arrival, the small ones would wait behind the flood.
+/// Guards against one large account delaying small ones. It floods the pool while
+/// nine small accounts send few requests, which in order of arrival would wait
+/// behind the flood.
 #[test]
-fn advance_fair_share() {
+fn advance_admits_small_account_before_flood() {
     let now = Instant::now();
     let mut admission = admission(10.0);
     let large = admission.insert(AccountLimits::default(), now);
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn enter_account_limits() {
+fn submit_enforces_account_limits() {
     let now = Instant::now();
     let mut admission = admission(100.0);
     let limits = AccountLimits {
@@ -75,10 +76,10 @@
     assert_eq!(admission.running_for(account), 2);
 }
 
-/// More requests come than can ever be run. Whoever is refused should be the
-/// least urgent, and hear of it at once rather than after the deadline.
+/// Guards against shedding urgent requests, or only after their deadline. When more
+/// requests arrive than can run, those of the lowest priority are refused at once.
 #[test]
-fn enter_queue_full_sheds_lowest() {
+fn submit_to_full_queue_sheds_lowest_priority() {
     let now = Instant::now();
     let settings = AdmissionSettings {
         queue: 2,
@@ -86,22 +87,22 @@
     };
     let mut admission = Admission::new(settings);
     let account = admission.insert(AccountLimits::default(), now);
-    let mut enter = |priority| admission.submit(now, account, 1, priority, now + LONG);
-    let AdmissionDecision::Queued(low) = enter(1) else {
-        unreachable!("nothing has a place");
+    let mut submit = |priority| admission.submit(now, account, 1, priority, now + LONG);
+    let AdmissionDecision::Queued(low) = submit(1) else {
+        unreachable!("there is no slot");
     };
-    assert!(matches!(enter(2), AdmissionDecision::Queued(_)));
-    assert!(matches!(enter(3), AdmissionDecision::Queued(_)));
-    assert!(matches!(enter(1), AdmissionDecision::Refused(r) if r.reason == RefusalReason::Shed));
+    assert!(matches!(submit(2), AdmissionDecision::Queued(_)));
+    assert!(matches!(submit(3), AdmissionDecision::Queued(_)));
+    assert!(matches!(submit(1), AdmissionDecision::Refused(r) if r.reason == RefusalReason::Shed));
     let advance = admission.advance(now);
     assert_eq!(advance.refused.len(), 1);
     assert_eq!(advance.refused[0].0, low);
 }
 
-/// No target has room until the deadline has passed. A caller that is left to
-/// wait longer has given up already.
+/// Guards against keeping requests in the queue past their deadline, when their
+/// callers have given up.
 #[test]
-fn advance_past_deadline() {
+fn advance_refuses_past_deadline() {
     let now = Instant::now();
     let mut admission = admission(0.0);
     let account = admission.insert(AccountLimits::default(), now);
@@ -115,17 +116,17 @@
     assert_eq!(admission.waiting(), 0);
 }
 
-/// More work comes than the targets can do, for minutes. If everyone may wait
-/// for long, everyone does: all callers see their first token seconds late.
+/// Guards against a standing queue under an overload of minutes, in which all
+/// callers would get their first token seconds late.
 #[test]
-fn advance_standing_queue() {
-    let began = Instant::now();
+fn advance_cuts_waits_in_standing_queue() {
+    let start = Instant::now();
     let settings = AdmissionSettings::default();
     let mut admission = Admission::new(settings);
-    let account = admission.insert(AccountLimits::default(), began);
+    let account = admission.insert(AccountLimits::default(), start);
     let second = Duration::from_secs(1);
-    let mut now = began;
-    while now < began + settings.standing_after {
+    let mut now = start;
+    while now < start + settings.standing_after {
         admission.submit(now, account, 1, 1, now + LONG);
         assert!(admission.advance(now).refused.is_empty());
         now += second;
@@ -139,35 +140,35 @@
             .all(|(_, r)| r.reason == RefusalReason::Expired)
     );
     let AdmissionDecision::Queued(newest) = newest else {
-        unreachable!("there is no place");
+        unreachable!("there is no slot");
     };
     now += settings.standing_wait;
     assert_eq!(admission.advance(now).refused[0].0, newest);
 }
 
-/// A burst fills the queue, then it empties, then another burst comes. The
-/// queue smooths both: nobody may be refused as in a lasting overload.
+/// Guards against treating two bursts as a lasting overload. The queue is empty
+/// between them, so it smooths both and no request may be refused.
 #[test]
-fn advance_queue_empty_between() {
-    let began = Instant::now();
+fn advance_keeps_queue_that_was_empty_between_bursts() {
+    let start = Instant::now();
     let settings = AdmissionSettings::default();
     let mut admission = Admission::new(settings);
-    let account = admission.insert(AccountLimits::default(), began);
-    let AdmissionDecision::Queued(first) = admission.submit(began, account, 1, 1, began + LONG)
+    let account = admission.insert(AccountLimits::default(), start);
+    let AdmissionDecision::Queued(first) = admission.submit(start, account, 1, 1, start + LONG)
     else {
-        unreachable!("there is no place");
+        unreachable!("there is no slot");
     };
-    let later = began + settings.standing_after / 2;
+    let later = start + settings.standing_after / 2;
     admission.release(first, 0);
     admission.submit(later, account, 1, 1, later + LONG);
-    let end = began + settings.standing_after + settings.standing_wait;
+    let end = start + settings.standing_after + settings.standing_wait;
     assert!(admission.advance(end).refused.is_empty());
     let standing = later + settings.standing_after;
     assert_eq!(admission.advance(standing).refused.len(), 1);
 }
 
 #[test]
-fn admission_random_operations() {
+fn admission_invariants_under_random_operations() {
     fn property(steps: Vec<(u8, u8, u8)>) -> bool {
         let mut now = Instant::now();
         let mut admission = admission(7.0);
@@ -179,18 +180,18 @@
         };
         let keys: Vec<_> = (0..4).map(|i| admission.insert(limits(i), now)).collect();
         let mut known: BTreeMap<TicketKey, usize> = BTreeMap::new();
-        for (what, which, amount) in steps {
+        for (operation, index, amount) in steps {
             now += Duration::from_millis(u64::from(amount));
-            let i = usize::from(which) % keys.len();
-            if what % 3 == 0 && !known.is_empty() {
-                let at = usize::from(which) % known.len();
+            let i = usize::from(index) % keys.len();
+            if operation % 3 == 0 && !known.is_empty() {
+                let at = usize::from(index) % known.len();
                 let ticket = *known.keys().nth(at).unwrap();
                 known.remove(&ticket);
                 admission.release(ticket, u32::from(amount));
             } else {
                 let deadline = now + Duration::from_millis(300);
                 let tokens = u32::from(amount);
-                let priority = u32::from(what % 4);
+                let priority = u32::from(operation % 4);
                 match admission.submit(now, keys[i], tokens, priority, deadline) {
                     AdmissionDecision::Admitted(ticket) | AdmissionDecision::Queued(ticket) => {
                         known.insert(ticket, i);
@@ -202,13 +203,13 @@
             for (ticket, _) in advance.refused {
                 known.remove(&ticket);
             }
-            let over = (1..4_u32).any(|i| admission.running_for(keys[i as usize]) > i);
+            let exceeds_limit = (1..4_u32).any(|i| admission.running_for(keys[i as usize]) > i);
             let total: u32 = keys.iter().map(|key| admission.running_for(*key)).sum();
-            let present = admission.running() as usize + admission.waiting();
-            if over || admission.running() > 7 || total != admission.running() {
+            let active = admission.running() as usize + admission.waiting();
+            if exceeds_limit || admission.running() > 7 || total != admission.running() {
                 return false;
             }
-            if present != known.len() {
+            if active != known.len() {
                 return false;
             }
         }
@@ -220,10 +221,10 @@
         .quickcheck(property as fn(Vec<(u8, u8, u8)>) -> bool);
 }
 
-/// Accounts with the same weight that always have requests waiting get the
-/// same tokens, however large each one's requests are.
+/// Guards against unfair shares between accounts with requests of different sizes.
+/// Backlogged accounts with the same weight get the same number of tokens.
 #[test]
-fn advance_shares_in_tokens() {
+fn advance_shares_tokens_equally() {
     fn property(sizes: (u8, u8)) -> bool {
         let now = Instant::now();
         let settings = AdmissionSettings {
@@ -234,16 +235,17 @@
         let sizes = [u32::from(sizes.0) + 1, u32::from(sizes.1) + 1];
         let keys = sizes.map(|_| admission.insert(AccountLimits::default(), now));
         let mut tokens = [0_u64; 2];
-        let mut of = BTreeMap::new();
-        let fill = |admission: &mut Admission, of: &mut BTreeMap<TicketKey, usize>, i: usize| {
-            if let AdmissionDecision::Queued(ticket) =
-                admission.submit(now, keys[i], sizes[i], 1, now + LONG)
-            {
-                of.insert(ticket, i);
-            }
-        };
+        let mut owners = BTreeMap::new();
+        let fill =
+            |admission: &mut Admission, owners: &mut BTreeMap<TicketKey, usize>, i: usize| {
+                if let AdmissionDecision::Queued(ticket) =
+                    admission.submit(now, keys[i], sizes[i], 1, now + LONG)
+                {
+                    owners.insert(ticket, i);
+                }
+            };
         for i in [0, 1, 0, 1] {
-            fill(&mut admission, &mut of, i);
+            fill(&mut admission, &mut owners, i);
         }
         admission.set_capacity(Capacity::fixed(1.0));
         let mut current = admission.advance(now).admitted;
@@ -251,13 +253,13 @@
             let Some(ticket) = current.pop() else {
                 return false;
             };
-            let i = of[&ticket];
+            let i = owners[&ticket];
             tokens[i] += u64::from(sizes[i]);
-            fill(&mut admission, &mut of, i);
+            fill(&mut admission, &mut owners, i);
             admission.release(ticket, sizes[i]);
             current = admission.advance(now).admitted;
         }
-        // They differ by no more than one request of each.
+        // The totals differ by at most one request of each account.
         tokens[0].abs_diff(tokens[1]) <= u64::from(sizes[0] + sizes[1])
     }
     QuickCheck::new()
@@ -266,10 +268,10 @@
         .quickcheck(property as fn((u8, u8)) -> bool);
 }
 
-/// Everything fails and every request is retried. The retries would double
-/// the load on what is left.
+/// Guards against retries doubling the load on the remaining targets while all
+/// requests fail and are retried.
 #[test]
-fn withdraw_never_above_budget() {
+fn withdraw_never_exceeds_budget() {
     fn property(steps: Vec<bool>) -> bool {
         let now = Instant::now();
         let mut budget = RetryBudget::new(0.1, 3, now);
@@ -293,10 +295,11 @@
         .quickcheck(property as fn(Vec<bool>) -> bool);
 }
 
-/// The account with the most waiting is also the more urgent one. Shedding by
-/// length alone would refuse a dispatch so that a catalogue listing may wait.
+/// Guards against shedding by queue length alone. The account with the most queued
+/// requests also has the higher priority, so urgent requests would be refused while
+/// less urgent ones wait.
 #[test]
-fn enter_queue_full_two_accounts() {
+fn submit_to_full_queue_sheds_by_priority_before_length() {
     let now = Instant::now();
     let settings = AdmissionSettings {
         queue: 2,
@@ -304,11 +307,11 @@
     };
     let mut admission = Admission::new(settings);
     let urgent = admission.insert(AccountLimits::default(), now);
-    let idle = admission.insert(AccountLimits::default(), now);
+    let less_urgent = admission.insert(AccountLimits::default(), now);
     for _ in 0..2 {
         let admitted = admission.submit(now, urgent, 1, 2, now + LONG);
         assert!(matches!(admitted, AdmissionDecision::Queued(_)));
     }
-    let admitted = admission.submit(now, idle, 1, 1, now + LONG);
+    let admitted = admission.submit(now, less_urgent, 1, 1, now + LONG);
     assert!(matches!(admitted, AdmissionDecision::Refused(r) if r.reason == RefusalReason::Shed));
 }
--- a/crates/route/tests/budget.rs
+++ b/crates/route/tests/budget.rs
@@ -1,19 +1,20 @@
-//! Retries of several entries against what one service bears.
+//! Retries of several entries against the tolerance of one service.
 
 use route::RetryBudget;
 use std::time::{Duration, Instant};
 
-/// Requests of a service in ten seconds, at all entries.
+/// Requests to the service in ten seconds, over all entries.
 const REQUESTS: u32 = 949;
 const ENTRIES: u32 = 4;
-/// A fifth of the requests, and as many more as targets bear in any case.
-const BORNE: u32 = REQUESTS / 5 + 88;
+/// Retries that the service tolerates in ten seconds: a fifth of the requests, and 88 in
+/// addition.
+const MAX_RETRIES: u32 = REQUESTS / 5 + 88;
 
-/// After a quiet time a group is lost, and for ten seconds each request fails
-/// at once and would be retried. What the quiet time has earned at all entries
-/// must not come on top: targets that still work would be overloaded.
+/// Guards against overloading the remaining targets when a group is lost after a quiet
+/// time. For ten seconds each request fails immediately and would be retried, and the
+/// retries earned before at all entries must not be added.
 #[test]
-fn withdraw_storm_after_quiet_time() {
+fn withdraw_is_bounded_after_quiet_time() {
     let start = Instant::now();
     let budget = || RetryBudget::new(0.15, 3, start).bounded(5.0, Duration::from_secs(2));
     let mut budgets: Vec<RetryBudget> = (0..ENTRIES).map(|_| budget()).collect();
@@ -32,5 +33,5 @@
             retries += u32::from(budget.withdraw(now));
         }
     }
-    assert!(retries <= BORNE, "{retries} of {BORNE}");
+    assert!(retries <= MAX_RETRIES, "{retries} of {MAX_RETRIES}");
 }
--- a/crates/route/tests/exchange.rs
+++ b/crates/route/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Parts of accounts' limits, given out by a leader.
+//! Allocation of account quotas by a leader.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use route::{FULL_QUOTA, QuotaAllocator, QuotaGrant, QuotaUsage};
@@ -8,7 +8,7 @@
 const ENTRIES: usize = 5;
 const LEASE: Duration = Duration::from_secs(3);
 
-fn used(demand: u32, held: u32) -> QuotaUsage {
+fn usage(demand: u32, held: u32) -> QuotaUsage {
     QuotaUsage {
         account: ACCOUNT,
         demand,
@@ -16,145 +16,154 @@
     }
 }
 
-/// An exchange whose first lease is over, and that moment.
-fn settled() -> (QuotaAllocator, Instant) {
-    let began = Instant::now();
-    (QuotaAllocator::new(began, LEASE), began + LEASE)
+/// Creates an allocator after its first lease, and returns the time.
+fn settled_allocator() -> (QuotaAllocator, Instant) {
+    let elected_at = Instant::now();
+    (QuotaAllocator::new(elected_at, LEASE), elected_at + LEASE)
 }
 
-fn part(parts: &[QuotaGrant]) -> u32 {
-    parts[0].share
+fn share(grants: &[QuotaGrant]) -> u32 {
+    grants[0].share
 }
 
-/// A small account whose callers use one entry alone has its whole limit there.
+/// Guards against cutting the limit of a small account whose callers use only one entry.
 #[test]
-fn report_alone_whole() {
-    let (mut exchange, now) = settled();
-    assert_eq!(part(&exchange.report(1, 1, &[used(1, 0)], now)), FULL_QUOTA);
+fn report_from_single_entry_gets_full_quota() {
+    let (mut allocator, now) = settled_allocator();
     assert_eq!(
-        part(&exchange.report(1, 2, &[used(9000, FULL_QUOTA)], now)),
+        share(&allocator.report(1, 1, &[usage(1, 0)], now)),
+        FULL_QUOTA
+    );
+    assert_eq!(
+        share(&allocator.report(1, 2, &[usage(9000, FULL_QUOTA)], now)),
         FULL_QUOTA
     );
 }
 
-/// Callers of an account come to a second entry. It must not be granted what the first
-/// one still acts on, and soon has as much as the first.
+/// Guards against granting a second entry the share that the first still uses. After the
+/// first has applied a smaller share, both get the same.
 #[test]
-fn report_second_entry() {
-    let (mut exchange, mut now) = settled();
-    exchange.report(1, 1, &[used(FULL_QUOTA, 0)], now);
-    assert_eq!(part(&exchange.report(2, 1, &[used(FULL_QUOTA, 0)], now)), 0);
+fn report_from_second_entry() {
+    let (mut allocator, mut now) = settled_allocator();
+    allocator.report(1, 1, &[usage(FULL_QUOTA, 0)], now);
+    assert_eq!(
+        share(&allocator.report(2, 1, &[usage(FULL_QUOTA, 0)], now)),
+        0
+    );
     now += LEASE / 6;
     assert_eq!(
-        part(&exchange.report(1, 2, &[used(FULL_QUOTA, FULL_QUOTA)], now)),
+        share(&allocator.report(1, 2, &[usage(FULL_QUOTA, FULL_QUOTA)], now)),
         FULL_QUOTA / 2
     );
-    // The first one may not have heard of that.
-    assert_eq!(part(&exchange.report(2, 2, &[used(FULL_QUOTA, 0)], now)), 0);
-    exchange.report(1, 3, &[used(FULL_QUOTA, FULL_QUOTA / 2)], now);
+    // The first entry may not have received that grant yet.
+    assert_eq!(
+        share(&allocator.report(2, 2, &[usage(FULL_QUOTA, 0)], now)),
+        0
+    );
+    allocator.report(1, 3, &[usage(FULL_QUOTA, FULL_QUOTA / 2)], now);
     assert_eq!(
-        part(&exchange.report(2, 3, &[used(FULL_QUOTA, 0)], now)),
+        share(&allocator.report(2, 3, &[usage(FULL_QUOTA, 0)], now)),
         FULL_QUOTA / 2
     );
 }
 
-/// An entry that held the whole dies. Another one must not wait for it for longer than a
+/// Guards against waiting for a failed entry that held the full quota for longer than a
 /// lease.
 #[test]
-fn report_holder_dead() {
-    let (mut exchange, now) = settled();
-    exchange.report(1, 1, &[used(FULL_QUOTA, 0)], now);
-    assert_eq!(part(&exchange.report(2, 1, &[used(10, 0)], now)), 0);
+fn report_after_holder_failed() {
+    let (mut allocator, now) = settled_allocator();
+    allocator.report(1, 1, &[usage(FULL_QUOTA, 0)], now);
+    assert_eq!(share(&allocator.report(2, 1, &[usage(10, 0)], now)), 0);
     let later = now + LEASE;
     assert_eq!(
-        part(&exchange.report(2, 2, &[used(10, 0)], later)),
+        share(&allocator.report(2, 2, &[usage(10, 0)], later)),
         FULL_QUOTA
     );
 }
 
-/// One step of a schedule.
+/// One step of a random schedule.
 #[derive(Clone, Copy, Debug)]
 struct Step {
     entry: usize,
     demand: u32,
-    what: What,
+    event: StepEvent,
     millis: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum What {
-    /// Its report gets there and so does the answer.
+enum StepEvent {
+    /// The report and its answer are delivered.
     Answered,
-    /// Its report gets there, the answer doesn't.
-    Unanswered,
-    /// A report of its that lay somewhere gets there after later ones.
-    Overtaken,
-    /// Another leader takes over.
+    /// The report is delivered, but its answer is lost.
+    AnswerLost,
+    /// An older report is delivered after later ones.
+    Reordered,
+    /// A new leader is elected.
     NewLeader,
 }
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
-        let what = match u8::arbitrary(g) % 20 {
-            0 => What::NewLeader,
-            1..=3 => What::Overtaken,
-            4..=7 => What::Unanswered,
-            _ => What::Answered,
+        let event = match u8::arbitrary(g) % 20 {
+            0 => StepEvent::NewLeader,
+            1..=3 => StepEvent::Reordered,
+            4..=7 => StepEvent::AnswerLost,
+            _ => StepEvent::Answered,
         };
         Step {
             entry: usize::arbitrary(g) % ENTRIES,
             demand: u32::arbitrary(g) % (FULL_QUOTA + 1),
-            what,
+            event,
             millis: u64::arbitrary(g) % 900,
         }
     }
 }
 
-/// What an entry acts on, and the reports that it has sent.
+/// The grant that an entry applies, and its last report.
 #[derive(Clone, Debug, Default)]
 struct Entry {
     granted: Option<(u32, Instant)>,
     sequence: u64,
-    old: Option<(u64, QuotaUsage)>,
+    last_report: Option<(u64, QuotaUsage)>,
 }
 
 impl Entry {
-    fn acts_on(&self, now: Instant) -> u32 {
+    fn applied_share(&self, now: Instant) -> u32 {
         let valid = self.granted.filter(|(_, until)| now < *until);
-        valid.map_or(0, |(part, _)| part)
+        valid.map_or(0, |(share, _)| share)
     }
 }
 
-/// Answers are lost, reports come late, leaders change. If the entries together ever acted
-/// on more than the whole, the account would exceed its limits for as long.
+/// Guards against entries together applying more than the full quota while answers are
+/// lost, reports are reordered and leaders change. The account would exceed its limits.
 #[test]
-fn report_any_schedule_never_above_whole() {
+fn report_never_exceeds_full_quota() {
     fn property(steps: Vec<Step>) -> bool {
         let mut now = Instant::now();
-        let mut exchange = QuotaAllocator::new(now, LEASE);
+        let mut allocator = QuotaAllocator::new(now, LEASE);
         let mut entries = vec![Entry::default(); ENTRIES];
         for step in steps {
             now += Duration::from_millis(step.millis);
             let entry = &mut entries[step.entry];
             let key = step.entry as u64;
-            match step.what {
-                What::NewLeader => exchange = QuotaAllocator::new(now, LEASE),
-                What::Overtaken => {
-                    if let Some((sequence, used)) = entry.old {
-                        exchange.report(key, sequence, &[used], now);
+            match step.event {
+                StepEvent::NewLeader => allocator = QuotaAllocator::new(now, LEASE),
+                StepEvent::Reordered => {
+                    if let Some((sequence, usage)) = entry.last_report {
+                        allocator.report(key, sequence, &[usage], now);
                     }
                 }
-                What::Answered | What::Unanswered => {
+                StepEvent::Answered | StepEvent::AnswerLost => {
                     entry.sequence += 1;
-                    let used = used(step.demand, entry.acts_on(now));
-                    let parts = exchange.report(key, entry.sequence, &[used], now);
-                    entry.old = Some((entry.sequence, used));
-                    if step.what == What::Answered {
-                        entry.granted = Some((part(&parts), now + LEASE));
+                    let usage = usage(step.demand, entry.applied_share(now));
+                    let grants = allocator.report(key, entry.sequence, &[usage], now);
+                    entry.last_report = Some((entry.sequence, usage));
+                    if step.event == StepEvent::Answered {
+                        entry.granted = Some((share(&grants), now + LEASE));
                     }
                 }
             }
-            let sum: u32 = entries.iter().map(|entry| entry.acts_on(now)).sum();
+            let sum: u32 = entries.iter().map(|entry| entry.applied_share(now)).sum();
             if sum > FULL_QUOTA {
                 return false;
             }
--- a/crates/route/tests/overload.rs
+++ b/crates/route/tests/overload.rs
@@ -1,5 +1,4 @@
-//! More demand than a group of engines carries, replayed on the choice of
-//! targets with a model of the engines.
+//! Overload of a group of engines, simulated with the choice of targets.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -10,57 +9,59 @@
 const ENGINES: u32 = 12;
 const SLOTS: u32 = 12;
 const TICK: Duration = Duration::from_millis(10);
-/// Time that a stream has a slot.
-const RUNS: Duration = Duration::from_millis(2_300);
-/// Time from a slot to the first event.
+/// Time that a stream occupies a slot.
+const STREAM_DURATION: Duration = Duration::from_millis(2_300);
+/// Time from the start in a slot to the first event.
 const FIRST_EVENT: Duration = Duration::from_millis(150);
 const OBJECTIVE: Duration = Duration::from_millis(400);
-/// When a caller who was refused comes back, once.
-const COMES_BACK: Duration = Duration::from_millis(1_100);
-const LASTS: Duration = Duration::from_secs(30);
+/// Time after which a refused caller retries, once.
+const RETRY_AFTER: Duration = Duration::from_millis(1_100);
+const RUN_DURATION: Duration = Duration::from_secs(30);
 
-/// Requests a second that the slots carry.
-fn carried() -> f64 {
-    f64::from(ENGINES * SLOTS) / RUNS.as_secs_f64()
+/// Capacity of all slots in requests per second.
+fn capacity() -> f64 {
+    f64::from(ENGINES * SLOTS) / STREAM_DURATION.as_secs_f64()
 }
 
-/// A request, by when its caller came first, and whether it has come back.
+/// A request with the time of its first arrival, and whether it is a retry.
 #[derive(Clone, Copy)]
 struct Request {
-    came: Instant,
-    is_back: bool,
+    arrived: Instant,
+    is_retry: bool,
 }
 
-/// One engine: requests take slots in the order in which they came.
+/// One engine, which runs requests in order of arrival.
 #[derive(Default)]
 struct Engine {
-    runs: VecDeque<Instant>,
-    waits: VecDeque<Request>,
+    /// End times of running requests.
+    running: VecDeque<Instant>,
+    waiting: VecDeque<Request>,
 }
 
 impl Engine {
-    /// Ends what is over and begins what waits; the requests that were begun.
+    /// Ends and starts requests. Returns the number of those ended, and those started.
     fn step(&mut self, now: Instant) -> (usize, Vec<Request>) {
-        let before = self.runs.len();
-        self.runs.retain(|until| now < *until);
-        let ended = before - self.runs.len();
-        let mut begun = Vec::new();
-        while self.runs.len() < SLOTS as usize
-            && let Some(request) = self.waits.pop_front()
+        let before = self.running.len();
+        self.running.retain(|until| now < *until);
+        let ended = before - self.running.len();
+        let mut started = Vec::new();
+        while self.running.len() < SLOTS as usize
+            && let Some(request) = self.waiting.pop_front()
         {
-            self.runs.push_back(now + RUNS);
-            begun.push(request);
+            self.running.push_back(now + STREAM_DURATION);
+            started.push(request);
         }
-        (ended, begun)
+        (ended, started)
     }
 }
 
-/// Requests a second that are on time under `load` times what the slots carry.
-fn on_time(load: f64) -> f64 {
-    let pace = StepTimeModel::new(Duration::from_micros(5_850), Duration::from_micros(355));
+/// Simulates a load of `load` times the capacity and returns the number of requests on
+/// time per second.
+fn timely_requests(load: f64) -> f64 {
+    let step_time = StepTimeModel::new(Duration::from_micros(5_850), Duration::from_micros(355));
     let mut target_set = TargetSet::new(TargetSetSettings {
         queue_per_slot: 0.15,
-        step_time: Some(pace),
+        step_time: Some(step_time),
         ..TargetSetSettings::default()
     });
     let keys = (0..ENGINES).map(|_| target_set.insert(SLOTS, Locality::SameZone));
@@ -68,52 +69,61 @@
         keys.map(|key| (key, Engine::default())).collect();
     let mut rng = SmallRng::seed_from_u64(3);
     let start = Instant::now();
-    let (mut now, mut served, mut due) = (start, 0.0, 0.0);
-    let mut back: VecDeque<Request> = VecDeque::new();
-    while now < start + LASTS {
+    let (mut now, mut timely, mut due) = (start, 0.0, 0.0);
+    let mut retries: VecDeque<Request> = VecDeque::new();
+    while now < start + RUN_DURATION {
         for (key, engine) in &mut engines {
             let (ended, started) = engine.step(now);
             for _ in 0..ended {
                 target_set.end(*key, DispatchOutcome::Answered, now);
-                target_set.record_duration(RUNS);
+                target_set.record_duration(STREAM_DURATION);
             }
-            let early = |r: &&Request| now + FIRST_EVENT <= r.came + OBJECTIVE;
-            served += started.iter().filter(early).map(|_| 1.0).sum::<f64>();
+            let is_timely = |r: &&Request| now + FIRST_EVENT <= r.arrived + OBJECTIVE;
+            timely += started.iter().filter(is_timely).map(|_| 1.0).sum::<f64>();
         }
-        let mut comes = Vec::new();
-        while back.front().is_some_and(|r| r.came + COMES_BACK <= now) {
-            comes.extend(back.pop_front());
+        let mut arrivals = Vec::new();
+        while retries
+            .front()
+            .is_some_and(|r| r.arrived + RETRY_AFTER <= now)
+        {
+            arrivals.extend(retries.pop_front());
         }
-        due += load * carried() * TICK.as_secs_f64() * rng.random_range(0.0..2.0);
+        due += load * capacity() * TICK.as_secs_f64() * rng.random_range(0.0..2.0);
         while due >= 1.0 {
             due -= 1.0;
-            let is_back = false;
-            comes.push(Request { came: now, is_back });
+            let is_retry = false;
+            arrivals.push(Request {
+                arrived: now,
+                is_retry,
+            });
         }
-        for request in comes {
-            let left = (request.came + OBJECTIVE).saturating_duration_since(now);
-            if let Some(key) = target_set.choose_within(left, &[], now, &mut rng) {
+        for request in arrivals {
+            let time_left = (request.arrived + OBJECTIVE).saturating_duration_since(now);
+            if let Some(key) = target_set.choose_within(time_left, &[], now, &mut rng) {
                 target_set.start(key);
-                engines.entry(key).or_default().waits.push_back(request);
-            } else if !request.is_back {
-                let is_back = true;
-                back.push_back(Request { is_back, ..request });
+                engines.entry(key).or_default().waiting.push_back(request);
+            } else if !request.is_retry {
+                let is_retry = true;
+                retries.push_back(Request {
+                    is_retry,
+                    ..request
+                });
             }
         }
         now += TICK;
     }
-    served / LASTS.as_secs_f64()
+    timely / RUN_DURATION.as_secs_f64()
 }
 
-/// Guards against a collapse under overload: what is served would be late
-/// while those who could be on time are refused.
+/// Guards against a collapse under overload, in which the accepted requests are late while
+/// requests that could be on time are refused.
 #[test]
-fn on_time_never_collapses() {
+fn timely_requests_do_not_collapse_under_overload() {
     let loads = [0.5, 0.9, 1.1, 1.5, 2.0, 3.0, 4.0];
-    let served: Vec<f64> = loads.iter().map(|load| on_time(*load)).collect();
+    let timely: Vec<f64> = loads.iter().map(|load| timely_requests(*load)).collect();
     let mut best: f64 = 0.0;
-    for (load, served) in loads.iter().zip(&served) {
-        best = best.max(*served);
-        assert!(*served >= 0.9 * best, "at {load}: {served} of {best}");
+    for (load, timely) in loads.iter().zip(&timely) {
+        best = best.max(*timely);
+        assert!(*timely >= 0.9 * best, "at {load}: {timely} of {best}");
     }
 }
--- a/crates/route/tests/pool.rs
+++ b/crates/route/tests/pool.rs
@@ -1,4 +1,4 @@
-//! The choice of target.
+//! Choice of a target in a pool.
 
 use std::time::{Duration, Instant};
 
@@ -9,16 +9,16 @@
     Suspicion, TargetKey, TargetLoadReport, TargetStatus,
 };
 
-const NEAR: Duration = Duration::from_millis(1);
+const DISTANCE: Duration = Duration::from_millis(1);
 
 fn pool_of(count: usize, now: Instant) -> (Pool, Vec<TargetKey>) {
-    let tuning = PoolSettings {
+    let settings = PoolSettings {
         slow_start: Duration::ZERO,
         ..PoolSettings::default()
     };
-    let mut pool = Pool::new(tuning);
+    let mut pool = Pool::new(settings);
     let keys = (0..count).map(|i| {
-        let key = pool.insert(&format!("t{i}"), NEAR, StartState::Cold, now);
+        let key = pool.insert(&format!("t{i}"), DISTANCE, StartState::Cold, now);
         pool.set_status(key, TargetStatus::Ready);
         key
     });
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn choose_least_queued() {
+fn choose_prefers_least_queued_target() {
     let now = Instant::now();
     let (mut pool, keys) = pool_of(3, now);
     pool.report(keys[0], &report(now, 9000, 25));
@@ -55,30 +55,29 @@
     assert_eq!(choice.target, keys[1]);
 }
 
-/// A report arrives after many requests were sent on the strength of an older
-/// one. Were it taken at its word, the herd would run to one target and its
-/// callers would wait.
+/// Guards against herding: many requests are sent on the basis of one report, and
+/// without counting them all would go to the same target.
 #[test]
 fn choose_counts_own_starts_since_report() {
     let now = Instant::now();
     let (mut pool, keys) = pool_of(2, now);
     let mut rng = SmallRng::seed_from_u64(1);
-    let demand = PlacementRequest::of_tokens(1000);
+    let request = PlacementRequest::of_tokens(1000);
     pool.report(keys[1], &report(now, 3000, 25));
     let mut sent = [0, 0];
     for i in 0..20 {
         let at = now + Duration::from_millis(i);
-        let choice = pool.choose(at, &demand, &mut rng).unwrap();
-        pool.start(at, &choice, &demand);
+        let choice = pool.choose(at, &request, &mut rng).unwrap();
+        pool.start(at, &choice, &request);
         sent[usize::from(choice.target == keys[1])] += 1;
     }
     assert!(sent[0] > sent[1] && sent[1] >= 7, "{sent:?}");
 }
 
-/// One rank of a group is slow; as the slowest sets the step, sending it more
-/// holds back each request of the group.
+/// Guards against sending more requests to the most loaded rank. The slowest rank
+/// determines the step time of its whole group.
 #[test]
-fn choose_rank_least_loaded() {
+fn choose_prefers_least_loaded_rank() {
     let now = Instant::now();
     let (mut pool, keys) = pool_of(1, now);
     let mut load = report(now, 500, 25);
@@ -95,19 +94,19 @@
     assert_eq!(choice.rank, 1);
 }
 
-/// A target fails each request at once and so looks idle. Without ejection it
-/// would draw most of the traffic.
+/// Guards against a target that fails every request immediately. It looks idle, so
+/// without ejection it would attract most of the traffic.
 #[test]
-fn end_failures_eject() {
+fn end_ejects_failing_target() {
     let now = Instant::now();
     let (mut pool, keys) = pool_of(3, now);
     let mut rng = SmallRng::seed_from_u64(1);
-    let demand = PlacementRequest::of_tokens(10);
+    let request = PlacementRequest::of_tokens(10);
     for _ in 0..200 {
-        let Some(choice) = pool.choose(now, &demand, &mut rng) else {
+        let Some(choice) = pool.choose(now, &request, &mut rng) else {
             break;
         };
-        let attempt = pool.start(now, &choice, &demand);
+        let attempt = pool.start(now, &choice, &request);
         let ending = if choice.target == keys[0] {
             AttemptResult::Failed
         } else {
@@ -116,49 +115,49 @@
         pool.end(now, attempt, ending);
     }
     for _ in 0..50 {
-        let choice = pool.choose(now, &demand, &mut rng).unwrap();
+        let choice = pool.choose(now, &request, &mut rng).unwrap();
         assert_ne!(choice.target, keys[0]);
     }
 }
 
-/// A switch near the entry fails, and each target seems to. Ejecting all of
-/// them would turn a disturbance into an outage.
+/// Guards against ejecting all targets. A network fault near the entry looks like
+/// a failure of every target.
 #[test]
-fn end_failures_everywhere() {
+fn end_keeps_targets_when_all_fail() {
     let now = Instant::now();
     let (mut pool, _) = pool_of(3, now);
     let mut rng = SmallRng::seed_from_u64(1);
-    let demand = PlacementRequest::of_tokens(10);
+    let request = PlacementRequest::of_tokens(10);
     for _ in 0..100 {
-        let choice = pool.choose(now, &demand, &mut rng).unwrap();
-        let attempt = pool.start(now, &choice, &demand);
+        let choice = pool.choose(now, &request, &mut rng).unwrap();
+        let attempt = pool.start(now, &choice, &request);
         pool.end(now, attempt, AttemptResult::Failed);
     }
 }
 
-/// A target stalls and its last good report stays. Attempts that wait there
-/// tell sooner; without that, callers queue behind it.
+/// Guards against sending requests to a stalled target, whose last report still
+/// looks good. Attempts that wait there for their first token reveal the stall.
 #[test]
-fn choose_overdue_target() {
+fn choose_avoids_overdue_target() {
     let now = Instant::now();
     let (mut pool, keys) = pool_of(2, now);
     let mut rng = SmallRng::seed_from_u64(1);
-    let demand = PlacementRequest::of_tokens(10);
+    let request = PlacementRequest::of_tokens(10);
     pool.report(keys[1], &report(now, 2000, 25));
-    let stalled = pool.choose(now, &demand, &mut rng).unwrap();
+    let stalled = pool.choose(now, &request, &mut rng).unwrap();
     assert_eq!(stalled.target, keys[0]);
-    pool.start(now, &stalled, &demand);
+    pool.start(now, &stalled, &request);
     let later = now + Duration::from_secs(5);
     for _ in 0..20 {
-        let choice = pool.choose(later, &demand, &mut rng).unwrap();
+        let choice = pool.choose(later, &request, &mut rng).unwrap();
         assert_ne!(choice.target, stalled.target);
-        let attempt = pool.start(later, &choice, &demand);
+        let attempt = pool.start(later, &choice, &request);
         pool.answer_started(later, attempt);
     }
 }
 
 #[test]
-fn choose_prefix_affinity() {
+fn choose_keeps_prefix_affinity() {
     let now = Instant::now();
     let (mut pool, _) = pool_of(40, now);
     let mut rng = SmallRng::seed_from_u64(1);
@@ -166,16 +165,16 @@
         hash: 77,
         tokens: 4000,
     };
-    let demand = PlacementRequest {
+    let request = PlacementRequest {
         prefix: Some(prefix),
         ..PlacementRequest::of_tokens(4100)
     };
-    let first = pool.choose(now, &demand, &mut rng).unwrap();
+    let first = pool.choose(now, &request, &mut rng).unwrap();
     let mut same = 0;
     for _ in 0..20 {
-        let choice = pool.choose(now, &demand, &mut rng).unwrap();
+        let choice = pool.choose(now, &request, &mut rng).unwrap();
         same += u32::from(choice.target == first.target);
-        let attempt = pool.start(now, &choice, &demand);
+        let attempt = pool.start(now, &choice, &request);
         pool.answer_started(now + Duration::from_millis(60), attempt);
         pool.end(
             now + Duration::from_millis(60),
@@ -186,36 +185,36 @@
     assert!(same >= 18, "{same}");
 }
 
-/// Two requests that may each crash a target run on the same one; its crash
-/// could not tell which was at fault.
+/// Guards against running two suspects on the same target, whose crash would not
+/// show which of them was at fault.
 #[test]
-fn choose_suspect_alone() {
+fn choose_isolates_suspects() {
     let now = Instant::now();
     let (mut pool, _) = pool_of(2, now);
     let mut rng = SmallRng::seed_from_u64(1);
-    let demand = PlacementRequest {
+    let request = PlacementRequest {
         suspicion: Suspicion::Suspect,
         ..PlacementRequest::of_tokens(10)
     };
-    let first = pool.choose(now, &demand, &mut rng).unwrap();
-    pool.start(now, &first, &demand);
-    let second = pool.choose(now, &demand, &mut rng).unwrap();
+    let first = pool.choose(now, &request, &mut rng).unwrap();
+    pool.start(now, &first, &request);
+    let second = pool.choose(now, &request, &mut rng).unwrap();
     assert_ne!(first.target, second.target);
-    pool.start(now, &second, &demand);
-    assert!(pool.choose(now, &demand, &mut rng).is_none());
+    pool.start(now, &second, &request);
+    assert!(pool.choose(now, &request, &mut rng).is_none());
     assert!(
         pool.choose(now, &PlacementRequest::of_tokens(10), &mut rng)
             .is_some()
     );
 }
 
-/// A restarted target has cold caches; with its full part of the traffic at
-/// once, callers would wait behind one another's prefill.
+/// Guards against sending a restarted target its full share of the traffic. Its
+/// caches are cold, so requests would queue for prefill.
 #[test]
-fn restarted_slow_start() {
+fn restarted_ramps_up_slowly() {
     let now = Instant::now();
     let mut pool = Pool::new(PoolSettings::default());
-    let key = pool.insert("t", NEAR, StartState::Cold, now);
+    let key = pool.insert("t", DISTANCE, StartState::Cold, now);
     pool.set_status(key, TargetStatus::Ready);
     let later = now + Duration::from_mins(1);
     let full = pool.capacity(later).usable;
@@ -226,30 +225,30 @@
 }
 
 #[test]
-fn choose_random_operations() {
+fn choose_invariants_under_random_operations() {
     fn property(steps: Vec<(u8, u8, u8)>, seed: u64) -> bool {
         let mut now = Instant::now();
         let (mut pool, keys) = pool_of(6, now);
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut standing = vec![TargetStatus::Ready; keys.len()];
+        let mut status = vec![TargetStatus::Ready; keys.len()];
         let mut running = Vec::new();
-        for (what, which, amount) in steps {
+        for (operation, index, amount) in steps {
             now += Duration::from_millis(u64::from(amount));
-            let i = usize::from(which) % keys.len();
-            match what % 6 {
+            let i = usize::from(index) % keys.len();
+            match operation % 6 {
                 0 => {
                     let all = [
                         TargetStatus::Ready,
                         TargetStatus::Draining,
                         TargetStatus::Unavailable,
                     ];
-                    standing[i] = all[usize::from(amount) % 3];
-                    pool.set_status(keys[i], standing[i]);
+                    status[i] = all[usize::from(amount) % 3];
+                    pool.set_status(keys[i], status[i]);
                 }
                 1 => pool.report(keys[i], &report(now, u32::from(amount) * 50, 25)),
                 2 => pool.restarted(now, keys[i]),
                 3 if !running.is_empty() => {
-                    let attempt = running.remove(usize::from(which) % running.len());
+                    let attempt = running.remove(usize::from(index) % running.len());
                     let all = [
                         AttemptResult::Completed,
                         AttemptResult::Failed,
@@ -260,16 +259,16 @@
                 }
                 _ => {
                     let avoid = [keys[i]];
-                    let demand = PlacementRequest {
+                    let request = PlacementRequest {
                         avoid: &avoid,
                         ..PlacementRequest::of_tokens(u32::from(amount))
                     };
-                    if let Some(choice) = pool.choose(now, &demand, &mut rng) {
+                    if let Some(choice) = pool.choose(now, &request, &mut rng) {
                         let at = keys.iter().position(|k| *k == choice.target).unwrap();
-                        if at == i || standing[at] != TargetStatus::Ready {
+                        if at == i || status[at] != TargetStatus::Ready {
                             return false;
                         }
-                        running.push(pool.start(now, &choice, &demand));
+                        running.push(pool.start(now, &choice, &request));
                     }
                 }
             }
@@ -282,11 +281,11 @@
         .quickcheck(property as fn(Vec<(u8, u8, u8)>, u64) -> bool);
 }
 
-/// Other entries have filled a target, and requests wait there. An entry that
-/// counted only those that run would add its own to the queue, and its callers
-/// would wait though other targets have places.
+/// Guards against counting only the running requests of a target that other
+/// entries have filled. Requests would be queued there although other targets have
+/// free slots.
 #[test]
-fn places_with_requests_waiting() {
+fn capacity_counts_queued_requests() {
     let now = Instant::now();
     let (mut pool, keys) = pool_of(1, now);
     pool.set_share(keys[0], 0.25);
@@ -296,15 +295,15 @@
     assert!((pool.capacity(now).usable - 9.0).abs() < 1e-9);
     load.queued = 9;
     pool.report(keys[0], &load);
-    // Its own part is left.
+    // Only its own share is left.
     assert!((pool.capacity(now).usable - 2.0).abs() < 1e-9);
 }
 
-/// A target is served by two entries, another one by forty. An entry that took the same
-/// part of both would fill the second one far beyond its places, or leave most of the
-/// first one idle.
+/// Guards against using one share for all targets. If one target is used by two entries
+/// and another by forty, the same share would overload the second or leave most of the
+/// first idle.
 #[test]
-fn set_share_by_target() {
+fn set_share_is_per_target() {
     let now = Instant::now();
     let (mut pool, keys) = pool_of(2, now);
     let mut load = report(now, 0, 25);
@@ -315,34 +314,34 @@
     }
     pool.set_share(keys[0], 0.5);
     pool.set_share(keys[1], 0.025);
-    // The parts of 45 places: 22 and 1.
+    // The shares of 45 slots: 22 and 1.
     assert!((pool.capacity(now).usable - 23.0).abs() < 1e-9);
     assert!((pool.capacity(now).own_share - 21.0).abs() < 1e-9);
 }
 
-/// A target's only rank is number 2. One that it doesn't have looks idle; a
-/// request sent there would be refused or run on the wrong rank.
+/// Guards against choosing a rank that the target does not have. Such a rank looks
+/// idle, and a request sent there would be refused or run on the wrong rank.
 #[test]
-fn choose_rank_that_exists() {
+fn choose_only_existing_ranks() {
     let now = Instant::now();
     let (mut pool, keys) = pool_of(1, now);
     let mut rng = SmallRng::seed_from_u64(1);
-    let demand = PlacementRequest::of_tokens(10);
+    let request = PlacementRequest::of_tokens(10);
     pool.set_ranks(keys[0], &[2]);
-    assert_eq!(pool.choose(now, &demand, &mut rng).unwrap().rank, 2);
+    assert_eq!(pool.choose(now, &request, &mut rng).unwrap().rank, 2);
     let mut load = report(now, 5000, 25);
     load.ranks[0].rank = 3;
     pool.report(keys[0], &load);
-    assert_eq!(pool.choose(now, &demand, &mut rng).unwrap().rank, 3);
+    assert_eq!(pool.choose(now, &request, &mut rng).unwrap().rank, 3);
 }
 
-/// An entry is restarted. The targets were busy all along, and leaving their
-/// places idle would refuse callers for nothing.
+/// Guards against a slow start of warm targets after a restart of the entry, which
+/// would refuse callers while slots are idle.
 #[test]
-fn insert_warm_full_places() {
+fn insert_warm_target_has_full_capacity() {
     let now = Instant::now();
     let mut pool = Pool::new(PoolSettings::default());
-    let key = pool.insert("t", NEAR, StartState::Warm, now);
+    let key = pool.insert("t", DISTANCE, StartState::Warm, now);
     pool.set_status(key, TargetStatus::Ready);
     assert!(pool.capacity(now).usable >= 64.0);
 }
--- a/crates/route/tests/quarantine.rs
+++ b/crates/route/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the targets they run on.
+//! Quarantine of requests that crash targets.
 
 use quickcheck::{Gen, QuickCheck};
 use route::{Fingerprint, Quarantine};
@@ -7,10 +7,10 @@
     Fingerprint::new([n; 32])
 }
 
-/// A request kills the engine that runs it, and its caller sends it again.
-/// Without the quarantine users would lose one target after the other.
+/// Guards against losing one target after the other to a request that crashes
+/// its engine and is retried by its caller.
 #[test]
-fn crashed_twice_alone() {
+fn crashed_convicts_lone_suspect() {
     let mut quarantine = Quarantine::new();
     let first = quarantine.crashed("a", 1, &[request(1), request(2)]);
     assert_eq!(first.suspects, [request(1), request(2)]);
@@ -20,21 +20,20 @@
     assert!(!quarantine.is_convicted(&request(2)));
 }
 
-/// Two requests that were on one crashed target run together on a second one
-/// that crashes. One of them is harmless; convicting both would refuse an
-/// innocent caller for good.
+/// Guards against convicting a harmless request. Two requests from one crashed
+/// target run together on a second one that crashes, and only one is at fault.
 #[test]
-fn crashed_two_suspects_together() {
+fn crashed_with_two_suspects_convicts_none() {
     let mut quarantine = Quarantine::new();
     quarantine.crashed("a", 1, &[request(1), request(2)]);
     let verdict = quarantine.crashed("b", 1, &[request(1), request(2)]);
     assert!(verdict.convicted.is_empty());
 }
 
-/// A reporter loses the answer and reports the same crash again. Counting it
-/// twice would convict everything that ran on the target.
+/// Guards against counting a crash twice when its report is repeated after a
+/// lost answer. All requests that ran on the target would be convicted.
 #[test]
-fn crashed_reported_twice() {
+fn crashed_ignores_repeated_report() {
     let mut quarantine = Quarantine::new();
     quarantine.crashed("a", 1, &[request(1)]);
     let again = quarantine.crashed("a", 1, &[request(1)]);
@@ -42,11 +41,11 @@
     assert!(again.convicted.is_empty());
 }
 
-/// Two entries report the same crash, each with what it had sent there. The
-/// first report alone looks like a lone suspect; the second shows another.
-/// The innocent one would stay refused if the first verdict stood.
+/// Guards against keeping a conviction that a later report of the same crash
+/// disproves. Two entries report the requests they had sent there: the first
+/// report shows a lone suspect, the second another one.
 #[test]
-fn crashed_reports_merged() {
+fn crashed_merges_reports_of_same_crash() {
     let mut quarantine = Quarantine::new();
     quarantine.crashed("a", 1, &[request(1), request(2)]);
     let first = quarantine.crashed("b", 1, &[request(1)]);
@@ -57,14 +56,14 @@
 }
 
 #[test]
-fn pardon_convicted() {
+fn pardon_clears_convicted_request() {
     let mut quarantine = Quarantine::new();
     quarantine.crashed("a", 1, &[request(1)]);
     quarantine.crashed("b", 1, &[request(1)]);
     assert!(quarantine.pardon(&request(1)));
     assert!(!quarantine.is_convicted(&request(1)));
     assert!(!quarantine.pardon(&request(1)));
-    // A late repeat of an old report doesn't bring the conviction back.
+    // A repeated old report does not restore the conviction.
     for target in ["a", "b"] {
         quarantine.crashed(target, 1, &[request(1)]);
         assert!(!quarantine.is_convicted(&request(1)));
@@ -73,7 +72,7 @@
 }
 
 #[test]
-fn from_json_damaged() {
+fn from_json_rejects_damaged_documents() {
     assert!(Quarantine::from_json(b"{").is_err());
     let error = Quarantine::from_json(
         br#"{"version":1,"clock":1,"suspects":{"zz":1},"convicted":{},"crashes":[]}"#,
@@ -83,7 +82,7 @@
 }
 
 #[test]
-fn quarantine_random_reports() {
+fn quarantine_invariants_under_random_reports() {
     fn property(reports: Vec<(u8, u8, Vec<u8>)>) -> bool {
         let mut quarantine = Quarantine::new();
         let mut copy = Quarantine::new();
@@ -98,7 +97,7 @@
             let new = quarantine
                 .convicted()
                 .filter(|f| !convicted_before.contains(f));
-            // Whoever is convicted was suspect, and one report convicts one.
+            // Only suspects are convicted, and at most one per report.
             let new: Vec<&Fingerprint> = new.collect();
             if new.len() > 1 || new.iter().any(|f| !suspect_before.contains(f)) {
                 return false;
@@ -117,7 +116,7 @@
 }
 
 #[test]
-fn crashed_many_bounded() {
+fn crashed_keeps_bounded_state() {
     let mut quarantine = Quarantine::new();
     for n in 0..5000_u32 {
         let mut digest = [0; 32];
--- a/crates/route/tests/subset.rs
+++ b/crates/route/tests/subset.rs
@@ -1,8 +1,8 @@
-//! Which targets an entry keeps links to.
+//! Subsets of targets that entries link to.
 
 #![allow(
     clippy::needless_pass_by_value,
-    reason = "quickcheck hands over what it makes"
+    reason = "quickcheck passes arguments by value"
 )]
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -10,19 +10,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const ZONES: [&str; 3] = ["oberpfalz", "allgaeu", "franken"];
-const LETTER_ENTRIES: usize = 411;
+const ENTRIES_IN_LARGE_DEPLOYMENT: usize = 411;
 
-/// A deployment of some size; the last entry and target are the ones to go.
+/// A deployment of random size. Tests remove its last entry or target.
 #[derive(Clone, Debug)]
 struct Deployment {
     entries: Vec<(String, usize)>,
     targets: Vec<(String, usize)>,
-    cfg: SubsetSettings,
+    settings: SubsetSettings,
 }
 
 impl Arbitrary for Deployment {
     fn arbitrary(g: &mut Gen) -> Self {
-        let count = |g: &mut Gen, most: usize| usize::arbitrary(g) % most + 2;
+        let count = |g: &mut Gen, range: usize| usize::arbitrary(g) % range + 2;
         let entries = count(g, 40);
         let targets = count(g, 60);
         let salt = u16::arbitrary(g);
@@ -35,7 +35,7 @@
         Deployment {
             entries: named("entry", entries),
             targets: named("advisor", targets),
-            cfg: SubsetSettings {
+            settings: SubsetSettings {
                 targets: usize::arbitrary(g) % 9 + 1,
                 entries: usize::arbitrary(g) % 9 + 1,
             },
@@ -43,25 +43,25 @@
     }
 }
 
-fn sites(rows: &[(String, usize)]) -> Vec<ZonedNode<'_>> {
-    let site = |row: &'_ (String, usize)| row.1;
+fn nodes(rows: &[(String, usize)]) -> Vec<ZonedNode<'_>> {
+    let zone = |row: &'_ (String, usize)| row.1;
     rows.iter()
         .map(|row| ZonedNode {
             name: &row.0,
-            zone: ZONES[site(row)],
+            zone: ZONES[zone(row)],
         })
         .collect()
 }
 
-/// Names of the targets that each entry links.
+/// Names of the targets that each entry links to.
 fn graph<'a>(
-    cfg: SubsetSettings,
+    settings: SubsetSettings,
     entries: &'a [(String, usize)],
     targets: &'a [(String, usize)],
 ) -> BTreeMap<&'a str, BTreeSet<&'a str>> {
-    let (entry_sites, target_sites) = (sites(entries), sites(targets));
-    let links = entries.iter().enumerate().map(|(me, entry)| {
-        let subset = Subset::of(cfg, me, &entry_sites, &target_sites);
+    let (entry_nodes, target_nodes) = (nodes(entries), nodes(targets));
+    let links = entries.iter().enumerate().map(|(own, entry)| {
+        let subset = Subset::of(settings, own, &entry_nodes, &target_nodes);
         let linked = subset.linked().iter();
         let names = linked.map(|linked| targets[linked.target].0.as_str());
         (entry.0.as_str(), names.collect())
@@ -76,33 +76,34 @@
         .quickcheck(property);
 }
 
-/// A target that no entry linked would stand idle while callers wait elsewhere, and an
-/// entry with one link would refuse its callers at the loss of one target.
+/// Guards against too few links: a target without links would be idle while requests wait
+/// elsewhere, and an entry with one link would refuse its callers after the loss of one
+/// target. The total number of links must be bounded as well.
 #[test]
-fn of_all_covered_and_bounded() {
+fn of_covers_all_targets_with_bounded_links() {
     fn property(d: Deployment) -> bool {
-        let links = graph(d.cfg, &d.entries, &d.targets);
-        let least_targets = d.cfg.targets.min(d.targets.len());
-        let least_entries = d.cfg.entries.min(d.entries.len());
+        let links = graph(d.settings, &d.entries, &d.targets);
+        let min_targets = d.settings.targets.min(d.targets.len());
+        let min_entries = d.settings.entries.min(d.entries.len());
         let entries_of = |target: &str| links.values().filter(|l| l.contains(target)).count();
         let total: usize = links.values().map(BTreeSet::len).sum();
-        let bound = d.entries.len() * d.cfg.targets + d.targets.len() * d.cfg.entries;
-        links.values().all(|linked| linked.len() >= least_targets)
-            && d.targets.iter().all(|t| entries_of(&t.0) >= least_entries)
+        let bound = d.entries.len() * d.settings.targets + d.targets.len() * d.settings.entries;
+        links.values().all(|linked| linked.len() >= min_targets)
+            && d.targets.iter().all(|t| entries_of(&t.0) >= min_entries)
             && total <= bound
     }
     check(property);
 }
 
-/// Each entry gives its targets its own part of their places. If it took fewer entries
-/// to share a target than do, the target would be filled beyond its places.
+/// Guards against undercounting the entries that share a target. Each entry uses its own
+/// share of the target's slots, so the target would be overloaded.
 #[test]
-fn of_counts_the_entries_of_each_target() {
+fn of_counts_entries_of_each_target() {
     fn property(d: Deployment) -> bool {
-        let links = graph(d.cfg, &d.entries, &d.targets);
-        let (entries, targets) = (sites(&d.entries), sites(&d.targets));
-        (0..entries.len()).all(|me| {
-            let subset = Subset::of(d.cfg, me, &entries, &targets);
+        let links = graph(d.settings, &d.entries, &d.targets);
+        let (entries, targets) = (nodes(&d.entries), nodes(&d.targets));
+        (0..entries.len()).all(|own| {
+            let subset = Subset::of(d.settings, own, &entries, &targets);
             let all = subset.linked().len() + subset.reserve().len();
             let counted = subset.linked().iter().all(|linked| {
                 let name = targets[linked.target].name;
@@ -115,14 +116,14 @@
     check(property);
 }
 
-/// A target goes. If the others' links moved with it, each restart of a target would
-/// have all entries dial anew.
+/// Guards against changing links to other targets when a target is removed. Each restart of
+/// a target would make all entries open new connections.
 #[test]
-fn of_target_gone_few_move() {
+fn of_moves_few_links_when_target_is_removed() {
     fn property(d: Deployment) -> bool {
-        let before = graph(d.cfg, &d.entries, &d.targets);
+        let before = graph(d.settings, &d.entries, &d.targets);
         let (gone, left) = d.targets.split_last().unwrap();
-        let after = graph(d.cfg, &d.entries, left);
+        let after = graph(d.settings, &d.entries, left);
         before.iter().all(|(entry, before)| {
             let after = &after[entry];
             let lost: Vec<_> = before.difference(after).collect();
@@ -133,13 +134,14 @@
     check(property);
 }
 
-/// An entry goes. Its targets turn to others; nobody else lets one go.
+/// Guards against dropping links of the remaining entries when an entry is removed. Only its
+/// own targets may get links to other entries.
 #[test]
-fn of_entry_gone_few_move() {
+fn of_moves_few_links_when_entry_is_removed() {
     fn property(d: Deployment) -> bool {
-        let before = graph(d.cfg, &d.entries, &d.targets);
+        let before = graph(d.settings, &d.entries, &d.targets);
         let (gone, left) = d.entries.split_last().unwrap();
-        let after = graph(d.cfg, left, &d.targets);
+        let after = graph(d.settings, left, &d.targets);
         let mut gained = BTreeMap::new();
         let none_lost = left.iter().all(|(entry, _)| {
             let (before, after) = (&before[entry.as_str()], &after[entry.as_str()]);
@@ -154,9 +156,9 @@
     check(property);
 }
 
-/// With today's four entries, and twice as many, every entry links every target.
+/// In a small deployment of up to eight entries, every entry links to every target.
 #[test]
-fn of_today_all() {
+fn of_links_all_targets_in_small_deployment() {
     for count in [1, 4, 8] {
         let row = |kind: &str, n: usize| (format!("{kind}-{n:02}"), n % ZONES.len());
         let entries: Vec<_> = (0..count).map(|n| row("entry", n)).collect();
@@ -168,50 +170,56 @@
 
 /// Half of an entry's picks are in its own availability zone.
 #[test]
-fn of_own_zone_preferred() {
-    let cfg = SubsetSettings {
+fn of_prefers_own_zone() {
+    let settings = SubsetSettings {
         targets: 6,
         entries: 1,
     };
     let row = |kind: &str, n: usize| (format!("{kind}-{n:03}"), n % ZONES.len());
-    let entries: Vec<_> = (0..LETTER_ENTRIES).map(|n| row("entry", n)).collect();
+    let entries: Vec<_> = (0..ENTRIES_IN_LARGE_DEPLOYMENT)
+        .map(|n| row("entry", n))
+        .collect();
     let targets: Vec<_> = (0..86).map(|n| row("advisor", n)).collect();
     let zone_of: BTreeMap<&str, usize> = targets.iter().map(|t| (t.0.as_str(), t.1)).collect();
-    let links = graph(cfg, &entries, &targets);
+    let links = graph(settings, &entries, &targets);
     for (name, zone) in &entries {
         let linked = &links[name.as_str()];
-        let near = linked.iter().filter(|t| zone_of[*t] == *zone).count();
-        assert!(near >= 3, "{name}: {near} of {} are near", linked.len());
+        let same_zone = linked.iter().filter(|t| zone_of[*t] == *zone).count();
+        assert!(
+            same_zone >= 3,
+            "{name}: {same_zone} of {} are in its zone",
+            linked.len()
+        );
     }
 }
 
-/// The network fails between an entry and all targets but one, which is not of its
-/// subset. If the entry gave up after its subset, all its callers would be refused while
-/// a target lives; if it turned to all others at once, each small fault would have it
-/// dial hundreds.
+/// Guards against not finding the only reachable target if it is not in the subset, which
+/// would refuse all callers of the entry, and against linking to hundreds of targets at
+/// once after each small fault.
 #[test]
-fn with_reserve_finds_the_one_alive() {
+fn with_reserve_finds_only_reachable_target() {
     fn property(d: Deployment) -> bool {
-        let (entries, targets) = (sites(&d.entries), sites(&d.targets));
-        let subset = Subset::of(d.cfg, 0, &entries, &targets);
-        let least = d.cfg.targets;
-        (0..targets.len()).all(|alive| {
+        let (entries, targets) = (nodes(&d.entries), nodes(&d.targets));
+        let subset = Subset::of(d.settings, 0, &entries, &targets);
+        let min_usable = d.settings.targets;
+        (0..targets.len()).all(|reachable| {
             let mut tried: BTreeSet<usize> = subset.linked().iter().map(|l| l.target).collect();
             for _ in 0..10 {
-                let reach = |target: usize| match (target == alive, tried.contains(&target)) {
-                    (_, false) => Reachability::Unknown,
-                    (true, true) => Reachability::Up,
-                    (false, true) => Reachability::Down,
-                };
-                let chosen = subset.with_reserve(least, reach);
+                let reachability =
+                    |target: usize| match (target == reachable, tried.contains(&target)) {
+                        (_, false) => Reachability::Unknown,
+                        (true, true) => Reachability::Up,
+                        (false, true) => Reachability::Down,
+                    };
+                let chosen = subset.with_reserve(min_usable, reachability);
                 let chosen: BTreeSet<usize> = chosen.iter().map(|l| l.target).collect();
-                let grown = chosen.difference(&tried).count();
-                if grown > least + tried.len() {
+                let added = chosen.difference(&tried).count();
+                if added > min_usable + tried.len() {
                     return false;
                 }
                 tried = chosen;
             }
-            tried.contains(&alive)
+            tried.contains(&reachable)
         })
     }
     check(property);
--- a/crates/route/tests/target_set.rs
+++ b/crates/route/tests/target_set.rs
@@ -1,4 +1,4 @@
-//! Loads under which work must be turned away or spread.
+//! Choice of a target in a target set.
 
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -8,13 +8,13 @@
 use std::time::{Duration, Instant};
 
 const SLOTS: u32 = 12;
-const LATE: Duration = Duration::from_millis(120);
+const MAX_PAUSE: Duration = Duration::from_millis(120);
 
-fn engines(count: usize) -> (TargetSet, Vec<TargetKey>) {
-    let pace = StepTimeModel::new(Duration::from_micros(5_850), Duration::from_micros(355));
+fn engine_set(count: usize) -> (TargetSet, Vec<TargetKey>) {
+    let step_time = StepTimeModel::new(Duration::from_micros(5_850), Duration::from_micros(355));
     let mut target_set = TargetSet::new(TargetSetSettings {
         queue_per_slot: 0.15,
-        step_time: Some(pace),
+        step_time: Some(step_time),
         ..TargetSetSettings::default()
     });
     let keys = (0..count).map(|_| target_set.insert(SLOTS, Locality::SameZone));
@@ -26,7 +26,7 @@
     SmallRng::seed_from_u64(7)
 }
 
-/// Sends requests until all targets are full; how many each got.
+/// Sends requests until all targets are full, and returns the number per target.
 fn fill(target_set: &mut TargetSet, keys: &[TargetKey], now: Instant) -> Vec<u32> {
     let mut rng = rng();
     while let Some(key) = target_set.choose(&[], now, &mut rng) {
@@ -35,29 +35,29 @@
     keys.iter().map(|key| target_set.running(*key)).collect()
 }
 
-/// A burst asks for more than all slots. Were the excess sent on, each that
-/// waits would begin after its objective, and so would all that come later
-/// until the queues have emptied.
+/// Guards against queueing a burst beyond all slots at the targets. The queued
+/// requests would start after their objective, and so would all later ones until
+/// the queues are empty.
 #[test]
-fn choose_burst_beyond_slots() {
-    let (mut target_set, keys) = engines(4);
+fn choose_refuses_burst_beyond_slots() {
+    let (mut target_set, keys) = engine_set(4);
     let sent = fill(&mut target_set, &keys, Instant::now());
     assert_eq!(sent, [14, 14, 14, 14]);
 }
 
-/// The experts in demand change, and passes take two and a half times as long
-/// until the next map. With all slots in use every stream would pause for
-/// longer than is on time; with fewer, those that are let in are on time.
+/// Guards against late streams while the popular experts change and steps take two
+/// and a half times as long until the next map. With all slots in use every stream
+/// would pause too long; with fewer, all accepted ones are on time.
 #[test]
-fn choose_while_streams_pause() {
-    let (mut target_set, keys) = engines(1);
+fn choose_reduces_load_while_streams_pause() {
+    let (mut target_set, keys) = engine_set(1);
     let now = Instant::now();
     for _ in 0..12 {
         target_set.start(keys[0]);
     }
     for event in 0..20 {
         let at = now + Duration::from_millis(140) * event;
-        target_set.record_pause(keys[0], Duration::from_millis(140), LATE, at);
+        target_set.record_pause(keys[0], Duration::from_millis(140), MAX_PAUSE, at);
     }
     let now = now + Duration::from_millis(140) * 20;
     assert_eq!(target_set.choose(&[], now, &mut rng()), None);
@@ -67,36 +67,36 @@
     assert_eq!(target_set.choose(&[], now, &mut rng()), Some(keys[0]));
 }
 
-/// The next map has come and pauses are short again. What was measured before
-/// must not keep callers out.
+/// Guards against refusing requests because of old pauses, after the next expert
+/// map has made pauses short again.
 #[test]
-fn choose_after_pauses_of_long_ago() {
-    let (mut target_set, keys) = engines(1);
+fn choose_ignores_old_pauses() {
+    let (mut target_set, keys) = engine_set(1);
     let now = Instant::now();
     for _ in 0..12 {
         target_set.start(keys[0]);
     }
-    target_set.record_pause(keys[0], Duration::from_millis(300), LATE, now);
+    target_set.record_pause(keys[0], Duration::from_millis(300), MAX_PAUSE, now);
     assert_eq!(target_set.choose(&[], now, &mut rng()), None);
     let later = now + Duration::from_secs(2);
     assert_eq!(target_set.choose(&[], later, &mut rng()), Some(keys[0]));
 }
 
-/// Half of the slots stay in use however long the pauses are: late answers
-/// are worth more than none.
+/// Guards against refusing all requests because of long pauses. Half of the slots
+/// stay in use, since late answers are better than none.
 #[test]
-fn choose_with_hopeless_pauses() {
-    let (mut target_set, keys) = engines(1);
+fn choose_uses_half_of_slots_despite_long_pauses() {
+    let (mut target_set, keys) = engine_set(1);
     let now = Instant::now();
-    target_set.record_pause(keys[0], Duration::from_secs(1), LATE, now);
+    target_set.record_pause(keys[0], Duration::from_secs(1), MAX_PAUSE, now);
     assert_eq!(fill(&mut target_set, &keys, now), [6]);
 }
 
-/// Other entries send to the same targets. An entry that counted only its own
-/// requests would fill a target that is full already.
+/// Guards against counting only the requests of this entry, which would overfill
+/// targets that other entries use too.
 #[test]
-fn choose_by_what_others_send() {
-    let (mut target_set, keys) = engines(2);
+fn choose_counts_requests_of_other_entries() {
+    let (mut target_set, keys) = engine_set(2);
     let now = Instant::now();
     target_set.start(keys[0]);
     let busy = ReportedLoad {
@@ -112,11 +112,11 @@
     }
 }
 
-/// A target refuses connections. Without a pause each request would try it
-/// first, since it runs nothing and looks free.
+/// Guards against trying a target that refuses connections first for each request,
+/// since it runs nothing and looks free.
 #[test]
-fn choose_not_the_failing_one() {
-    let (mut target_set, keys) = engines(2);
+fn choose_avoids_failed_target() {
+    let (mut target_set, keys) = engine_set(2);
     let now = Instant::now();
     target_set.start(keys[0]);
     target_set.end(keys[0], DispatchOutcome::Failed, now);
@@ -130,11 +130,11 @@
     assert_eq!(target_set.choose(&[], later, &mut rng), Some(keys[0]));
 }
 
-/// All targets failed lately, as when the network was cut for a moment. One
-/// of them is tried all the same, or nobody would notice that they are back.
+/// Guards against giving up when all targets have failed, for instance by a short
+/// network failure. One must be tried, or their return would go unnoticed.
 #[test]
-fn choose_among_failed_only() {
-    let (mut target_set, keys) = engines(2);
+fn choose_tries_ejected_target_if_all_failed() {
+    let (mut target_set, keys) = engine_set(2);
     let now = Instant::now();
     for key in &keys {
         target_set.start(*key);
@@ -143,35 +143,42 @@
     assert!(target_set.choose(&[], now, &mut rng()).is_some());
 }
 
-/// Bytes between availability zones are dear. With loads alike the near target
-/// is taken; once it runs more, distance must not let it fill up alone.
+/// Guards against needless traffic between availability zones, which is expensive,
+/// and against filling only the targets in the same zone. A target in the same zone
+/// is preferred while loads are similar.
 #[test]
-fn choose_near_while_loads_are_alike() {
+fn choose_prefers_same_zone_at_similar_load() {
     let mut target_set = TargetSet::new(TargetSetSettings::default());
-    let near = target_set.insert(SLOTS, Locality::SameZone);
-    let far = target_set.insert(SLOTS, Locality::OtherZone);
+    let same_zone = target_set.insert(SLOTS, Locality::SameZone);
+    let other_zone = target_set.insert(SLOTS, Locality::OtherZone);
     let now = Instant::now();
     let mut rng = rng();
     for _ in 0..20 {
         let key = target_set.choose(&[], now, &mut rng).unwrap();
         target_set.start(key);
     }
-    let running = (target_set.running(near), target_set.running(far));
+    let running = (
+        target_set.running(same_zone),
+        target_set.running(other_zone),
+    );
     assert!([(10, 10), (11, 9)].contains(&running), "{running:?}");
-    assert_eq!(target_set.choose(&[near], now, &mut rng), Some(far));
+    assert_eq!(
+        target_set.choose(&[same_zone], now, &mut rng),
+        Some(other_zone)
+    );
 }
 
-/// All targets of a service have been started anew, and their old names are still
-/// known. Each request would spend its tries on addresses that decline it.
+/// Guards against spending the attempts of requests on the addresses of targets that
+/// were restarted under new names, while the old names are still known.
 #[test]
-fn choose_replaced_targets() {
-    let (mut target_set, keys) = engines(2);
+fn choose_skips_replaced_targets() {
+    let (mut target_set, keys) = engine_set(2);
     let mut now = Instant::now();
     for _ in &keys {
         let key = target_set.choose(&[], now, &mut rng()).unwrap();
         target_set.start(key);
         target_set.end(key, DispatchOutcome::Replaced, now);
-        // What was told before says nothing of its end.
+        // An announcement from before the replacement does not count.
         target_set.record_announcement(key, now);
         now += Duration::from_secs(30);
     }
@@ -181,18 +188,18 @@
     assert_eq!(target_set.choose(&[], now, &mut rng()), Some(keys[0]));
 }
 
-/// A group forms anew and declines everything for 1.4 s, while a request comes
-/// every 5 ms and again whenever it was declined. Each one that is sent costs the
-/// service a retry; were all sent, none would be left when the group is back.
+/// Guards against spending the retry budget while a group re-forms. The group
+/// declines all requests for 1.4 s, a request arrives every 5 ms, and each declined
+/// one is retried at the cost of one retry.
 #[test]
-fn choose_while_all_decline() {
-    let (mut target_set, keys) = engines(8);
+fn choose_probes_declining_targets_one_at_a_time() {
+    let (mut target_set, keys) = engine_set(8);
     let mut rng = rng();
-    let began = Instant::now();
-    let back = began + Duration::from_millis(1_400);
-    let mut now = began;
+    let start = Instant::now();
+    let group_back = start + Duration::from_millis(1_400);
+    let mut now = start;
     let mut declined = 0;
-    while now < back {
+    while now < group_back {
         while let Some(key) = target_set.choose(&[], now, &mut rng) {
             target_set.start(key);
             target_set.report_load(
@@ -209,13 +216,13 @@
         assert!(!target_set.has_available());
         now += Duration::from_millis(5);
     }
-    // Each once at first, and then one of them at a time.
+    // Each target once at first, and then one target at a time.
     assert!((8..=8 + 56).contains(&declined), "{declined}");
     let due = target_set.next_probe().unwrap();
-    let trial = target_set.choose(&[], due, &mut rng).unwrap();
-    target_set.start(trial);
+    let probed = target_set.choose(&[], due, &mut rng).unwrap();
+    target_set.start(probed);
     assert_eq!(target_set.choose(&[], due, &mut rng), None);
-    // It runs, so the others of its group do too.
+    // The probed target runs the request, so the others of its group are back too.
     let later = target_set.next_probe().unwrap();
     let sent = (0..40).filter_map(|_| {
         let key = target_set.choose(&[], later, &mut rng)?;
@@ -226,11 +233,11 @@
     assert!(keys.iter().all(|key| target_set.running(*key) >= 5));
 }
 
-/// A target is full and says so. Nobody waits for it to be available again; what comes
-/// goes to the other one, and is refused when that is full too.
+/// Guards against treating a target that declines because it is full as unavailable.
+/// Requests must then be refused instead of waiting for the target.
 #[test]
-fn choose_declined_by_full_target() {
-    let (mut target_set, keys) = engines(1);
+fn choose_keeps_full_target_available() {
+    let (mut target_set, keys) = engine_set(1);
     let now = Instant::now();
     target_set.start(keys[0]);
     target_set.report_load(
@@ -246,30 +253,30 @@
     assert_eq!(target_set.choose(&[], now, &mut rng()), None);
 }
 
-/// Guards against requests at a slow rank, which delay the streams of its
+/// Guards against sending requests to a slow rank, which delay the streams of its
 /// whole group.
 #[test]
-fn choose_slow_rank() {
-    let (mut target_set, keys) = engines(3);
+fn choose_avoids_slow_rank() {
+    let (mut target_set, keys) = engine_set(3);
     target_set.set_slowdowns(&[(keys[0], 12.0), (keys[1], 1.0), (keys[2], 1.0)]);
     let sent = fill(&mut target_set, &keys, Instant::now());
     assert_eq!(sent, [0, 14, 14]);
 }
 
-/// Guards against refusing everything while all ranks are equally slow.
+/// Guards against refusing all requests while all ranks are equally slow.
 #[test]
-fn choose_all_slow() {
-    let (mut target_set, keys) = engines(2);
+fn choose_uses_all_ranks_if_equally_slow() {
+    let (mut target_set, keys) = engine_set(2);
     target_set.set_slowdowns(&[(keys[0], 4.0), (keys[1], 4.0)]);
     let sent = fill(&mut target_set, &keys, Instant::now());
     assert_eq!(sent, [14, 14]);
 }
 
-/// Guards against streams that stay at a rank which has turned slow: they
-/// would end in several times the usual time, and delay all others until then.
+/// Guards against streams that stay on a rank which has become slow. They would
+/// take several times as long and delay all others until then.
 #[test]
-fn sheds_rank_turned_slow() {
-    let (mut target_set, keys) = engines(3);
+fn streams_migrate_from_rank_that_became_slow() {
+    let (mut target_set, keys) = engine_set(3);
     let now = Instant::now();
     for _ in 0..8 {
         target_set.start(keys[0]);
@@ -278,30 +285,30 @@
     target_set.set_slowdowns(&[(keys[0], 12.0), (keys[1], 1.0), (keys[2], 1.0)]);
     assert!(target_set.should_migrate_streams(keys[0]));
     assert!(!target_set.should_migrate_streams(keys[1]));
-    let moved = target_set.choose_for_migration(&[keys[0]], now, &mut rng());
-    assert!(moved.is_some_and(|key| key != keys[0]));
+    let migrated_to = target_set.choose_for_migration(&[keys[0]], now, &mut rng());
+    assert!(migrated_to.is_some_and(|key| key != keys[0]));
 }
 
-/// Guards against streams that can't leave a slow rank since the pauses that
-/// it causes make all others count as full.
+/// Guards against streams that cannot leave a slow rank because the pauses that it
+/// causes make all other ranks look full.
 #[test]
-fn choose_to_move_while_streams_pause() {
-    let (mut target_set, keys) = engines(2);
+fn choose_for_migration_ignores_pauses() {
+    let (mut target_set, keys) = engine_set(2);
     let now = Instant::now();
     for _ in 0..8 {
         target_set.start(keys[1]);
     }
-    target_set.record_pause(keys[1], LATE * 5, LATE, now);
+    target_set.record_pause(keys[1], MAX_PAUSE * 5, MAX_PAUSE, now);
     assert_eq!(target_set.choose(&[keys[0]], now, &mut rng()), None);
-    let moved = target_set.choose_for_migration(&[keys[0]], now, &mut rng());
-    assert_eq!(moved, Some(keys[1]));
+    let migrated_to = target_set.choose_for_migration(&[keys[0]], now, &mut rng());
+    assert_eq!(migrated_to, Some(keys[1]));
 }
 
-/// Guards against callers who come back too late for their objective taking
-/// the places of those who would still be on time.
+/// Guards against retries that have already missed their objective taking the slots
+/// of requests that would still be on time.
 #[test]
-fn choose_in_missed_objective() {
-    let (mut target_set, keys) = engines(2);
+fn choose_within_limits_late_requests() {
+    let (mut target_set, keys) = engine_set(2);
     let (now, mut rng) = (Instant::now(), rng());
     while let Some(key) = target_set.choose_within(Duration::ZERO, &[], now, &mut rng) {
         target_set.start(key);
@@ -314,11 +321,11 @@
     assert_eq!(sent, [14, 14]);
 }
 
-/// Guards against letting in what waits for a slot until its objective is over:
-/// all that come while the engines are full would be late.
+/// Guards against accepting requests that wait for a slot until after their
+/// objective. All requests that arrive while the engines are full would be late.
 #[test]
-fn choose_in_time_for_a_slot() {
-    let (mut target_set, keys) = engines(1);
+fn choose_within_accepts_only_requests_with_slot_in_time() {
+    let (mut target_set, keys) = engine_set(1);
     let (now, mut rng) = (Instant::now(), rng());
     target_set.record_duration(Duration::from_millis(2_400));
     let objective = Duration::from_millis(400);
