--- a/crates/direct/src/stream.rs
+++ b/crates/direct/src/stream.rs
@@ -10,10 +10,10 @@
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::{Frame, Incoming};
 use outlet::Connection;
-use route::Outcome;
+use route::DispatchOutcome;
 use std::io;
 use std::time::Instant;
-use table::Kind;
+use table::RequestKind;
 use tokio::time::timeout;
 
 /// A stream on its way to the caller.
@@ -39,12 +39,12 @@
 
 impl Source {
     /// Learns from the pause before the events that have come.
-    fn heard(&mut self, kind: Kind) {
+    fn heard(&mut self, kind: RequestKind) {
         let now = Instant::now();
         let before = self.heard.replace(now);
         if let (
             Some(before),
-            Kind::Stream {
+            RequestKind::Stream {
                 pause: Some(most), ..
             },
         ) = (before, kind)
@@ -170,7 +170,7 @@
             ..
         } = self.source.take()?;
         crate::service_targets::keep(permit.endpoint(), conn, &reading, &self.dispatch.timing);
-        permit.ended(Outcome::Answered);
+        permit.ended(DispatchOutcome::Answered);
         if self.events.is_between() {
             return None;
         }
@@ -179,7 +179,7 @@
     }
 
     fn can_go_on(&self) -> bool {
-        self.dispatch.kind.repeats()
+        self.dispatch.kind.may_repeat()
     }
 
     /// Moves to another target if that of the stream is so slow that it delays
@@ -208,7 +208,7 @@
     async fn go_on(&mut self, why: &str) -> io::Result<()> {
         if let Some(source) = self.source.take() {
             self.dispatch.log_miss(&source.permit, "stream broken", why);
-            source.permit.ended(Outcome::Failed);
+            source.permit.ended(DispatchOutcome::Failed);
         }
         if !self.can_go_on() {
             return Err(self.broken_off(why));
--- a/crates/entry/src/placement/inner.rs
+++ b/crates/entry/src/placement/inner.rs
@@ -9,7 +9,8 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use route::{
-    AdmissionSettings, Fingerprint, Reason, Refusal, RetryBudget, Suspicion, TicketKey, Tuning,
+    AdmissionSettings, Fingerprint, PoolSettings, Refusal, RefusalReason, RetryBudget, Suspicion,
+    TicketKey,
 };
 use wire::proto::{AccountUse, Quarantine};
 
@@ -114,7 +115,7 @@
             let state = self
                 .pools
                 .entry(name.clone())
-                .or_insert_with(|| PoolState::new(Tuning::default(), self.admission, now));
+                .or_insert_with(|| PoolState::new(PoolSettings::default(), self.admission, now));
             let distance = |row: &Announced| distance(&self.zone, row, self.zone_distance);
             state.update(now, members, distance);
             state.advance(now);
@@ -148,7 +149,7 @@
             allowance.set_account(account, part, now);
         }
         self.accounts.retain(|name, allowance| {
-            allowance.ration().present() > 0 || catalogue.account(name).is_some()
+            allowance.ration().active() > 0 || catalogue.account(name).is_some()
         });
     }
 
@@ -222,7 +223,7 @@
         account.enter(now, job.tokens)?;
         let entered = state.enter(now, job, until, turn);
         if entered.is_err() {
-            account.ration().leave(job.tokens, 0);
+            account.ration().release(job.tokens, 0);
         } else {
             self.budget.deposit();
         }
@@ -238,7 +239,7 @@
         used: u32,
     ) {
         if let Some(allowance) = self.accounts.get_mut(account) {
-            allowance.ration().leave(estimated, used);
+            allowance.ration().release(estimated, used);
         }
         if let Some(state) = self.pools.get_mut(pool) {
             state.release(Instant::now(), ticket, used);
@@ -253,7 +254,7 @@
     /// The refusal of a request for which there is no room.
     pub(super) fn shed() -> Refusal {
         Refusal {
-            reason: Reason::Shed,
+            reason: RefusalReason::Shed,
             retry_after: AdmissionSettings::default().retry_after,
         }
     }
--- a/crates/entry/src/placement/placed.rs
+++ b/crates/entry/src/placement/placed.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use route::{AttemptKey, Ending};
+use route::{AttemptKey, AttemptResult};
 
 use super::Placement;
 use crate::links::Agent;
@@ -45,7 +45,7 @@
     placement: Arc<Placement>,
     pool: PoolName,
     found: Found,
-    ended: Option<Ending>,
+    ended: Option<AttemptResult>,
 }
 
 impl Placed {
@@ -74,19 +74,21 @@
     pub(crate) fn answered(&self) {
         let mut inner = self.placement.lock();
         if let Some(state) = inner.pools.get_mut(&self.pool) {
-            state.pool.answered(Instant::now(), self.found.attempt);
+            state
+                .pool
+                .answer_started(Instant::now(), self.found.attempt);
         }
     }
 
     /// Ends the attempt.
-    pub(crate) fn end(mut self, ending: Ending) {
+    pub(crate) fn end(mut self, ending: AttemptResult) {
         self.ended = Some(ending);
     }
 }
 
 impl Drop for Placed {
     fn drop(&mut self) {
-        let ending = self.ended.unwrap_or(Ending::Dropped);
+        let ending = self.ended.unwrap_or(AttemptResult::Cancelled);
         let mut inner = self.placement.lock();
         if let Some(state) = inner.pools.get_mut(&self.pool) {
             state.pool.end(Instant::now(), self.found.attempt, ending);
--- a/crates/route/benches/accounts/world.rs
+++ b/crates/route/benches/accounts/world.rs
@@ -2,7 +2,10 @@
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use route::{AccountLimits, Exchange, Part, Ration, Usage, Use, WHOLE};
+use route::{
+    AccountDemand, AccountLimiter, AccountLimits, FULL_QUOTA, QuotaAllocator, QuotaGrant,
+    QuotaUsage,
+};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
@@ -38,18 +41,18 @@
 }
 
 struct Entry {
-    ration: Ration,
-    usage: Usage,
+    ration: AccountLimiter,
+    usage: AccountDemand,
     granted: Option<(u32, Instant)>,
     sequence: u64,
     next: Instant,
-    answer: Option<(Instant, Vec<Part>, Instant)>,
+    answer: Option<(Instant, Vec<QuotaGrant>, Instant)>,
 }
 
 pub struct World {
     began: Instant,
     entries: Vec<Entry>,
-    exchange: Exchange,
+    exchange: QuotaAllocator,
     sharing: Sharing,
     rng: SmallRng,
 }
@@ -67,8 +70,8 @@
         let began = Instant::now();
         let own = 1.0 / count as f64;
         let entries = (0..count).map(|_| Entry {
-            ration: Ration::new(limits(own), began),
-            usage: Usage::default(),
+            ration: AccountLimiter::new(limits(own), began),
+            usage: AccountDemand::default(),
             granted: None,
             sequence: 0,
             next: began + RENEW.mul_f64(rng.random_range(0.0..1.0)),
@@ -77,7 +80,7 @@
         World {
             began,
             entries: entries.collect(),
-            exchange: Exchange::new(began, LEASE),
+            exchange: QuotaAllocator::new(began, LEASE),
             sharing,
             rng: SmallRng::seed_from_u64(12),
         }
@@ -97,10 +100,10 @@
                 owed -= 1.0;
                 let place = self.place(now, callers);
                 let entry = &mut self.entries[place];
-                entry.usage.ask(now, 0, 0);
+                entry.usage.record(now, 0, 0);
                 let counted = now >= self.began + WARM;
-                if entry.ration.enter(now, 0).is_ok() {
-                    entry.ration.leave(0, 0);
+                if entry.ration.acquire(now, 0).is_ok() {
+                    entry.ration.release(0, 0);
                     let_in += usize::from(counted);
                     window.push_back(now);
                 }
@@ -138,11 +141,14 @@
         }
         for (key, entry) in self.entries.iter_mut().enumerate() {
             if let Some((_, parts, until)) = entry.answer.take_if(|(at, _, _)| now >= *at) {
-                entry.granted = parts.first().map(|row| (row.part, until)).or(entry.granted);
+                entry.granted = parts
+                    .first()
+                    .map(|row| (row.share, until))
+                    .or(entry.granted);
             }
             entry.granted = entry.granted.filter(|(_, until)| now < *until);
             let part = entry.granted.map_or(0, |(part, _)| part);
-            let limits = limits(f64::max(f64::from(part) / f64::from(WHOLE), own));
+            let limits = limits(f64::max(f64::from(part) / f64::from(FULL_QUOTA), own));
             if *entry.ration.limits() != limits {
                 entry.ration.set_limits(limits, now);
             }
@@ -150,12 +156,12 @@
                 continue;
             }
             entry.next = now + RENEW;
-            let demand = entry.usage.demand(now, &self::limits(1.0));
+            let demand = entry.usage.quota_demand(now, &self::limits(1.0));
             if demand == 0 && part == 0 {
                 continue;
             }
             entry.sequence += 1;
-            let used = Use {
+            let used = QuotaUsage {
                 account: ACCOUNT,
                 demand,
                 held: part,
--- a/crates/route/benches/policy/run.rs
+++ b/crates/route/benches/policy/run.rs
@@ -6,7 +6,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use route::{Admitted, AttemptKey, Ending, TicketKey};
+use route::{AdmissionDecision, AttemptKey, AttemptResult, TicketKey};
 
 use crate::case::Case;
 use crate::figures::Figures;
@@ -149,8 +149,8 @@
             Event::Done(attempt) => self.done(attempt),
             Event::FirstAtEntry(attempt) => self.first_at_entry(attempt),
             Event::DoneAtEntry(attempt) => self.done_at_entry(attempt),
-            Event::Refused(attempt) => self.failed(attempt, Ending::Full),
-            Event::Lost(attempt) => self.failed(attempt, Ending::Failed),
+            Event::Refused(attempt) => self.failed(attempt, AttemptResult::Full),
+            Event::Lost(attempt) => self.failed(attempt, AttemptResult::Failed),
             Event::TakeReport(server) => self.take_report(server),
             Event::Report(server, raw) => {
                 for entry in &mut self.entries {
@@ -187,21 +187,21 @@
         }
         entry.budget.deposit();
         let instant = entry.instant(now);
-        entry.admission.set_places(entry.pool.places(instant));
+        entry.admission.set_capacity(entry.pool.capacity(instant));
         let account = entry.accounts[request.account as usize];
         let until = entry.instant(now + QUEUE_WAIT);
         let tokens = request.prompt + request.answer;
-        match entry.admission.enter(instant, account, tokens, 1, until) {
-            Admitted::Now(ticket) => {
+        match entry.admission.submit(instant, account, tokens, 1, until) {
+            AdmissionDecision::Admitted(ticket) => {
                 self.states[index].ticket = Some(ticket);
                 self.place(index);
             }
-            Admitted::Queued(ticket) => {
+            AdmissionDecision::Queued(ticket) => {
                 self.states[index].ticket = Some(ticket);
                 self.tickets[request.entry].insert(ticket, index);
                 self.advance(request.entry);
             }
-            Admitted::Refused(_) => self.refuse(index),
+            AdmissionDecision::Refused(_) => self.refuse(index),
         }
     }
 
@@ -209,7 +209,7 @@
     fn advance(&mut self, entry: usize) {
         let now = self.entries[entry].instant(self.now);
         let at = &mut self.entries[entry];
-        at.admission.set_places(at.pool.places(now));
+        at.admission.set_capacity(at.pool.capacity(now));
         let advance = at.admission.advance(now);
         for ticket in advance.admitted {
             if let Some(index) = self.tickets[entry].remove(&ticket) {
@@ -335,12 +335,12 @@
     fn done_at_entry(&mut self, id: AttemptId) {
         self.attempts[id].over = true;
         let index = self.attempts[id].request;
-        self.end_attempt(id, Ending::Whole);
+        self.end_attempt(id, AttemptResult::Completed);
         self.states[index].over = true;
         self.release(index);
     }
 
-    fn failed(&mut self, id: AttemptId, ending: Ending) {
+    fn failed(&mut self, id: AttemptId, ending: AttemptResult) {
         if self.attempts[id].over {
             return;
         }
@@ -364,7 +364,7 @@
         }
     }
 
-    fn end_attempt(&mut self, id: AttemptId, ending: Ending) {
+    fn end_attempt(&mut self, id: AttemptId, ending: AttemptResult) {
         let (index, key) = (self.attempts[id].request, self.attempts[id].key);
         let entry = &mut self.entries[self.requests[index].entry];
         entry.end(self.now, key, ending);
@@ -403,7 +403,7 @@
         let mut running = running.filter(|id| self.attempts[*id].request == index);
         if let Some(id) = running.next().filter(|id| !self.attempts[*id].over) {
             self.attempts[id].over = true;
-            self.end_attempt(id, Ending::Dropped);
+            self.end_attempt(id, AttemptResult::Cancelled);
             self.cancel(id);
         }
         self.refuse(index);
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,11 +1,11 @@
-//! Choice of target, limits, fairness, retries, quarantine.
+//! Load balancing, admission control, retry budgets and quarantine.
 //!
-//! Everything here is pure: the present time is an argument, random choices
-//! are drawn from a generator that the caller passes in, and the answers are
-//! plain values. The entry's actors hold the sockets and timers and call in.
+//! This crate does no I/O. Functions take the current time and the random number
+//! generator as arguments and return plain values. Sockets and timers belong to
+//! the entry that calls it.
 //!
-//! [`Quarantine`] is replicated state: every control replica applies the same
-//! reports in the same order and holds the same quarantine.
+//! [`Quarantine`] is replicated state: all control replicas apply the same
+//! reports in the same order and reach the same state.
 //!
 //! ```
 //! use route::{Fingerprint, Quarantine};
@@ -18,79 +18,81 @@
 //! assert!(quarantine.is_convicted(&poison));
 //! ```
 
-mod absence;
 mod account;
+mod account_demand;
+mod account_limiter;
 mod account_limits;
 mod admission;
+mod admission_decision;
 mod admission_settings;
-mod admitted;
 mod affinity;
-mod arrival;
+mod attempt;
+mod attempt_result;
 mod budget;
-mod cache;
+mod cache_estimate;
+mod capacity;
 mod choice;
-mod demand;
+mod concurrency_limit;
 mod ejection;
-mod ending;
+mod elapsed_wait;
 mod error;
-mod exchange;
 mod fingerprint;
 mod key;
-mod limit;
-mod pace;
-mod place;
-mod places;
+mod load_report;
+mod placement_request;
 mod pool;
+mod pool_settings;
 mod quarantine;
 mod quarantine_document;
+mod quota_allocator;
 mod rank;
-mod rate;
-mod ration;
 mod refusal;
-mod report;
-mod return_schedule;
-mod standing;
+mod retry_after_schedule;
+mod start_state;
+mod startup_grace;
+mod step_time_model;
 mod subset;
 mod target;
 mod target_set;
 mod target_state;
+mod target_status;
 mod ticket;
-mod time_used;
-mod tuning;
-mod usage;
+mod token_bucket;
 mod verdict;
 
-pub use crate::absence::Absence;
+pub use crate::account_demand::AccountDemand;
+pub use crate::account_limiter::AccountLimiter;
 pub use crate::account_limits::AccountLimits;
 pub use crate::admission::Admission;
+pub use crate::admission_decision::{AdmissionDecision, QueueUpdate};
 pub use crate::admission_settings::AdmissionSettings;
-pub use crate::admitted::{Admitted, Advance};
-pub use crate::arrival::Arrival;
+pub use crate::attempt_result::AttemptResult;
 pub use crate::budget::RetryBudget;
+pub use crate::capacity::Capacity;
 pub use crate::choice::Choice;
-pub use crate::demand::{Demand, Prefix, Suspicion};
-pub use crate::ending::Ending;
+pub use crate::concurrency_limit::ConcurrencyLimit;
+pub use crate::elapsed_wait::ElapsedWait;
 pub use crate::error::{Error, Result};
-pub use crate::exchange::{Exchange, Part, Use, WHOLE, account_number};
 pub use crate::fingerprint::Fingerprint;
 pub use crate::key::{AttemptKey, TargetKey};
-pub use crate::limit::Limit;
-pub use crate::pace::Pace;
-pub use crate::places::Places;
+pub use crate::load_report::{RankLoadReport, TargetLoadReport};
+pub use crate::placement_request::{PlacementRequest, Prefix, Suspicion};
 pub use crate::pool::Pool;
+pub use crate::pool_settings::PoolSettings;
 pub use crate::quarantine::Quarantine;
-pub use crate::rate::Rate;
-pub use crate::ration::Ration;
-pub use crate::refusal::{Reason, Refusal};
-pub use crate::report::{RankReport, Report};
-pub use crate::return_schedule::ReturnSchedule;
-pub use crate::standing::Standing;
-pub use crate::subset::{Linked, Reach, Site, Subset, SubsetSettings};
+pub use crate::quota_allocator::{
+    FULL_QUOTA, QuotaAllocator, QuotaGrant, QuotaUsage, account_hash,
+};
+pub use crate::refusal::{Refusal, RefusalReason};
+pub use crate::retry_after_schedule::RetryAfterSchedule;
+pub use crate::start_state::StartState;
+pub use crate::startup_grace::StartupGrace;
+pub use crate::step_time_model::StepTimeModel;
+pub use crate::subset::{LinkedTarget, Reachability, Subset, SubsetSettings, ZonedNode};
 pub use crate::target_set::{
-    Distance, LoadEstimate, Outcome, ReportedLoad, TargetSet, TargetSetTuning,
+    DispatchOutcome, LoadEstimate, Locality, ReportedLoad, TargetSet, TargetSetSettings,
 };
+pub use crate::target_status::TargetStatus;
 pub use crate::ticket::{AccountKey, TicketKey};
-pub use crate::time_used::TimeUsed;
-pub use crate::tuning::Tuning;
-pub use crate::usage::Usage;
+pub use crate::token_bucket::TokenBucket;
 pub use crate::verdict::Verdict;
