--- a/crates/direct/src/dispatch.rs
+++ b/crates/direct/src/dispatch.rs
@@ -1,16 +1,16 @@
 //! Where one request is sent, in turn, until it is answered or refused.
 
-use crate::answer::Answer;
 use crate::dialect::Dialect;
-use crate::director::Director;
 use crate::dispatch_attempts::AttemptOutcome;
 use crate::exchange::Head;
 use crate::metrics::Metrics;
 use crate::permit::Permit;
 use crate::placer::{PlacementError, Placer};
+use crate::proxy::Proxy;
 use crate::proxy_request::ProxyRequest;
 use crate::refusal::{Reason, Refusal};
 use crate::stream;
+use crate::target_response::TargetResponse;
 use crate::timing::Timing;
 use route::TargetKey;
 use std::sync::Arc;
@@ -53,7 +53,7 @@
         service: &str,
         route: &Route,
         deadline: Instant,
-        director: &Director,
+        proxy: &Proxy,
         req: ProxyRequest,
     ) -> Dispatch {
         Dispatch {
@@ -61,12 +61,12 @@
             service: service.to_owned(),
             kind: route.kind,
             deadline,
-            on_time_until: on_time_until(route, &req, director.placer()),
+            on_time_until: on_time_until(route, &req, proxy.placer()),
             attempts: route.attempts.max(1),
-            placer: Arc::clone(director.placer()),
-            dialect: director.dialect(),
-            timing: Arc::clone(director.timing()),
-            metrics: director.metrics().clone(),
+            placer: Arc::clone(proxy.placer()),
+            dialect: proxy.dialect(),
+            timing: Arc::clone(proxy.timing()),
+            metrics: proxy.metrics().clone(),
             req,
             tried: Vec::new(),
             unsent: 0,
@@ -77,14 +77,14 @@
     }
 
     /// Runs the request to its answer.
-    pub(crate) async fn run(mut self) -> Result<Answer, Refusal> {
+    pub(crate) async fn run(mut self) -> Result<TargetResponse, Refusal> {
         self.placer.deposit(&self.service);
         let mut failed = None;
         loop {
             if self.left().is_zero() {
                 return self.give_up(failed, Reason::Expired);
             }
-            let after = self.req.after;
+            let after = self.req.last_event_id;
             let permit = match self.placed().await {
                 Ok(permit) => permit,
                 Err(reason) => return self.give_up(failed, reason),
@@ -169,7 +169,7 @@
     /// Time in which it must begin to be answered to be on time. A stream of
     /// which the caller has events already is not late by its first one.
     pub(crate) fn left_on_time(&self, now: Instant) -> Duration {
-        if self.req.after.is_some() || self.has_begun {
+        if self.req.last_event_id.is_some() || self.has_begun {
             return Duration::MAX;
         }
         let until = self.on_time_until;
@@ -239,7 +239,11 @@
     }
 
     /// The final word where no target's answer can be had.
-    fn give_up(&self, failed: Option<Answer>, reason: Reason) -> Result<Answer, Refusal> {
+    fn give_up(
+        &self,
+        failed: Option<TargetResponse>,
+        reason: Reason,
+    ) -> Result<TargetResponse, Refusal> {
         if let Some(answer) = failed {
             return Ok(answer);
         }
@@ -255,7 +259,7 @@
                 Refusal::after(reason, spread(after))
             }
             Reason::NoTarget | Reason::NoTable => {
-                Refusal::after(reason, spread(self.timing.retry_absent))
+                Refusal::after(reason, spread(self.timing.retry_after_absent))
             }
             _ => Refusal::new(reason),
         };
@@ -275,7 +279,7 @@
 
 /// Until when a request's first answer is on time; none if it came too late.
 fn on_time_until(route: &Route, req: &ProxyRequest, placer: &Placer) -> Option<Instant> {
-    let used = req.patience.map_or(Duration::ZERO, |patience| {
+    let used = req.timeout.map_or(Duration::ZERO, |patience| {
         placer.time_used(&route.name, patience, req.arrived)
     });
     let left = route.objective.checked_sub(used)?;
--- a/crates/direct/src/dispatch_attempts.rs
+++ b/crates/direct/src/dispatch_attempts.rs
@@ -1,11 +1,11 @@
 //! The attempts of a request at single targets.
 
-use crate::answer::Answer;
 use crate::dialect::Verdict;
 use crate::dispatch::Dispatch;
 use crate::exchange::{Attempt, AttemptError, Head, Reuse};
 use crate::permit::Permit;
 use crate::refusal::Reason;
+use crate::target_response::TargetResponse;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::StatusCode;
@@ -24,7 +24,7 @@
     /// None; the caller says whether to go on.
     Missed(Reason),
     /// The target's own failure, which may be passed on if nothing is left.
-    Failed(Answer),
+    Failed(TargetResponse),
 }
 
 impl Dispatch {
@@ -51,7 +51,7 @@
         if let Some(load) = head.reading.load {
             permit.told(load);
         }
-        if let Some((what, outcome)) = declined(head.reading.word) {
+        if let Some((what, outcome)) = declined(head.reading.verdict) {
             self.log_miss(&permit, what, head.status.as_str());
             permit.ended(outcome);
             return AttemptOutcome::Missed(Reason::Declined);
@@ -80,7 +80,7 @@
         let sending = self.sending(reuse, after);
         let mut sent = pin!(sending.send(permit));
         let mut news = self.placer.news();
-        let mut silent = pin!(sleep(self.timing.silence));
+        let mut silent = pin!(sleep(self.timing.inactivity));
         loop {
             tokio::select! {
                 answered = &mut sent => return answered,
@@ -88,7 +88,7 @@
                     if self.may_move() {
                         return Err(AttemptError::Lost("silent for too long".to_owned()));
                     }
-                    silent.set(sleep(self.timing.silence));
+                    silent.set(sleep(self.timing.inactivity));
                 }
                 // The placer sends until it is dropped.
                 _ = news.changed() => {
@@ -148,7 +148,11 @@
     }
 
     /// Reads an answer to its end: only then is it known to be whole.
-    pub(crate) async fn whole(&mut self, head: Head, mut permit: Permit) -> Result<Answer, Reason> {
+    pub(crate) async fn whole(
+        &mut self,
+        head: Head,
+        mut permit: Permit,
+    ) -> Result<TargetResponse, Reason> {
         let failed = head.status.is_server_error();
         let mut buf = BytesMut::new();
         let mut body = head.body;
@@ -186,12 +190,12 @@
     match word {
         Verdict::NotRun => Some(("declined", Outcome::Declined)),
         Verdict::Replaced => Some(("replaced", Outcome::Replaced)),
-        Verdict::Vouched | Verdict::Unvouched | Verdict::Foreign => None,
+        Verdict::Verified | Verdict::Unverified | Verdict::OtherRequest => None,
     }
 }
 
-fn answer(status: StatusCode, headers: hyper::HeaderMap, body: Bytes) -> Answer {
-    Answer {
+fn answer(status: StatusCode, headers: hyper::HeaderMap, body: Bytes) -> TargetResponse {
+    TargetResponse {
         status,
         headers,
         body: admin::full(body),
--- a/crates/direct/src/exchange.rs
+++ b/crates/direct/src/exchange.rs
@@ -1,6 +1,6 @@
 //! One request to one target, up to the head of its answer.
 
-use crate::dialect::{Dialect, Reading, Told, Verdict};
+use crate::dialect::{Dialect, RequestMetadata, ResponseInfo, Verdict};
 use crate::permit::Permit;
 use crate::proxy_request::ProxyRequest;
 use crate::timing::Timing;
@@ -37,7 +37,7 @@
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Incoming,
-    pub(crate) reading: Reading,
+    pub(crate) reading: ResponseInfo,
     pub(crate) conn: Connection,
 }
 
@@ -81,18 +81,18 @@
         conn: Connection,
     ) -> Result<Head, AttemptError> {
         let (head, body) = response.into_parts();
-        let reading = (self.dialect.read)(&self.req.id, head.status, &head.headers);
-        match reading.word {
-            Verdict::Foreign => {
+        let reading = (self.dialect.read_head)(&self.req.id, head.status, &head.headers);
+        match reading.verdict {
+            Verdict::OtherRequest => {
                 return Err(AttemptError::Lost(
                     "the answer to another request came".to_owned(),
                 ));
             }
-            Verdict::Unvouched if head.status.is_success() => {
+            Verdict::Unverified if head.status.is_success() => {
                 let why = "the target doesn't vouch for its answer";
                 return Err(AttemptError::Lost(why.to_owned()));
             }
-            Verdict::Vouched | Verdict::Unvouched | Verdict::NotRun | Verdict::Replaced => {}
+            Verdict::Verified | Verdict::Unverified | Verdict::NotRun | Verdict::Replaced => {}
         }
         Ok(Head {
             status: head.status,
@@ -111,7 +111,7 @@
             // Bytes that nobody acknowledges are a matter of the connection,
             // however long the answer may take.
             progress: match self.reuse {
-                Reuse::Kept => self.timing.silence,
+                Reuse::Kept => self.timing.inactivity,
                 Reuse::Fresh => left,
             },
             question: left,
@@ -129,13 +129,13 @@
             .body(Full::new(self.req.body.clone()))
             .map_err(|e| AttemptError::Unsent(e.to_string()))?;
         let mut headers = self.req.headers.clone();
-        let told = Told {
+        let told = RequestMetadata {
             target: &permit.endpoint().id,
             account: self.account,
-            left: self.left(),
-            after: self.after,
+            time_left: self.left(),
+            last_event_id: self.after,
         };
-        (self.dialect.write)(&told, &mut headers);
+        (self.dialect.write_headers)(&told, &mut headers);
         *req.headers_mut() = headers;
         Ok(req)
     }
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -1,35 +1,35 @@
 //! Requests straight to targets, without an agent.
 //!
-//! A [`Director`] takes a [`ProxyRequest`], finds its route in the table in force,
-//! chooses a target, and gives back an [`Answer`]: the target's own, or a
+//! A [`Proxy`] takes a [`ProxyRequest`], finds its route in the table in force,
+//! chooses a target, and gives back an [`TargetResponse`]: the target's own, or a
 //! [`Refusal`] that says whether the request ran. How a target is spoken to
 //! beside plain HTTP is its deployment's [`Dialect`].
 //!
 //! A request that may not be repeated is sent once. It is sent again only if
 //! nothing of it was written, or its target says that it did not run it.
 
-mod answer;
 mod dialect;
-mod director;
 mod dispatch;
 mod dispatch_attempts;
 mod dispatch_log;
-mod doors;
 mod events;
 mod exchange;
 mod metrics;
 mod permit;
 mod placer;
+mod proxy;
 mod proxy_request;
+mod readiness;
 mod refusal;
 mod service_targets;
 mod stream;
+mod target_response;
 mod timing;
 
-pub use answer::Answer;
-pub use dialect::{Dialect, Keeps, Reading, Told, Verdict};
-pub use director::{Director, DirectorSettings};
-pub use doors::Doors;
+pub use dialect::{Dialect, KeepAlive, RequestMetadata, ResponseInfo, Verdict};
+pub use proxy::{Proxy, ProxySettings};
 pub use proxy_request::ProxyRequest;
+pub use readiness::Readiness;
 pub use refusal::{Reason, Refusal};
+pub use target_response::TargetResponse;
 pub use timing::Timing;
--- a/crates/direct/src/placer.rs
+++ b/crates/direct/src/placer.rs
@@ -69,7 +69,7 @@
         let routes: BTreeSet<&str> = table.routes().iter().map(|r| r.name.as_str()).collect();
         inner.used.retain(|name, _| routes.contains(name.as_str()));
         for service in table.services() {
-            let fresh = || ServiceTargets::new(service, self.timing.retry_full, now);
+            let fresh = || ServiceTargets::new(service, self.timing.retry_after_full, now);
             let held = inner
                 .services
                 .entry(service.name.clone())
@@ -77,7 +77,7 @@
             let own = known
                 .iter()
                 .filter(|known| known.told.service == service.name);
-            held.follow(own, &self.zone, self.timing.kept, now);
+            held.follow(own, &self.zone, self.timing.idle_connection, now);
         }
         drop(inner);
         self.news.send_replace(());
@@ -191,7 +191,9 @@
     pub(crate) fn come_back(&self, service: &str, most: Duration, now: Instant) -> Duration {
         let mut inner = self.inner();
         let held = inner.services.get_mut(service);
-        held.map_or(self.timing.retry_full, |held| held.returns.next(most, now))
+        held.map_or(self.timing.retry_after_full, |held| {
+            held.returns.next(most, now)
+        })
     }
 
     /// Whether another target could take a request that is sent again.
--- a/crates/direct/src/director.rs
+++ b/crates/direct/src/proxy.rs
@@ -1,12 +1,12 @@
 //! Takes each request to its targets.
 
-use crate::answer::Answer;
 use crate::dialect::Dialect;
 use crate::dispatch::Dispatch;
 use crate::metrics::Metrics;
 use crate::placer::Placer;
 use crate::proxy_request::ProxyRequest;
 use crate::refusal::{Reason, Refusal};
+use crate::target_response::TargetResponse;
 use crate::timing::Timing;
 use node::Watcher;
 use prometheus_client::registry::Registry;
@@ -19,9 +19,9 @@
 /// that fell silent are noticed.
 const TIDY: Duration = Duration::from_millis(500);
 
-/// Settings of a director.
+/// Settings of a proxy.
 #[derive(Clone, Debug)]
-pub struct DirectorSettings {
+pub struct ProxySettings {
     /// Availability zone of this entry.
     pub zone: String,
     /// Times.
@@ -32,7 +32,7 @@
 
 /// Takes each request to its targets; clones share everything.
 #[derive(Clone)]
-pub struct Director {
+pub struct Proxy {
     watcher: Watcher,
     placer: Arc<Placer>,
     timing: Arc<Timing>,
@@ -41,13 +41,13 @@
     began: Instant,
 }
 
-impl Director {
+impl Proxy {
     /// Begins to keep services and targets in line with what the watcher holds.
     #[must_use]
-    pub fn spawn(watcher: Watcher, cfg: DirectorSettings, registry: &mut Registry) -> Director {
+    pub fn spawn(watcher: Watcher, cfg: ProxySettings, registry: &mut Registry) -> Proxy {
         let metrics = Metrics::default();
         metrics.register(registry);
-        let director = Director {
+        let proxy = Proxy {
             placer: Arc::new(Placer::new(&cfg.zone, cfg.timing.clone())),
             timing: Arc::new(cfg.timing),
             dialect: cfg.dialect,
@@ -56,11 +56,11 @@
             began: Instant::now(),
         };
         tokio::spawn(follow(
-            director.watcher.clone(),
-            Arc::clone(&director.placer),
-            director.metrics.clone(),
+            proxy.watcher.clone(),
+            Arc::clone(&proxy.placer),
+            proxy.metrics.clone(),
         ));
-        director
+        proxy
     }
 
     /// Runs one request.
@@ -68,7 +68,7 @@
     /// # Errors
     ///
     /// A [`Refusal`] that says whether it ran.
-    pub async fn run(&self, req: ProxyRequest) -> Result<Answer, Refusal> {
+    pub async fn run(&self, req: ProxyRequest) -> Result<TargetResponse, Refusal> {
         self.metrics.open.inc();
         let _open = Open(&self.metrics);
         let arrived = req.arrived;
@@ -85,13 +85,17 @@
     }
 
     /// Runs it, and tells the service once that is known.
-    async fn direct(&self, req: ProxyRequest, led_to: &mut String) -> Result<Answer, Refusal> {
+    async fn direct(
+        &self,
+        req: ProxyRequest,
+        led_to: &mut String,
+    ) -> Result<TargetResponse, Refusal> {
         let table = self.known_table(&req).await?;
         let route = table.route(&req.host, req.path_only());
         let route = route.ok_or_else(|| refuse(&req, &table, Reason::NoRoute))?;
         let account = account(&table, route, &req)?;
         let waits = req
-            .patience
+            .timeout
             .map_or(route.timeout, |waits| waits.min(route.timeout));
         let service = route.service(rand::random());
         service.clone_into(led_to);
@@ -107,13 +111,16 @@
                 return Ok(table);
             }
             let now = Instant::now();
-            let patience = req.patience.unwrap_or(self.timing.silence);
+            let patience = req.timeout.unwrap_or(self.timing.inactivity);
             let deadline = req.arrived + patience;
             let absence = &self.timing.absence;
             let until = absence.waits_until(self.began, deadline, now);
             let Some((until, _waiter)) = until.zip(self.placer.waiter()) else {
                 log::info!(request = req.id.as_str(); "refused: {}", Reason::NoTable);
-                return Err(Refusal::after(Reason::NoTable, self.timing.retry_absent));
+                return Err(Refusal::after(
+                    Reason::NoTable,
+                    self.timing.retry_after_absent,
+                ));
             };
             // Either outcome means that it is time to look again.
             let _ = timeout(until - now, changed.changed()).await;
@@ -147,7 +154,7 @@
 
 /// The client account of a caller who may use the route.
 fn account(table: &Table, route: &Route, req: &ProxyRequest) -> Result<Option<String>, Refusal> {
-    let known = req.key.as_deref().and_then(|key| table.account(key));
+    let known = req.api_key.as_deref().and_then(|key| table.account(key));
     if known.is_none() && table.has_accounts() && route.access == Access::Accounts {
         return Err(refuse(req, table, Reason::UnknownKey));
     }
--- a/crates/direct/src/proxy_request.rs
+++ b/crates/direct/src/proxy_request.rs
@@ -18,11 +18,11 @@
     /// Path and query, passed on as they are.
     pub path: String,
     /// Key of a client account, if one was shown.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// How long the caller waits, if it says so.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Last event that the caller has of a stream.
-    pub after: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// Headers that are passed on.
     pub headers: HeaderMap,
     /// Body.
--- a/crates/direct/src/doors.rs
+++ b/crates/direct/src/readiness.rs
@@ -16,46 +16,46 @@
 /// Whether an entry takes callers: from its first route table on, until it is
 /// asked to end. Clones share one state.
 #[derive(Clone)]
-pub struct Doors {
+pub struct Readiness {
     watcher: Watcher,
     closing: Arc<AtomicBool>,
 }
 
-impl Doors {
+impl Readiness {
     /// Opens as soon as the watcher holds a route table.
     #[must_use]
-    pub fn spawn(watcher: Watcher) -> Doors {
-        let doors = Doors {
+    pub fn spawn(watcher: Watcher) -> Readiness {
+        let readiness = Readiness {
             watcher,
             closing: Arc::default(),
         };
-        tokio::spawn(doors.clone().open_with_table());
-        doors
+        tokio::spawn(readiness.clone().open_with_table());
+        readiness
     }
 
     /// Whether callers may be sent here.
     #[must_use]
-    pub fn are_open(&self) -> bool {
-        self.watcher.table().is_some() && !self.are_closing()
+    pub fn is_ready(&self) -> bool {
+        self.watcher.table().is_some() && !self.is_shutting_down()
     }
 
     /// Whether the entry is about to end, so that callers should go elsewhere
     /// with their next request.
     #[must_use]
-    pub fn are_closing(&self) -> bool {
+    pub fn is_shutting_down(&self) -> bool {
         self.closing.load(Ordering::Relaxed)
     }
 
     /// Of the time that is given to end, the part for requests that run once
-    /// [`Doors::close`] has returned.
+    /// [`Readiness::announce_shutdown`] has returned.
     #[must_use]
-    pub fn drain(grace: Duration) -> Duration {
+    pub fn drain_timeout(grace: Duration) -> Duration {
         grace.mul_f64(ENDS - TAKES_CALLERS)
     }
 
     /// Has callers sent elsewhere, and returns once they had time to learn of
     /// it. Requests that come until then are still run.
-    pub async fn close(&self, grace: Duration) {
+    pub async fn announce_shutdown(&self, grace: Duration) {
         self.closing.store(true, Ordering::Relaxed);
         self.watcher.set_open(false);
         sleep(grace.mul_f64(TAKES_CALLERS)).await;
@@ -68,7 +68,7 @@
                 return;
             }
         }
-        if !self.are_closing() {
+        if !self.is_shutting_down() {
             self.watcher.set_open(true);
         }
     }
--- a/crates/direct/src/service_targets.rs
+++ b/crates/direct/src/service_targets.rs
@@ -1,6 +1,6 @@
 //! The targets of one service, with what bounds requests to them.
 
-use crate::dialect::{Keeps, Reading};
+use crate::dialect::{KeepAlive, ResponseInfo};
 use crate::timing::Timing;
 use member::Presence;
 use node::KnownTarget;
@@ -169,17 +169,22 @@
 }
 
 /// Keeps a connection whose answer was read to its end, if its target does.
-pub(crate) fn keep(endpoint: &Endpoint, mut conn: Connection, reading: &Reading, timing: &Timing) {
-    match reading.keeps {
-        Keeps::Not => return,
-        Keeps::For(time) if time < timing.kept => return,
-        Keeps::For(_) | Keeps::Untold => {}
+pub(crate) fn keep(
+    endpoint: &Endpoint,
+    mut conn: Connection,
+    reading: &ResponseInfo,
+    timing: &Timing,
+) {
+    match reading.keep_alive {
+        KeepAlive::Close => return,
+        KeepAlive::Timeout(time) if time < timing.idle_connection => return,
+        KeepAlive::Timeout(_) | KeepAlive::Unspecified => {}
     }
     let cfg = ClientSettings {
         connect: timing.connect,
-        head: timing.silence,
-        progress: timing.silence,
-        question: timing.silence,
+        head: timing.inactivity,
+        progress: timing.inactivity,
+        question: timing.inactivity,
     };
     match conn.keep(&cfg) {
         Ok(()) => endpoint.pool.put(conn, Instant::now()),
--- a/crates/direct/src/stream.rs
+++ b/crates/direct/src/stream.rs
@@ -1,10 +1,10 @@
 //! Passes a stream on, and goes on elsewhere when its target is lost.
 
-use crate::answer::Answer;
 use crate::dispatch::Dispatch;
 use crate::events::Events;
 use crate::exchange::Head;
 use crate::permit::Permit;
+use crate::target_response::TargetResponse;
 use bytes::Bytes;
 use futures_util::stream;
 use http_body_util::{BodyExt, StreamBody};
@@ -31,7 +31,7 @@
 struct Source {
     body: Incoming,
     conn: Connection,
-    reading: crate::Reading,
+    reading: crate::ResponseInfo,
     permit: Permit,
     /// When its last events came.
     heard: Option<Instant>,
@@ -62,10 +62,10 @@
 }
 
 /// The answer whose body passes a target's events on as they come.
-pub(crate) fn relay(dispatch: Dispatch, head: Head, permit: Permit) -> Answer {
+pub(crate) fn relay(dispatch: Dispatch, head: Head, permit: Permit) -> TargetResponse {
     let (status, headers) = (head.status, head.headers);
     let relay = Relay {
-        last: dispatch.req.after,
+        last: dispatch.req.last_event_id,
         source: Some(Source {
             body: head.body,
             conn: head.conn,
@@ -84,7 +84,7 @@
             Err(e) => Some((Err(e), None)),
         }
     });
-    Answer {
+    TargetResponse {
         status,
         headers,
         body: StreamBody::new(body).boxed_unsync(),
@@ -139,7 +139,7 @@
     async fn read(&mut self) -> Next {
         let left = self.dispatch.left();
         let silence = if self.can_go_on() {
-            self.dispatch.timing.silence.min(left)
+            self.dispatch.timing.inactivity.min(left)
         } else {
             left
         };
--- a/crates/direct/src/answer.rs
+++ b/crates/direct/src/target_response.rs
@@ -5,7 +5,7 @@
 
 /// A target's own answer: status, headers and bytes as it gave them.
 #[derive(Debug)]
-pub struct Answer {
+pub struct TargetResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers that are passed on.
--- a/crates/direct/tests/doors.rs
+++ b/crates/direct/tests/doors.rs
@@ -1,7 +1,7 @@
 //! When an entry takes callers, and how it stops.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-use direct::Doors;
+use direct::Readiness;
 use member::Entrance;
 use node::{Watcher, WatcherSettings};
 use std::time::Duration;
@@ -34,10 +34,10 @@
 /// leads there.
 #[tokio::test(start_paused = true)]
 async fn doors_shut_without_table() {
-    let doors = Doors::spawn(watcher());
+    let readiness = Readiness::spawn(watcher());
     tokio::time::sleep(Duration::from_mins(1)).await;
-    assert!(!doors.are_open());
-    assert!(!doors.are_closing());
+    assert!(!readiness.is_ready());
+    assert!(!readiness.is_shutting_down());
 }
 
 /// Callers learn with some delay that an entry leaves. Were it shut at once
@@ -45,17 +45,17 @@
 /// be cut off when the process is killed.
 #[tokio::test(start_paused = true)]
 async fn doors_close_with_time_left_to_finish() {
-    let doors = Doors::spawn(watcher());
+    let readiness = Readiness::spawn(watcher());
     let grace = Duration::from_secs(8);
     let began = Instant::now();
-    let closing = doors.clone();
-    let closed = tokio::spawn(async move { closing.close(grace).await });
+    let closing = readiness.clone();
+    let closed = tokio::spawn(async move { closing.announce_shutdown(grace).await });
     tokio::task::yield_now().await;
-    assert!(doors.are_closing());
-    assert!(!doors.are_open());
+    assert!(readiness.is_shutting_down());
+    assert!(!readiness.is_ready());
     timeout(grace, closed).await.unwrap().unwrap();
     let taken = began.elapsed();
     assert!(taken > Duration::ZERO);
-    assert!(taken + Doors::drain(grace) < grace);
-    assert!(Doors::drain(grace) >= grace / 2);
+    assert!(taken + Readiness::drain_timeout(grace) < grace);
+    assert!(Readiness::drain_timeout(grace) >= grace / 2);
 }
