--- /dev/null
+++ b/crates/direct/src/balancer.rs
@@ -0,0 +1,305 @@
+//! Chooses targets for the requests of all services.
+
+use crate::permit::Permit;
+use crate::service_targets::ServiceTargets;
+use crate::timing::Timing;
+use node::KnownTarget;
+use rand::rngs::SmallRng;
+use route::{Outcome, ReportedLoad, TargetKey, TimeUsed};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::{Duration, Instant};
+use table::Table;
+use tokio::sync::{Semaphore, SemaphorePermit, watch};
+
+/// Maximum number of requests that wait for a route table or target. With four
+/// entries this is about what the targets of a service can start at once when
+/// they become available.
+const MAX_WAITING_REQUESTS: usize = 64;
+
+/// Chooses targets for the requests of all services, as listed in the route table
+/// and the member board.
+#[derive(Debug)]
+pub(crate) struct Balancer {
+    zone: String,
+    timing: Timing,
+    inner: Mutex<Inner>,
+    /// Notified when targets or the route table may have changed.
+    changes: watch::Sender<()>,
+    waiting: Semaphore,
+}
+
+#[derive(Debug)]
+struct Inner {
+    rng: SmallRng,
+    services: BTreeMap<String, ServiceTargets>,
+    /// Per route, the time that callers spent on earlier attempts.
+    time_used: BTreeMap<String, TimeUsed>,
+}
+
+/// Why no target could be chosen.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum AcquireError {
+    /// No target is available.
+    NoTarget,
+    /// All available targets are full or were tried.
+    Full,
+}
+
+impl Balancer {
+    pub(crate) fn new(zone: &str, timing: Timing) -> Balancer {
+        let inner = Inner {
+            rng: rand::make_rng(),
+            services: BTreeMap::new(),
+            time_used: BTreeMap::new(),
+        };
+        Balancer {
+            zone: zone.to_owned(),
+            timing,
+            inner: Mutex::new(inner),
+            changes: watch::Sender::default(),
+            waiting: Semaphore::new(MAX_WAITING_REQUESTS),
+        }
+    }
+
+    /// Updates the services and their targets from the route table and the known
+    /// targets.
+    pub(crate) fn update(&self, table: &Table, known: &[KnownTarget], now: Instant) {
+        let mut inner = self.inner();
+        inner
+            .services
+            .retain(|name, _| table.service(name).is_some());
+        let routes: BTreeSet<&str> = table.routes().iter().map(|r| r.name.as_str()).collect();
+        inner
+            .time_used
+            .retain(|name, _| routes.contains(name.as_str()));
+        for service in table.services() {
+            let create = || ServiceTargets::new(service, self.timing.retry_after_full, now);
+            let targets = inner
+                .services
+                .entry(service.name.clone())
+                .or_insert_with(create);
+            let of_service = known
+                .iter()
+                .filter(|known| known.told.service == service.name);
+            targets.update(of_service, &self.zone, self.timing.idle_connection, now);
+        }
+        drop(inner);
+        self.changes.send_replace(());
+    }
+
+    /// For each service: its name, the number of available targets, and of all.
+    pub(crate) fn target_counts(&self) -> Vec<(String, usize, usize)> {
+        let inner = self.inner();
+        let services = inner.services.iter();
+        let counts = services.map(|(name, targets)| {
+            let available = targets.set.available();
+            (name.clone(), available, targets.endpoints.len())
+        });
+        counts.collect()
+    }
+
+    /// Notified when targets may have changed.
+    pub(crate) fn changes(&self) -> watch::Receiver<()> {
+        self.changes.subscribe()
+    }
+
+    /// A slot for a waiting request; none if [`MAX_WAITING_REQUESTS`] wait already.
+    pub(crate) fn waiting_slot(&self) -> Option<SemaphorePermit<'_>> {
+        self.waiting.try_acquire().ok()
+    }
+
+    /// Until when a request to a service without available targets waits before
+    /// the next try; none if it should be refused at once.
+    pub(crate) fn wait_until(
+        &self,
+        service: &str,
+        deadline: Instant,
+        now: Instant,
+    ) -> Option<Instant> {
+        let inner = self.inner();
+        let targets = inner.services.get(service)?;
+        let absence = &self.timing.absence;
+        let until = absence.waits_until(targets.unavailable_since?, deadline, now)?;
+        let trial = targets.set.next_trial().filter(|at| *at > now);
+        Some(trial.map_or(until, |at| at.min(until)))
+    }
+
+    /// Acquires a slot of the best target that was not tried yet. `left` is the
+    /// time until the response must start.
+    pub(crate) fn acquire(
+        self: &Arc<Balancer>,
+        service: &str,
+        left: Duration,
+        tried: &[TargetKey],
+        now: Instant,
+    ) -> Result<Permit, AcquireError> {
+        let mut inner = self.inner();
+        let Inner { rng, services, .. } = &mut *inner;
+        let targets = services.get_mut(service).ok_or(AcquireError::NoTarget)?;
+        let Some(key) = targets.set.choose_in(left, tried, now, rng) else {
+            if targets.set.has_available() {
+                return Err(AcquireError::Full);
+            }
+            targets.unavailable_since.get_or_insert(now);
+            return Err(AcquireError::NoTarget);
+        };
+        if targets.set.has_available() {
+            targets.unavailable_since = None;
+        }
+        let (endpoint, load) = targets
+            .start_request(key, now)
+            .ok_or(AcquireError::NoTarget)?;
+        drop(inner);
+        Ok(Permit::new(Arc::clone(self), service, key, endpoint, load))
+    }
+
+    /// Acquires a slot for a stream that moves away from a slow target.
+    pub(crate) fn acquire_for_move(
+        self: &Arc<Balancer>,
+        service: &str,
+        tried: &[TargetKey],
+        now: Instant,
+    ) -> Option<Permit> {
+        let mut inner = self.inner();
+        let Inner { rng, services, .. } = &mut *inner;
+        let targets = services.get_mut(service)?;
+        let key = targets.set.choose_to_move(tried, now, rng)?;
+        let (endpoint, load) = targets.start_request(key, now)?;
+        drop(inner);
+        Some(Permit::new(Arc::clone(self), service, key, endpoint, load))
+    }
+
+    /// How much time a caller of a route has spent on earlier attempts, given that
+    /// it now waits for `timeout`.
+    pub(crate) fn time_used(&self, route: &str, timeout: Duration, now: Instant) -> Duration {
+        let mut inner = self.inner();
+        if !inner.time_used.contains_key(route) {
+            inner.time_used.insert(route.to_owned(), TimeUsed::new(now));
+        }
+        let used = inner.time_used.get_mut(route);
+        used.map_or(Duration::ZERO, |used| used.observe(timeout, now))
+    }
+
+    /// Adds a request's share to the retry budget of its service.
+    pub(crate) fn deposit_retry(&self, service: &str) {
+        if let Some(targets) = self.inner().services.get_mut(service) {
+            targets.retry_budget.deposit();
+        }
+    }
+
+    /// Takes one retry from the budget of the service; false if it is exhausted.
+    pub(crate) fn withdraw_retry(&self, service: &str, now: Instant) -> bool {
+        let mut inner = self.inner();
+        let targets = inner.services.get_mut(service);
+        targets.is_some_and(|targets| targets.retry_budget.withdraw(now))
+    }
+
+    /// Delay until a refused caller should retry, at most `max_delay`.
+    pub(crate) fn retry_after_refusal(
+        &self,
+        service: &str,
+        max_delay: Duration,
+        now: Instant,
+    ) -> Duration {
+        let mut inner = self.inner();
+        let targets = inner.services.get_mut(service);
+        targets.map_or(self.timing.retry_after_full, |targets| {
+            targets.retry_schedule.next(max_delay, now)
+        })
+    }
+
+    /// Whether the retry budget and the other targets allow a retry now.
+    pub(crate) fn can_retry_elsewhere(
+        &self,
+        service: &str,
+        left: Duration,
+        tried: &[TargetKey],
+        now: Instant,
+    ) -> bool {
+        let mut inner = self.inner();
+        let Inner { rng, services, .. } = &mut *inner;
+        services.get_mut(service).is_some_and(|targets| {
+            targets.retry_budget.has_one(now)
+                && targets.set.choose_in(left, tried, now, rng).is_some()
+        })
+    }
+
+    /// Whether a stream should move from its target to one with a free slot.
+    pub(crate) fn should_move(&self, service: &str, key: TargetKey, now: Instant) -> bool {
+        let mut inner = self.inner();
+        let Inner { rng, services, .. } = &mut *inner;
+        services.get_mut(service).is_some_and(|targets| {
+            targets.set.sheds(key)
+                && targets.retry_budget.has_one(now)
+                && targets.set.choose_to_move(&[key], now, rng).is_some()
+        })
+    }
+
+    pub(crate) fn record_load(
+        &self,
+        service: &str,
+        key: TargetKey,
+        load: ReportedLoad,
+        now: Instant,
+    ) {
+        if let Some(targets) = self.inner().services.get_mut(service) {
+            targets.set.told(key, load, now);
+        }
+    }
+
+    /// Records the pause between two events of a stream, and the longest pause
+    /// that is still on time.
+    pub(crate) fn record_pause(
+        &self,
+        service: &str,
+        key: TargetKey,
+        (pause, max_pause): (Duration, Duration),
+        now: Instant,
+    ) {
+        if let Some(targets) = self.inner().services.get_mut(service) {
+            targets.set.paused(key, pause, max_pause, now);
+        }
+    }
+
+    /// Releases the slot of a request that was sent `time` ago.
+    pub(crate) fn finish(
+        &self,
+        service: &str,
+        key: TargetKey,
+        (outcome, time): (Outcome, Duration),
+        now: Instant,
+    ) {
+        if let Some(targets) = self.inner().services.get_mut(service) {
+            targets.set.end(key, outcome, now);
+            if !matches!(outcome, Outcome::Declined | Outcome::Replaced) {
+                targets.retry_schedule.ended(now);
+            }
+            if outcome == Outcome::Answered {
+                targets.set.ran(time);
+            }
+        }
+        if outcome == Outcome::Declined {
+            // The declined request may have been the only one let through to test
+            // the target; requests that wait for its outcome are woken.
+            self.changes.send_replace(());
+        }
+    }
+
+    /// Closes connections that were idle for too long.
+    pub(crate) fn close_idle_connections(&self, now: Instant) {
+        let inner = self.inner();
+        let endpoints = inner
+            .services
+            .values()
+            .flat_map(|targets| targets.endpoints.values());
+        for (_, endpoint) in endpoints {
+            endpoint.pool.tidy(now);
+        }
+    }
+
+    fn inner(&self) -> MutexGuard<'_, Inner> {
+        // No code that holds the lock can panic and leave the state inconsistent.
+        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
--- a/crates/direct/src/dialect.rs
+++ b/crates/direct/src/dialect.rs
@@ -1,65 +1,67 @@
-//! How a deployment's targets are spoken to beside plain HTTP.
+//! Headers that a deployment uses in addition to standard HTTP.
 
 use hyper::{HeaderMap, StatusCode};
 use route::ReportedLoad;
 use std::time::Duration;
 
-/// What a target is told with a request.
+/// Data that a target receives along with a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestMetadata<'a> {
-    /// The target that is meant; another one at its address must not run it.
+    /// Id of the intended target; another one at the same address must not run
+    /// the request.
     pub target: &'a str,
-    /// The caller's client account.
+    /// Client account of the caller.
     pub account: Option<&'a str>,
-    /// Time that is left for the answer.
+    /// Time left until the response is due.
     pub time_left: Duration,
-    /// Last event that is here of a stream that goes on.
+    /// Id of the last event received, for a stream that is resumed.
     pub last_event_id: Option<u64>,
 }
 
-/// What the head of an answer says.
+/// Information from the head of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseInfo {
-    /// What is known of the answer and of the request's run.
+    /// Whether the response belongs to the request, and whether it ran.
     pub verdict: Verdict,
-    /// How long the target keeps the connection.
+    /// Whether and how long the target keeps the connection open.
     pub keep_alive: KeepAlive,
-    /// Its load, if it tells.
+    /// The load that the target reports, if any.
     pub load: Option<ReportedLoad>,
 }
 
-/// What is known of an answer and of the request's run.
+/// Whether a response belongs to the request, and whether the request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It answers the request, and the target vouches for it.
+    /// The response belongs to the request and carries the target's mark.
     Verified,
-    /// It answers the request, and the target doesn't vouch for it: a success
-    /// is none.
+    /// The response belongs to the request and lacks the target's mark. A
+    /// success without the mark is not trusted.
     Unverified,
-    /// The target says that it did not run the request.
+    /// The target reports that it did not run the request.
     NotRun,
-    /// Another target has the address, and did not run the request.
+    /// Another target now has the address, and did not run the request.
     Replaced,
-    /// It answers another request.
+    /// The response belongs to another request.
     OtherRequest,
 }
 
-/// How long a target keeps a connection after an answer.
+/// How long a target keeps a connection open after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeepAlive {
-    /// It closes it.
+    /// The target closes the connection.
     Close,
-    /// It keeps it for so long.
+    /// The target keeps an idle connection open for this long.
     Timeout(Duration),
-    /// It doesn't say.
+    /// The response does not say.
     Unspecified,
 }
 
-/// How a deployment's targets are spoken to beside plain HTTP.
+/// Writes and reads the headers that a deployment uses in addition to standard
+/// HTTP.
 #[derive(Clone, Copy, Debug)]
 pub struct Dialect {
-    /// Adds to the headers what the target is told.
+    /// Adds the metadata to the headers of a request.
     pub write_headers: fn(&RequestMetadata<'_>, &mut HeaderMap),
-    /// Reads the head of the answer to the request of that id.
+    /// Reads the head of the response to the request with the given id.
     pub read_head: fn(&str, StatusCode, &HeaderMap) -> ResponseInfo,
 }
--- a/crates/direct/src/dispatch.rs
+++ b/crates/direct/src/dispatch.rs
@@ -1,11 +1,11 @@
-//! Where one request is sent, in turn, until it is answered or refused.
+//! Sends one request to targets in turn until it is answered or refused.
 
+use crate::balancer::{AcquireError, Balancer};
 use crate::dialect::Dialect;
 use crate::dispatch_attempts::AttemptOutcome;
 use crate::exchange::Head;
 use crate::metrics::Metrics;
 use crate::permit::Permit;
-use crate::placer::{PlacementError, Placer};
 use crate::proxy::Proxy;
 use crate::proxy_request::ProxyRequest;
 use crate::refusal::{Reason, Refusal};
@@ -18,33 +18,35 @@
 use table::{Kind, Route};
 use tokio::time::timeout;
 
-/// Attempts that fail before anything is written, at most: they cost a target
-/// nothing, but each may cost the caller a time-out.
-const MOST_UNSENT: u32 = 3;
+/// Maximum number of attempts that fail before any byte is written. They cost
+/// targets nothing, but each may cost the caller a connect timeout.
+const MAX_UNSENT_ATTEMPTS: u32 = 3;
 
-/// One request on its way to an answer or a refusal.
+/// A request that is being sent to targets.
 pub(crate) struct Dispatch {
     pub(crate) req: ProxyRequest,
     pub(crate) account: Option<String>,
     pub(crate) service: String,
     pub(crate) kind: Kind,
     pub(crate) deadline: Instant,
-    /// Until when its first answer is on time; none if it came too late for that.
-    on_time_until: Option<Instant>,
-    /// Targets that may still run it.
-    pub(crate) attempts: u32,
-    pub(crate) placer: Arc<Placer>,
+    /// When the response must start to meet the route's latency objective; none if
+    /// the objective was already missed on arrival.
+    objective_deadline: Option<Instant>,
+    /// Number of targets that may still be given the request.
+    pub(crate) attempts_left: u32,
+    pub(crate) balancer: Arc<Balancer>,
     pub(crate) dialect: Dialect,
     pub(crate) timing: Arc<Timing>,
     pub(crate) metrics: Metrics,
     pub(crate) tried: Vec<TargetKey>,
-    pub(crate) unsent: u32,
-    /// The caller has the head of an answer.
-    has_begun: bool,
-    /// It has waited for a target.
-    waits: bool,
-    /// Why the last target did not answer it; the strongest doubt counts.
-    doubt: Option<Reason>,
+    /// Attempts that failed before any byte was written.
+    pub(crate) unsent_attempts: u32,
+    /// Whether the caller has received the head of a response.
+    response_started: bool,
+    /// Whether the request has waited for a target.
+    has_waited: bool,
+    /// Reason of the last failed attempt after which the request may have run.
+    ambiguous_reason: Option<Reason>,
 }
 
 impl Dispatch {
@@ -61,54 +63,54 @@
             service: service.to_owned(),
             kind: route.kind,
             deadline,
-            on_time_until: on_time_until(route, &req, proxy.placer()),
-            attempts: route.attempts.max(1),
-            placer: Arc::clone(proxy.placer()),
+            objective_deadline: objective_deadline(route, &req, proxy.balancer()),
+            attempts_left: route.attempts.max(1),
+            balancer: Arc::clone(proxy.balancer()),
             dialect: proxy.dialect(),
             timing: Arc::clone(proxy.timing()),
             metrics: proxy.metrics().clone(),
             req,
             tried: Vec::new(),
-            unsent: 0,
-            has_begun: false,
-            waits: false,
-            doubt: None,
+            unsent_attempts: 0,
+            response_started: false,
+            has_waited: false,
+            ambiguous_reason: None,
         }
     }
 
-    /// Runs the request to its answer.
+    /// Sends the request until it is answered or refused.
     pub(crate) async fn run(mut self) -> Result<TargetResponse, Refusal> {
-        self.placer.deposit(&self.service);
+        self.balancer.deposit_retry(&self.service);
         let mut failed = None;
         loop {
-            if self.left().is_zero() {
+            if self.time_left().is_zero() {
                 return self.give_up(failed, Reason::Expired);
             }
-            let after = self.req.last_event_id;
-            let permit = match self.placed().await {
+            let last_event_id = self.req.last_event_id;
+            let permit = match self.acquire_or_wait().await {
                 Ok(permit) => permit,
                 Err(reason) => return self.give_up(failed, reason),
             };
-            match self.attempt(permit, after).await {
+            match self.attempt(permit, last_event_id).await {
                 AttemptOutcome::Answered(head, permit) => {
                     if head.status.is_success() && self.is_stream() {
-                        self.has_begun = true;
+                        self.response_started = true;
                         return Ok(stream::relay(self, *head, permit));
                     }
-                    match self.whole(*head, permit).await {
-                        Ok(answer) => return Ok(answer),
-                        Err(reason) if self.may_repeat(reason) => {}
+                    match self.buffer_response(*head, permit).await {
+                        Ok(response) => return Ok(response),
+                        Err(reason) if self.try_retry(reason) => {}
                         Err(reason) => return self.give_up(failed, reason),
                     }
                 }
-                AttemptOutcome::Failed(answer) => {
-                    failed = Some(answer);
-                    if !self.may_repeat(Reason::Lost) {
+                AttemptOutcome::Failed(response) => {
+                    failed = Some(response);
+                    if !self.try_retry(Reason::Lost) {
                         return self.give_up(failed, Reason::Lost);
                     }
                 }
-                AttemptOutcome::Missed(reason) => {
-                    if !self.may_repeat(reason) {
+                AttemptOutcome::NoResponse(reason) => {
+                    if !self.try_retry(reason) {
                         return self.give_up(failed, reason);
                     }
                 }
@@ -120,179 +122,192 @@
         matches!(self.kind, Kind::Stream { .. })
     }
 
-    /// Takes a place, and waits for a target to come while the service has none.
-    async fn placed(&mut self) -> Result<Permit, Reason> {
+    /// Acquires a slot of a target; waits while the service has no available one.
+    async fn acquire_or_wait(&mut self) -> Result<Permit, Reason> {
         loop {
-            let mut news = self.placer.news();
-            let reason = match self.place() {
+            let mut changes = self.balancer.changes();
+            let reason = match self.acquire() {
                 Ok(permit) => return Ok(permit),
                 Err(reason) => reason,
             };
             let now = Instant::now();
             let until = match reason {
-                Reason::NoTarget => self.placer.looks_again(&self.service, self.deadline, now),
+                Reason::NoTarget => self.balancer.wait_until(&self.service, self.deadline, now),
                 _ => None,
             };
-            let Some((until, _waiter)) = until.zip(self.placer.waiter()) else {
+            let Some((until, _slot)) = until.zip(self.balancer.waiting_slot()) else {
                 return Err(reason);
             };
-            if !self.waits {
-                self.waits = true;
+            if !self.has_waited {
+                self.has_waited = true;
                 log::info!(
                     request = self.req.id.as_str(), service = self.service.as_str(),
-                    left_ms:display = self.left().as_millis();
-                    "waits for a target"
+                    left_ms:display = self.time_left().as_millis();
+                    "waiting for a target"
                 );
             }
-            // Either outcome means that it is time to look again.
-            let _ = timeout(until - now, news.changed()).await;
+            // A change and a time-out both lead to another try.
+            let _ = timeout(until - now, changes.changed()).await;
             self.metrics.waited(&self.service, now.elapsed());
-            // Those that declined before may be able by now.
+            // Targets that declined before may accept by now.
             self.tried.clear();
         }
     }
 
-    /// Takes a place at a target that wasn't tried yet.
-    pub(crate) fn place(&mut self) -> Result<Permit, Reason> {
+    /// Acquires a slot of a target that was not tried yet.
+    pub(crate) fn acquire(&mut self) -> Result<Permit, Reason> {
         let now = Instant::now();
-        let placed = self
-            .placer
-            .place(&self.service, self.left_on_time(now), &self.tried, now);
-        let permit = placed.map_err(|none| match none {
-            PlacementError::Absent => Reason::NoTarget,
-            PlacementError::Full => Reason::Full,
+        let acquired =
+            self.balancer
+                .acquire(&self.service, self.time_to_objective(now), &self.tried, now);
+        let permit = acquired.map_err(|e| match e {
+            AcquireError::NoTarget => Reason::NoTarget,
+            AcquireError::Full => Reason::Full,
         })?;
         self.tried.push(permit.key());
         Ok(permit)
     }
 
-    /// Time in which it must begin to be answered to be on time. A stream of
-    /// which the caller has events already is not late by its first one.
-    pub(crate) fn left_on_time(&self, now: Instant) -> Duration {
-        if self.req.last_event_id.is_some() || self.has_begun {
+    /// Time left until the response must start to meet the latency objective. A
+    /// stream of which the caller already has events has no such limit.
+    pub(crate) fn time_to_objective(&self, now: Instant) -> Duration {
+        if self.req.last_event_id.is_some() || self.response_started {
             return Duration::MAX;
         }
-        let until = self.on_time_until;
+        let until = self.objective_deadline;
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
-    /// A place where the stream that runs at the target of `permit` had better
-    /// go on, if that one is too slow.
-    pub(crate) fn place_to_move(&mut self, permit: &Permit) -> Option<Permit> {
+    /// Acquires a slot of another target for the stream that holds `permit`, if its
+    /// own target is too slow.
+    pub(crate) fn acquire_for_move(&mut self, permit: &Permit) -> Option<Permit> {
         let now = Instant::now();
-        let movable = self.kind.repeats() && self.attempts > 0 && permit.sheds(now);
+        let movable = self.kind.repeats() && self.attempts_left > 0 && permit.should_move(now);
         if !movable {
             return None;
         }
-        let place = self.placer.place_to_move(&self.service, &self.tried, now)?;
-        if !self.may_repeat(Reason::Lost) {
+        let new_permit = self
+            .balancer
+            .acquire_for_move(&self.service, &self.tried, now)?;
+        if !self.try_retry(Reason::Lost) {
             return None;
         }
-        self.tried.push(place.key());
-        Some(place)
+        self.tried.push(new_permit.key());
+        Some(new_permit)
     }
 
-    /// Sends a stream again, to go on after the last event that is here.
-    pub(crate) async fn go_on(&mut self, after: Option<u64>) -> Option<(Head, Permit)> {
+    /// Resumes a stream at another target, after the last event received.
+    pub(crate) async fn resume_elsewhere(
+        &mut self,
+        last_event_id: Option<u64>,
+    ) -> Option<(Head, Permit)> {
         loop {
-            if self.left().is_zero() || !self.may_repeat(Reason::Lost) {
+            if self.time_left().is_zero() || !self.try_retry(Reason::Lost) {
                 return None;
             }
-            let permit = self.place().ok()?;
-            if let Some(resumed) = self.resume(permit, after).await {
+            let permit = self.acquire().ok()?;
+            if let Some(resumed) = self.resume_at(permit, last_event_id).await {
                 return Some(resumed);
             }
         }
     }
 
-    /// Sends a stream again to one target.
-    pub(crate) async fn resume(
+    /// Resumes a stream at one target.
+    pub(crate) async fn resume_at(
         &mut self,
         permit: Permit,
-        after: Option<u64>,
+        last_event_id: Option<u64>,
     ) -> Option<(Head, Permit)> {
-        match self.attempt(permit, after).await {
+        match self.attempt(permit, last_event_id).await {
             AttemptOutcome::Answered(head, permit) if head.status.is_success() => {
                 Some((*head, permit))
             }
             AttemptOutcome::Answered(..)
             | AttemptOutcome::Failed(_)
-            | AttemptOutcome::Missed(_) => None,
+            | AttemptOutcome::NoResponse(_) => None,
         }
     }
 
-    /// Whether it may be sent to another target after this.
-    pub(crate) fn may_repeat(&mut self, reason: Reason) -> bool {
+    /// Whether the request may be sent to another target after a failed attempt.
+    /// Takes a retry from the budget if so, unless nothing was written.
+    pub(crate) fn try_retry(&mut self, reason: Reason) -> bool {
         if !reason.not_run() {
-            self.doubt = Some(reason);
+            self.ambiguous_reason = Some(reason);
         }
         if reason == Reason::NoTarget {
-            return self.unsent < MOST_UNSENT;
+            return self.unsent_attempts < MAX_UNSENT_ATTEMPTS;
         }
         let allowed = reason.not_run() || self.kind.repeats();
         let now = Instant::now();
-        let again = allowed && self.attempts > 0 && self.placer.withdraw(&self.service, now);
-        if again {
+        let retry =
+            allowed && self.attempts_left > 0 && self.balancer.withdraw_retry(&self.service, now);
+        if retry {
             self.metrics.retried(&self.service);
         }
-        again
+        retry
     }
 
-    /// The final word where no target's answer can be had.
+    /// Ends the request: with the last failed response of a target if there is one,
+    /// otherwise with a refusal.
     fn give_up(
         &self,
         failed: Option<TargetResponse>,
         reason: Reason,
     ) -> Result<TargetResponse, Refusal> {
-        if let Some(answer) = failed {
-            return Ok(answer);
+        if let Some(response) = failed {
+            return Ok(response);
         }
-        // Once it may have run, nothing that came later makes it surely not.
-        let reason = match self.doubt {
-            Some(doubt) if reason.not_run() => doubt,
+        // Once the request may have run, a later attempt that certainly did not run
+        // must not hide that.
+        let reason = match self.ambiguous_reason {
+            Some(ambiguous) if reason.not_run() => ambiguous,
             _ => reason,
         };
         let refusal = match reason {
             Reason::Full | Reason::Declined => {
-                let most = self.left().mul_f64(RETURN_WITHIN / SPREAD.end);
-                let after = self.placer.come_back(&self.service, most, Instant::now());
-                Refusal::after(reason, spread(after))
+                let max_delay = self.time_left().mul_f64(RETRY_AFTER_SHARE / JITTER.end);
+                let after =
+                    self.balancer
+                        .retry_after_refusal(&self.service, max_delay, Instant::now());
+                Refusal::with_retry_after(reason, with_jitter(after))
             }
             Reason::NoTarget | Reason::NoTable => {
-                Refusal::after(reason, spread(self.timing.retry_after_absent))
+                Refusal::with_retry_after(reason, with_jitter(self.timing.retry_after_absent))
             }
             _ => Refusal::new(reason),
         };
         log::info!(
             request = self.req.id.as_str(), service = self.service.as_str(),
-            tried = self.tried.len(), left_ms:display = self.left().as_millis(),
+            tried = self.tried.len(), left_ms:display = self.time_left().as_millis(),
             retry_after_ms:display = refusal.retry_after.unwrap_or_default().as_millis();
             "refused: {reason}"
         );
         Err(refusal)
     }
 
-    pub(crate) fn left(&self) -> Duration {
+    pub(crate) fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 }
 
-/// Until when a request's first answer is on time; none if it came too late.
-fn on_time_until(route: &Route, req: &ProxyRequest, placer: &Placer) -> Option<Instant> {
-    let used = req.timeout.map_or(Duration::ZERO, |patience| {
-        placer.time_used(&route.name, patience, req.arrived)
+/// When the response must start to meet the latency objective of the route; none
+/// if the caller's earlier attempts have used it up.
+fn objective_deadline(route: &Route, req: &ProxyRequest, balancer: &Balancer) -> Option<Instant> {
+    let used = req.timeout.map_or(Duration::ZERO, |timeout| {
+        balancer.time_used(&route.name, timeout, req.arrived)
     });
     let left = route.objective.checked_sub(used)?;
     Some(req.arrived + left)
 }
 
-/// Part of its time left after which a caller comes back at the latest: the rest
-/// is for its answer.
-const RETURN_WITHIN: f64 = 1.0 / 3.0;
-/// Part of a time by which callers are spread who are all told to come back.
-const SPREAD: std::ops::Range<f64> = 0.75..1.5;
+/// Share of the remaining time after which a caller should retry at the latest:
+/// the rest is left for the response.
+const RETRY_AFTER_SHARE: f64 = 1.0 / 3.0;
+/// Range of the random factor applied to retry delays.
+const JITTER: std::ops::Range<f64> = 0.75..1.5;
 
-/// Callers who were refused together would come back together.
-fn spread(time: Duration) -> Duration {
-    time.mul_f64(rand::random_range(SPREAD))
+/// Randomises a retry delay, so that callers refused together do not retry
+/// together.
+fn with_jitter(time: Duration) -> Duration {
+    time.mul_f64(rand::random_range(JITTER))
 }
--- a/crates/direct/src/dispatch_attempts.rs
+++ b/crates/direct/src/dispatch_attempts.rs
@@ -2,202 +2,207 @@
 
 use crate::dialect::Verdict;
 use crate::dispatch::Dispatch;
-use crate::exchange::{Attempt, AttemptError, Head, Reuse};
+use crate::exchange::{Attempt, AttemptError, ConnectionReuse, Head};
 use crate::permit::Permit;
 use crate::refusal::Reason;
 use crate::target_response::TargetResponse;
-use bytes::{Bytes, BytesMut};
+use bytes::BytesMut;
 use http_body_util::BodyExt;
-use hyper::StatusCode;
 use route::Outcome;
 use std::pin::pin;
 use std::time::Instant;
 use tokio::time::{sleep, timeout};
 
-/// Bytes of an answer at most that are held until it is whole. A longer one
-/// is refused: it could neither be repeated nor told apart from half of one.
-const MOST_HELD: usize = 8 << 20;
-/// What came of one try.
+/// Maximum number of bytes of a response that are buffered until it is complete. A
+/// longer response is an error: once part of it is forwarded, a retry would no
+/// longer be possible, and the caller could take a truncated one for complete.
+const MAX_BUFFERED_BYTES: usize = 8 << 20;
+
+/// Outcome of one attempt.
 pub(crate) enum AttemptOutcome {
-    /// An answer to pass on, and the place that it still takes.
+    /// A response to forward, and the slot that it still holds.
     Answered(Box<Head>, Permit),
-    /// None; the caller says whether to go on.
-    Missed(Reason),
-    /// The target's own failure, which may be passed on if nothing is left.
+    /// No response that can be forwarded.
+    NoResponse(Reason),
+    /// A server error of the target, forwarded if no other target can be tried.
     Failed(TargetResponse),
 }
 
 impl Dispatch {
-    /// Sends it once and waits for the head of the answer.
+    /// Sends the request to one target and waits for the head of the response.
     pub(crate) async fn attempt(
         &mut self,
         mut permit: Permit,
-        after: Option<u64>,
+        last_event_id: Option<u64>,
     ) -> AttemptOutcome {
         let reuse = if self.kind.repeats() {
-            Reuse::Kept
+            ConnectionReuse::Allowed
         } else {
-            Reuse::Fresh
+            ConnectionReuse::Forbidden
         };
         self.log_sent(&permit);
-        let sent = self.answered(reuse, after, &permit).await;
-        let head = match sent {
+        let result = self.send_unless_moved(reuse, last_event_id, &permit).await;
+        let head = match result {
             Ok(head) => head,
-            Err(miss) => {
-                permit.set(Outcome::Failed);
-                return AttemptOutcome::Missed(self.failed_attempt(&permit, &miss));
+            Err(e) => {
+                permit.set_outcome(Outcome::Failed);
+                return AttemptOutcome::NoResponse(self.record_error(&permit, &e));
             }
         };
-        if let Some(load) = head.reading.load {
-            permit.told(load);
+        if let Some(load) = head.info.load {
+            permit.record_load(load);
         }
-        if let Some((what, outcome)) = declined(head.reading.verdict) {
-            self.log_miss(&permit, what, head.status.as_str());
-            permit.ended(outcome);
-            return AttemptOutcome::Missed(Reason::Declined);
+        if let Some((what, outcome)) = not_run(head.info.verdict) {
+            self.log_failed_attempt(&permit, what, head.status.as_str());
+            permit.finish(outcome);
+            return AttemptOutcome::NoResponse(Reason::Declined);
         }
-        self.attempts -= 1;
-        if head.status.is_server_error() && self.kind.repeats() && self.attempts > 0 {
-            self.log_miss(&permit, "failed", head.status.as_str());
-            return match self.whole(head, permit).await {
-                Ok(answer) => AttemptOutcome::Failed(answer),
-                Err(reason) => AttemptOutcome::Missed(reason),
+        self.attempts_left -= 1;
+        if head.status.is_server_error() && self.kind.repeats() && self.attempts_left > 0 {
+            self.log_failed_attempt(&permit, "failed", head.status.as_str());
+            return match self.buffer_response(head, permit).await {
+                Ok(response) => AttemptOutcome::Failed(response),
+                Err(reason) => AttemptOutcome::NoResponse(reason),
             };
         }
         AttemptOutcome::Answered(Box::new(head), permit)
     }
 
-    /// Sends it and waits for the answer, until it had better go elsewhere.
+    /// Sends the request and waits for the head of the response. Gives up if the
+    /// target is unresponsive or slow and another one could take the request now.
     ///
-    /// To give up a silent target wins nothing where nobody else could take the
-    /// request: it may have many before it, and answer yet.
-    async fn answered(
+    /// If no other target could, giving up would gain nothing: the request may only
+    /// be queued behind many others.
+    async fn send_unless_moved(
         &self,
-        reuse: Reuse,
-        after: Option<u64>,
+        reuse: ConnectionReuse,
+        last_event_id: Option<u64>,
         permit: &Permit,
     ) -> Result<Head, AttemptError> {
-        let sending = self.sending(reuse, after);
-        let mut sent = pin!(sending.send(permit));
-        let mut news = self.placer.news();
-        let mut silent = pin!(sleep(self.timing.inactivity));
+        let attempt = self.new_attempt(reuse, last_event_id);
+        let mut response = pin!(attempt.send(permit));
+        let mut changes = self.balancer.changes();
+        let mut inactivity = pin!(sleep(self.timing.inactivity));
         loop {
             tokio::select! {
-                answered = &mut sent => return answered,
-                () = &mut silent => {
-                    if self.may_move() {
-                        return Err(AttemptError::Lost("silent for too long".to_owned()));
+                result = &mut response => return result,
+                () = &mut inactivity => {
+                    if self.can_move() {
+                        return Err(AttemptError::Lost("target unresponsive".to_owned()));
                     }
-                    silent.set(sleep(self.timing.inactivity));
+                    inactivity.set(sleep(self.timing.inactivity));
                 }
-                // The placer sends until it is dropped.
-                _ = news.changed() => {
-                    if permit.sheds(Instant::now()) && self.may_move() {
-                        return Err(AttemptError::Lost("the target is slow".to_owned()));
+                // Never fails: `self` holds the balancer, which owns the sender.
+                _ = changes.changed() => {
+                    if permit.should_move(Instant::now()) && self.can_move() {
+                        return Err(AttemptError::Lost("target is slow".to_owned()));
                     }
                 }
             }
         }
     }
 
-    /// Whether another target would take it now.
-    fn may_move(&self) -> bool {
+    /// Whether another target could take the request now.
+    fn can_move(&self) -> bool {
         let now = Instant::now();
-        let allowed = self.kind.repeats() && self.attempts > 1;
-        let left = self.left_on_time(now);
+        let allowed = self.kind.repeats() && self.attempts_left > 1;
+        let left = self.time_to_objective(now);
         allowed
             && self
-                .placer
-                .bears_retry(&self.service, left, &self.tried, now)
+                .balancer
+                .can_retry_elsewhere(&self.service, left, &self.tried, now)
     }
 
-    fn sending(&self, reuse: Reuse, after: Option<u64>) -> Attempt<'_> {
+    fn new_attempt(&self, reuse: ConnectionReuse, last_event_id: Option<u64>) -> Attempt<'_> {
         Attempt {
             req: &self.req,
             account: self.account.as_deref(),
             deadline: self.deadline,
-            after,
+            last_event_id,
             reuse,
             dialect: &self.dialect,
             timing: &self.timing,
         }
     }
 
-    fn failed_attempt(&mut self, permit: &Permit, why: &AttemptError) -> Reason {
-        match why {
+    /// Logs and counts an attempt that failed without a response.
+    fn record_error(&mut self, permit: &Permit, error: &AttemptError) -> Reason {
+        match error {
             AttemptError::Unsent(text) => {
-                self.log_miss(permit, "unsent", text);
-                self.unsent += 1;
+                self.log_failed_attempt(permit, "unsent", text);
+                self.unsent_attempts += 1;
                 Reason::NoTarget
             }
             AttemptError::Lost(text) => {
-                self.log_miss(permit, "lost", text);
-                self.attempts = self.attempts.saturating_sub(1);
-                self.doubtful()
+                self.log_failed_attempt(permit, "lost", text);
+                self.attempts_left = self.attempts_left.saturating_sub(1);
+                self.ambiguous_failure()
             }
         }
     }
 
-    /// Why there is no answer to what was sent.
-    fn doubtful(&self) -> Reason {
-        if self.left().is_zero() {
+    /// Reason for a missing response to a request that was sent.
+    fn ambiguous_failure(&self) -> Reason {
+        if self.time_left().is_zero() {
             Reason::TimedOut
         } else {
             Reason::Lost
         }
     }
 
-    /// Reads an answer to its end: only then is it known to be whole.
-    pub(crate) async fn whole(
+    /// Reads a response to its end: only then is it known not to be truncated.
+    pub(crate) async fn buffer_response(
         &mut self,
         head: Head,
         mut permit: Permit,
     ) -> Result<TargetResponse, Reason> {
-        let failed = head.status.is_server_error();
+        let is_server_error = head.status.is_server_error();
         let mut buf = BytesMut::new();
         let mut body = head.body;
-        let broken = loop {
-            match timeout(self.left(), body.frame()).await {
+        let error = loop {
+            match timeout(self.time_left(), body.frame()).await {
                 Ok(None) => break None,
                 Ok(Some(Ok(frame))) => {
                     if let Ok(data) = frame.into_data() {
                         buf.extend_from_slice(&data);
                     }
-                    if buf.len() > MOST_HELD {
-                        break Some("longer than can be held".to_owned());
+                    if buf.len() > MAX_BUFFERED_BYTES {
+                        break Some(format!("response exceeds {MAX_BUFFERED_BYTES} bytes"));
                     }
                 }
                 Ok(Some(Err(e))) => break Some(e.to_string()),
-                Err(_) => break Some("the time was over".to_owned()),
+                Err(_) => break Some("deadline exceeded".to_owned()),
             }
         };
-        permit.set(if failed || broken.is_some() {
+        permit.set_outcome(if is_server_error || error.is_some() {
             Outcome::Failed
         } else {
             Outcome::Answered
         });
-        if let Some(why) = broken {
-            self.log_miss(&permit, "broken off", &why);
-            return Err(self.doubtful());
+        if let Some(why) = error {
+            self.log_failed_attempt(&permit, "broken off", &why);
+            return Err(self.ambiguous_failure());
         }
-        crate::service_targets::keep(permit.endpoint(), head.conn, &head.reading, &self.timing);
-        Ok(answer(head.status, head.headers, buf.freeze()))
+        crate::service_targets::return_connection(
+            permit.endpoint(),
+            head.conn,
+            &head.info,
+            &self.timing,
+        );
+        Ok(TargetResponse {
+            status: head.status,
+            headers: head.headers,
+            body: admin::full(buf.freeze()),
+        })
     }
 }
 
-/// How an answer that says that the request did not run is counted.
-fn declined(word: Verdict) -> Option<(&'static str, Outcome)> {
-    match word {
+/// Metric label and outcome of a response that reports that the request did not
+/// run.
+fn not_run(verdict: Verdict) -> Option<(&'static str, Outcome)> {
+    match verdict {
         Verdict::NotRun => Some(("declined", Outcome::Declined)),
         Verdict::Replaced => Some(("replaced", Outcome::Replaced)),
         Verdict::Verified | Verdict::Unverified | Verdict::OtherRequest => None,
     }
 }
-
-fn answer(status: StatusCode, headers: hyper::HeaderMap, body: Bytes) -> TargetResponse {
-    TargetResponse {
-        status,
-        headers,
-        body: admin::full(body),
-    }
-}
--- a/crates/direct/src/dispatch_log.rs
+++ b/crates/direct/src/dispatch_log.rs
@@ -1,35 +1,36 @@
-//! What is logged of a request's attempts.
+//! Logs the attempts of a request.
 
 use crate::dispatch::Dispatch;
 use crate::permit::Permit;
 use std::time::Instant;
 
 impl Dispatch {
-    /// Which target was chosen, and what was known of its load.
+    /// Logs the chosen target and the load known of it.
     pub(crate) fn log_sent(&self, permit: &Permit) {
-        let seen = permit.seen();
-        let age = seen.and_then(|seen| seen.age);
+        let load = permit.load_estimate();
+        let age = load.and_then(|load| load.age);
         let age = age.map_or_else(|| "never".to_owned(), |age| age.as_millis().to_string());
-        let left = self.left();
-        let on_time = self.left_on_time(Instant::now()).min(left);
+        let left = self.time_left();
+        let to_objective = self.time_to_objective(Instant::now()).min(left);
         log::info!(
             request = self.req.id.as_str(), target_id = permit.endpoint().id.as_str(),
-            service = self.service.as_str(), attempts_left = self.attempts,
-            on_time_ms:display = on_time.as_millis(),
-            own = seen.map_or(0, |seen| seen.own), others = seen.map_or(0, |seen| seen.others),
+            service = self.service.as_str(), attempts_left = self.attempts_left,
+            on_time_ms:display = to_objective.as_millis(),
+            own = load.map_or(0, |load| load.own), others = load.map_or(0, |load| load.others),
             told_ms_ago = age.as_str(),
             left_ms:display = left.as_millis();
             "sent to a target"
         );
     }
 
-    /// Why an attempt gives nothing to pass on.
-    pub(crate) fn log_miss(&self, permit: &Permit, what: &str, why: &str) {
-        self.metrics.miss(what);
+    /// Logs and counts an attempt without a response to forward. `what` is a metric
+    /// label.
+    pub(crate) fn log_failed_attempt(&self, permit: &Permit, what: &str, why: &str) {
+        self.metrics.attempt_failed(what);
         log::info!(
             request = self.req.id.as_str(), target_id = permit.endpoint().id.as_str(),
-            service = self.service.as_str(), attempts_left = self.attempts,
-            left_ms:display = self.left().as_millis();
+            service = self.service.as_str(), attempts_left = self.attempts_left,
+            left_ms:display = self.time_left().as_millis();
             "attempt {what}: {why}"
         );
     }
--- a/crates/direct/src/events.rs
+++ b/crates/direct/src/events.rs
@@ -1,49 +1,50 @@
-//! Server-sent events, whole ones.
+//! Splits a stream of server-sent events into complete events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Bytes of one event at most; a longer one is no event of a sane target.
-const MOST: usize = 1 << 20;
+/// Maximum size of one event; a longer one is treated as malformed.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Cuts a stream into whole events.
+/// Splits a stream into complete events.
 ///
-/// A target may stop in the middle of an event. Were its bytes passed on as
-/// they come, the caller would get the beginning of an event twice when the
-/// stream goes on elsewhere.
+/// A target may fail in the middle of an event. If partial events were
+/// forwarded, the caller would receive the beginning of an event twice when the
+/// stream is resumed at another target.
 #[derive(Debug, Default)]
-pub(crate) struct Events {
+pub(crate) struct EventBuffer {
     buf: BytesMut,
 }
 
-/// One event with its closing blank line.
+/// One event, including the blank line that ends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Event {
     pub(crate) id: Option<u64>,
     pub(crate) bytes: Bytes,
 }
 
-impl Events {
-    /// Takes the next bytes; false if what is held can't be an event.
+impl EventBuffer {
+    /// Appends received bytes; returns false if the buffered event exceeds
+    /// [`MAX_EVENT_BYTES`].
     pub(crate) fn push(&mut self, data: &[u8]) -> bool {
         self.buf.extend_from_slice(data);
-        self.buf.len() <= MOST
+        self.buf.len() <= MAX_EVENT_BYTES
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event.
     pub(crate) fn next(&mut self) -> Option<Event> {
         let end = end_of_event(&self.buf)?;
         let bytes = self.buf.split_to(end).freeze();
-        let id = id_of(&bytes);
+        let id = event_id(&bytes);
         Some(Event { id, bytes })
     }
 
-    /// Whether the stream stands between two events.
-    pub(crate) fn is_between(&self) -> bool {
+    /// Whether no partial event is buffered.
+    pub(crate) fn is_empty(&self) -> bool {
         self.buf.is_empty()
     }
 
-    /// Bytes that are no whole event.
-    pub(crate) fn rest(&mut self) -> Bytes {
+    /// Removes and returns the bytes of an incomplete event.
+    pub(crate) fn take_rest(&mut self) -> Bytes {
         self.buf.split().freeze()
     }
 
@@ -52,21 +53,21 @@
     }
 }
 
-/// Where the first event ends, its blank line included.
+/// Offset of the end of the first event, including its blank line.
 fn end_of_event(buf: &[u8]) -> Option<usize> {
-    let mut from = 0;
-    while let Some(at) = buf[from..].iter().position(|byte| *byte == b'\n') {
-        let after = from + at + 1;
+    let mut start = 0;
+    while let Some(at) = buf[start..].iter().position(|byte| *byte == b'\n') {
+        let after = start + at + 1;
         match buf.get(after..) {
             Some([b'\n', ..]) => return Some(after + 1),
             Some([b'\r', b'\n', ..]) => return Some(after + 2),
-            _ => from = after,
+            _ => start = after,
         }
     }
     None
 }
 
-fn id_of(event: &[u8]) -> Option<u64> {
+fn event_id(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|byte| *byte == b'\n');
     let value = lines.find_map(|line| line.strip_prefix(b"id:"))?;
     std::str::from_utf8(value).ok()?.trim().parse().ok()
--- a/crates/direct/src/exchange.rs
+++ b/crates/direct/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request to one target, up to the head of its answer.
+//! One request to one target, up to the head of the response.
 
 use crate::dialect::{Dialect, RequestMetadata, ResponseInfo, Verdict};
 use crate::permit::Permit;
@@ -11,55 +11,56 @@
 use outlet::{ClientSettings, Connection, Failure, Unanswered};
 use std::time::{Duration, Instant};
 
-/// Whether a request may go out on a connection that had others before.
+/// Whether a request may be sent on a connection that was used before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Reuse {
-    /// It may: it runs again if the connection turns out to be dead.
-    Kept,
-    /// It may not: nobody could say whether it ran.
-    Fresh,
+pub(crate) enum ConnectionReuse {
+    /// It may: it can be sent again if the connection turns out to be dead.
+    Allowed,
+    /// It may not: if the connection failed, it would be unknown whether the request
+    /// ran.
+    Forbidden,
 }
 
-/// What one try to send a request is about.
+/// A request to be sent to one target.
 #[derive(Clone, Copy)]
 pub(crate) struct Attempt<'a> {
     pub(crate) req: &'a ProxyRequest,
     pub(crate) account: Option<&'a str>,
     pub(crate) deadline: Instant,
-    pub(crate) after: Option<u64>,
-    pub(crate) reuse: Reuse,
+    pub(crate) last_event_id: Option<u64>,
+    pub(crate) reuse: ConnectionReuse,
     pub(crate) dialect: &'a Dialect,
     pub(crate) timing: &'a Timing,
 }
 
-/// The head of an answer, and the connection that its body comes on.
+/// The head of a response, and the connection that its body is read from.
 pub(crate) struct Head {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Incoming,
-    pub(crate) reading: ResponseInfo,
+    pub(crate) info: ResponseInfo,
     pub(crate) conn: Connection,
 }
 
-/// Why there is no answer.
+/// Why an attempt got no response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptError {
-    /// Nothing was written: it did not run.
+    /// Nothing was written, so the request did not run.
     Unsent(String),
-    /// It was written, and nobody can say whether it ran.
+    /// The request was written, and it is unknown whether it ran.
     Lost(String),
 }
 
 impl Attempt<'_> {
-    /// Sends the request to the target that the permit is for.
+    /// Sends the request to the target of the permit.
     pub(crate) async fn send(&self, permit: &Permit) -> Result<Head, AttemptError> {
         let cfg = self.client_settings();
-        let mut req = self.request(permit)?;
-        if self.reuse == Reuse::Kept
-            && let Some(mut conn) = kept(permit, &cfg).await
+        let mut req = self.build_request(permit)?;
+        if self.reuse == ConnectionReuse::Allowed
+            && let Some(mut conn) = take_idle_connection(permit, &cfg).await
         {
             match conn.try_send(req, cfg.head).await {
-                Ok(response) => return self.read(response, conn),
+                Ok(response) => return self.check_head(response, conn),
                 Err(Unanswered::Failed(failure)) => return Err(lost(&failure)),
                 Err(Unanswered::Unwritten(unwritten)) => req = *unwritten,
             }
@@ -67,29 +68,29 @@
         let opened = Connection::open(permit.endpoint().address, &cfg).await;
         let mut conn = opened.map_err(|failure| AttemptError::Unsent(failure.to_string()))?;
         match conn.try_send(req, cfg.head).await {
-            Ok(response) => self.read(response, conn),
+            Ok(response) => self.check_head(response, conn),
             Err(Unanswered::Failed(failure)) => Err(lost(&failure)),
             Err(Unanswered::Unwritten(_)) => Err(AttemptError::Unsent(
-                "closed before it was written".to_owned(),
+                "connection closed before the request was written".to_owned(),
             )),
         }
     }
 
-    fn read(
+    fn check_head(
         &self,
         response: hyper::Response<Incoming>,
         conn: Connection,
     ) -> Result<Head, AttemptError> {
         let (head, body) = response.into_parts();
-        let reading = (self.dialect.read_head)(&self.req.id, head.status, &head.headers);
-        match reading.verdict {
+        let info = (self.dialect.read_head)(&self.req.id, head.status, &head.headers);
+        match info.verdict {
             Verdict::OtherRequest => {
                 return Err(AttemptError::Lost(
-                    "the answer to another request came".to_owned(),
+                    "received the response to another request".to_owned(),
                 ));
             }
             Verdict::Unverified if head.status.is_success() => {
-                let why = "the target doesn't vouch for its answer";
+                let why = "response lacks the mark of the target";
                 return Err(AttemptError::Lost(why.to_owned()));
             }
             Verdict::Verified | Verdict::Unverified | Verdict::NotRun | Verdict::Replaced => {}
@@ -98,51 +99,52 @@
             status: head.status,
             headers: head.headers,
             body,
-            reading,
+            info,
             conn,
         })
     }
 
     fn client_settings(&self) -> ClientSettings {
-        let left = self.left();
+        let left = self.time_left();
         ClientSettings {
             connect: self.timing.connect.min(left),
             head: left,
-            // Bytes that nobody acknowledges are a matter of the connection,
-            // however long the answer may take.
+            // Bytes that stay unacknowledged point to a dead connection, however long
+            // the response may take.
             progress: match self.reuse {
-                Reuse::Kept => self.timing.inactivity,
-                Reuse::Fresh => left,
+                ConnectionReuse::Allowed => self.timing.inactivity,
+                ConnectionReuse::Forbidden => left,
             },
             question: left,
         }
     }
 
-    fn left(&self) -> Duration {
+    fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    fn request(&self, permit: &Permit) -> Result<Request<Full<Bytes>>, AttemptError> {
+    fn build_request(&self, permit: &Permit) -> Result<Request<Full<Bytes>>, AttemptError> {
         let mut req = Request::builder()
             .method(self.req.method.clone())
             .uri(self.req.path.as_str())
             .body(Full::new(self.req.body.clone()))
             .map_err(|e| AttemptError::Unsent(e.to_string()))?;
         let mut headers = self.req.headers.clone();
-        let told = RequestMetadata {
+        let metadata = RequestMetadata {
             target: &permit.endpoint().id,
             account: self.account,
-            time_left: self.left(),
-            last_event_id: self.after,
+            time_left: self.time_left(),
+            last_event_id: self.last_event_id,
         };
-        (self.dialect.write_headers)(&told, &mut headers);
+        (self.dialect.write_headers)(&metadata, &mut headers);
         *req.headers_mut() = headers;
         Ok(req)
     }
 }
 
-/// A kept connection on which the target has said nothing since.
-async fn kept(permit: &Permit, cfg: &ClientSettings) -> Option<Connection> {
+/// Takes an idle connection on which the target has sent nothing since its last
+/// response.
+async fn take_idle_connection(permit: &Permit, cfg: &ClientSettings) -> Option<Connection> {
     while let Some(mut conn) = permit.endpoint().pool.take(Instant::now()) {
         if conn.is_ready(cfg).await && conn.is_quiet() {
             permit.endpoint().pool.counts().reused.inc();
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -1,13 +1,15 @@
-//! Requests straight to targets, without an agent.
+//! A reverse proxy that sends requests directly to targets, without an agent.
 //!
-//! A [`Proxy`] takes a [`ProxyRequest`], finds its route in the table in force,
-//! chooses a target, and gives back an [`TargetResponse`]: the target's own, or a
-//! [`Refusal`] that says whether the request ran. How a target is spoken to
-//! beside plain HTTP is its deployment's [`Dialect`].
+//! A [`Proxy`] takes a [`ProxyRequest`], looks up its route in the current route
+//! table, chooses a target and returns the target's response as a
+//! [`TargetResponse`], or a [`Refusal`] that says whether the request ran. The
+//! headers that a deployment uses in addition to standard HTTP are read and
+//! written by its [`Dialect`].
 //!
-//! A request that may not be repeated is sent once. It is sent again only if
-//! nothing of it was written, or its target says that it did not run it.
+//! A non-repeatable request is sent once. It is sent again only if no byte of it
+//! was written, or if the target reports that it did not run it.
 
+mod balancer;
 mod dialect;
 mod dispatch;
 mod dispatch_attempts;
@@ -16,7 +18,6 @@
 mod exchange;
 mod metrics;
 mod permit;
-mod placer;
 mod proxy;
 mod proxy_request;
 mod readiness;
--- a/crates/direct/src/permit.rs
+++ b/crates/direct/src/permit.rs
@@ -1,41 +1,40 @@
-//! One request at a target.
+//! A slot of a target, held by one request.
 
-use crate::placer::Placer;
+use crate::balancer::Balancer;
 use crate::service_targets::Endpoint;
 use route::{LoadEstimate, Outcome, ReportedLoad, TargetKey};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// One request at a target; its place is free again when this is dropped.
+/// A slot of a target, held by one request and released on drop.
 #[derive(Debug)]
 pub(crate) struct Permit {
-    placer: Arc<Placer>,
+    balancer: Arc<Balancer>,
     service: String,
     key: TargetKey,
     endpoint: Endpoint,
     outcome: Outcome,
-    /// When its place was taken.
-    since: Instant,
-    /// The target's load as it was known when it was chosen.
-    seen: Option<LoadEstimate>,
+    acquired_at: Instant,
+    /// The target's load as known when the target was chosen.
+    load_estimate: Option<LoadEstimate>,
 }
 
 impl Permit {
     pub(crate) fn new(
-        placer: Arc<Placer>,
+        balancer: Arc<Balancer>,
         service: &str,
         key: TargetKey,
         endpoint: Endpoint,
-        seen: Option<LoadEstimate>,
+        load_estimate: Option<LoadEstimate>,
     ) -> Permit {
         Permit {
-            placer,
+            balancer,
             service: service.to_owned(),
             key,
             endpoint,
             outcome: Outcome::Abandoned,
-            since: Instant::now(),
-            seen,
+            acquired_at: Instant::now(),
+            load_estimate,
         }
     }
 
@@ -43,37 +42,40 @@
         self.key
     }
 
-    pub(crate) fn seen(&self) -> Option<LoadEstimate> {
-        self.seen
+    pub(crate) fn load_estimate(&self) -> Option<LoadEstimate> {
+        self.load_estimate
     }
 
-    /// Whether its stream should go on elsewhere.
-    pub(crate) fn sheds(&self, now: Instant) -> bool {
-        self.placer.sheds(&self.service, self.key, now)
+    /// Whether the stream that holds the slot should move to another target.
+    pub(crate) fn should_move(&self, now: Instant) -> bool {
+        self.balancer.should_move(&self.service, self.key, now)
     }
 
     pub(crate) fn endpoint(&self) -> &Endpoint {
         &self.endpoint
     }
 
-    /// The target told its load.
-    pub(crate) fn told(&self, load: ReportedLoad) {
+    /// Records the load that the target reported.
+    pub(crate) fn record_load(&self, load: ReportedLoad) {
         let now = Instant::now();
-        self.placer.told(&self.service, self.key, load, now);
+        self.balancer
+            .record_load(&self.service, self.key, load, now);
     }
 
-    /// Its stream paused for so long between two events.
-    pub(crate) fn paused(&self, pause: Duration, most: Duration, now: Instant) {
-        self.placer
-            .paused(&self.service, self.key, (pause, most), now);
+    /// Records the pause between two events of a stream, and the longest pause
+    /// that is still on time.
+    pub(crate) fn record_pause(&self, pause: Duration, max_pause: Duration, now: Instant) {
+        self.balancer
+            .record_pause(&self.service, self.key, (pause, max_pause), now);
     }
 
-    /// How it went; without a word it counts as abandoned by its caller.
-    pub(crate) fn ended(mut self, outcome: Outcome) {
+    /// Releases the slot with an outcome. A permit that is dropped without one
+    /// counts as abandoned by the caller.
+    pub(crate) fn finish(mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
 
-    pub(crate) fn set(&mut self, outcome: Outcome) {
+    pub(crate) fn set_outcome(&mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
 }
@@ -81,7 +83,7 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         let now = Instant::now();
-        let ended = (self.outcome, now - self.since);
-        self.placer.end(&self.service, self.key, ended, now);
+        let ended = (self.outcome, now - self.acquired_at);
+        self.balancer.finish(&self.service, self.key, ended, now);
     }
 }
--- a/crates/direct/src/proxy.rs
+++ b/crates/direct/src/proxy.rs
@@ -1,9 +1,9 @@
-//! Takes each request to its targets.
+//! Forwards requests to targets.
 
+use crate::balancer::Balancer;
 use crate::dialect::Dialect;
 use crate::dispatch::Dispatch;
 use crate::metrics::Metrics;
-use crate::placer::Placer;
 use crate::proxy_request::ProxyRequest;
 use crate::refusal::{Reason, Refusal};
 use crate::target_response::TargetResponse;
@@ -15,120 +15,124 @@
 use table::{Access, Route, Table};
 use tokio::time::timeout;
 
-/// How often connections that were kept for too long are closed, and targets
-/// that fell silent are noticed.
-const TIDY: Duration = Duration::from_millis(500);
+/// How often expired idle connections are closed and the availability of targets
+/// is checked for missed heartbeats.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Settings of a proxy.
 #[derive(Clone, Debug)]
 pub struct ProxySettings {
     /// Availability zone of this entry.
     pub zone: String,
-    /// Times.
+    /// Timeouts.
     pub timing: Timing,
-    /// How targets are spoken to.
+    /// Headers that targets use in addition to standard HTTP.
     pub dialect: Dialect,
 }
 
-/// Takes each request to its targets; clones share everything.
+/// Forwards requests to targets. Clones share their state.
 #[derive(Clone)]
 pub struct Proxy {
     watcher: Watcher,
-    placer: Arc<Placer>,
+    balancer: Arc<Balancer>,
     timing: Arc<Timing>,
     dialect: Dialect,
     metrics: Metrics,
-    began: Instant,
+    started: Instant,
 }
 
 impl Proxy {
-    /// Begins to keep services and targets in line with what the watcher holds.
+    /// Starts a proxy that follows the route table and targets of the watcher.
     #[must_use]
     pub fn spawn(watcher: Watcher, cfg: ProxySettings, registry: &mut Registry) -> Proxy {
         let metrics = Metrics::default();
         metrics.register(registry);
         let proxy = Proxy {
-            placer: Arc::new(Placer::new(&cfg.zone, cfg.timing.clone())),
+            balancer: Arc::new(Balancer::new(&cfg.zone, cfg.timing.clone())),
             timing: Arc::new(cfg.timing),
             dialect: cfg.dialect,
             metrics,
             watcher,
-            began: Instant::now(),
+            started: Instant::now(),
         };
-        tokio::spawn(follow(
+        tokio::spawn(follow_watcher(
             proxy.watcher.clone(),
-            Arc::clone(&proxy.placer),
+            Arc::clone(&proxy.balancer),
             proxy.metrics.clone(),
         ));
         proxy
     }
 
-    /// Runs one request.
+    /// Forwards a request and returns the target's response.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] that says whether it ran.
-    pub async fn run(&self, req: ProxyRequest) -> Result<TargetResponse, Refusal> {
-        self.metrics.open.inc();
-        let _open = Open(&self.metrics);
+    /// A [`Refusal`] that says whether the request ran.
+    pub async fn forward(&self, req: ProxyRequest) -> Result<TargetResponse, Refusal> {
+        self.metrics.open_requests.inc();
+        let _open = OpenRequest(&self.metrics);
         let arrived = req.arrived;
         let mut service = String::new();
-        let answered = self.direct(req, &mut service).await;
-        match &answered {
-            Ok(answer) => {
-                self.metrics.ended(&service, answer.status.as_str());
-                self.metrics.began(&service, arrived.elapsed());
+        let result = self.dispatch(req, &mut service).await;
+        match &result {
+            Ok(response) => {
+                self.metrics
+                    .request_ended(&service, response.status.as_str());
+                self.metrics.response_started(&service, arrived.elapsed());
             }
-            Err(refusal) => self.metrics.ended(&service, &refusal.reason.to_string()),
+            Err(refusal) => self
+                .metrics
+                .request_ended(&service, &refusal.reason.to_string()),
         }
-        answered
+        result
     }
 
-    /// Runs it, and tells the service once that is known.
-    async fn direct(
+    /// Dispatches a request. Sets `chosen` to the name of its service as soon as it
+    /// is chosen.
+    async fn dispatch(
         &self,
         req: ProxyRequest,
-        led_to: &mut String,
+        chosen: &mut String,
     ) -> Result<TargetResponse, Refusal> {
-        let table = self.known_table(&req).await?;
+        let table = self.route_table(&req).await?;
         let route = table.route(&req.host, req.path_only());
         let route = route.ok_or_else(|| refuse(&req, &table, Reason::NoRoute))?;
-        let account = account(&table, route, &req)?;
-        let waits = req
+        let account = authorize(&table, route, &req)?;
+        let timeout = req
             .timeout
-            .map_or(route.timeout, |waits| waits.min(route.timeout));
+            .map_or(route.timeout, |timeout| timeout.min(route.timeout));
         let service = route.service(rand::random());
-        service.clone_into(led_to);
-        let dispatch = Dispatch::new(account, service, route, req.arrived + waits, self, req);
+        service.clone_into(chosen);
+        let dispatch = Dispatch::new(account, service, route, req.arrived + timeout, self, req);
         dispatch.run().await
     }
 
-    /// The table in force; soon after the start it is waited for.
-    async fn known_table(&self, req: &ProxyRequest) -> Result<Arc<Table>, Refusal> {
+    /// The current route table. Shortly after the start, waits for the first one.
+    async fn route_table(&self, req: &ProxyRequest) -> Result<Arc<Table>, Refusal> {
         let mut changed = self.watcher.watched().changed();
         loop {
             if let Some(table) = self.watcher.table() {
                 return Ok(table);
             }
             let now = Instant::now();
-            let patience = req.timeout.unwrap_or(self.timing.inactivity);
-            let deadline = req.arrived + patience;
+            let caller_timeout = req.timeout.unwrap_or(self.timing.inactivity);
+            let deadline = req.arrived + caller_timeout;
             let absence = &self.timing.absence;
-            let until = absence.waits_until(self.began, deadline, now);
-            let Some((until, _waiter)) = until.zip(self.placer.waiter()) else {
+            let until = absence.waits_until(self.started, deadline, now);
+            let Some((until, _slot)) = until.zip(self.balancer.waiting_slot()) else {
                 log::info!(request = req.id.as_str(); "refused: {}", Reason::NoTable);
-                return Err(Refusal::after(
+                return Err(Refusal::with_retry_after(
                     Reason::NoTable,
                     self.timing.retry_after_absent,
                 ));
             };
-            // Either outcome means that it is time to look again.
+            // A change and a time-out both lead to another check.
             let _ = timeout(until - now, changed.changed()).await;
         }
     }
 
-    pub(crate) fn placer(&self) -> &Arc<Placer> {
-        &self.placer
+    pub(crate) fn balancer(&self) -> &Arc<Balancer> {
+        &self.balancer
     }
 
     pub(crate) fn timing(&self) -> &Arc<Timing> {
@@ -144,16 +148,17 @@
     }
 }
 
-struct Open<'a>(&'a Metrics);
+/// Counts a request as open until dropped.
+struct OpenRequest<'a>(&'a Metrics);
 
-impl Drop for Open<'_> {
+impl Drop for OpenRequest<'_> {
     fn drop(&mut self) {
-        self.0.open.dec();
+        self.0.open_requests.dec();
     }
 }
 
-/// The client account of a caller who may use the route.
-fn account(table: &Table, route: &Route, req: &ProxyRequest) -> Result<Option<String>, Refusal> {
+/// The client account of the caller, if the route admits the caller.
+fn authorize(table: &Table, route: &Route, req: &ProxyRequest) -> Result<Option<String>, Refusal> {
     let known = req.api_key.as_deref().and_then(|key| table.account(key));
     if known.is_none() && table.has_accounts() && route.access == Access::Accounts {
         return Err(refuse(req, table, Reason::UnknownKey));
@@ -169,20 +174,21 @@
     Refusal::new(reason)
 }
 
-async fn follow(watcher: Watcher, placer: Arc<Placer>, metrics: Metrics) {
+/// Keeps the balancer and metrics up to date with the watcher.
+async fn follow_watcher(watcher: Watcher, balancer: Arc<Balancer>, metrics: Metrics) {
     let mut changed = watcher.watched().changed();
     loop {
         let now = Instant::now();
         if let Some(table) = watcher.table() {
-            placer.follow(&table, &watcher.watched().targets(now), now);
-            metrics.set_table(table.number());
-            for (service, able, all) in placer.counts() {
-                metrics.set_targets(&service, able, all);
+            balancer.update(&table, &watcher.watched().targets(now), now);
+            metrics.set_route_table(table.number());
+            for (service, available, all) in balancer.target_counts() {
+                metrics.set_targets(&service, available, all);
             }
         }
-        placer.tidy(now);
-        // An end of the wait means that it is time to look again.
-        if let Ok(Err(_)) = timeout(TIDY, changed.changed()).await {
+        balancer.close_idle_connections(now);
+        // A time-out leads to another round, as a change does.
+        if let Ok(Err(_)) = timeout(MAINTENANCE_INTERVAL, changed.changed()).await {
             return;
         }
     }
--- a/crates/direct/src/proxy_request.rs
+++ b/crates/direct/src/proxy_request.rs
@@ -1,29 +1,29 @@
-//! One request of a caller.
+//! A request of a caller.
 
 use bytes::Bytes;
 use hyper::{HeaderMap, Method};
 use std::time::{Duration, Instant};
 
-/// One request of a caller, read whole.
+/// A request of a caller, with its complete body.
 #[derive(Clone, Debug)]
 pub struct ProxyRequest {
-    /// Names this try of the caller in logs and at targets.
+    /// Id of this attempt of the caller, in logs and at targets.
     pub id: String,
-    /// When its head was read.
+    /// When the head of the request was read.
     pub arrived: Instant,
-    /// Host that the caller named.
+    /// Requested host, without the port.
     pub host: String,
     /// Method.
     pub method: Method,
-    /// Path and query, passed on as they are.
+    /// Path and query, forwarded unchanged.
     pub path: String,
-    /// Key of a client account, if one was shown.
+    /// API key of a client account, if the request has one.
     pub api_key: Option<String>,
-    /// How long the caller waits, if it says so.
+    /// How long the caller waits for the response, if it says so.
     pub timeout: Option<Duration>,
-    /// Last event that the caller has of a stream.
+    /// Id of the last event that the caller has received of a stream.
     pub last_event_id: Option<u64>,
-    /// Headers that are passed on.
+    /// Headers that are forwarded.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
--- a/crates/direct/src/readiness.rs
+++ b/crates/direct/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether an entry takes callers.
+//! Whether an entry accepts callers.
 
 use node::Watcher;
 use std::sync::Arc;
@@ -6,62 +6,62 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Part of the time to end during which new callers are still taken: by then
-/// nearly all have asked the directory again. A request that is taken later
-/// may still run when the process is killed.
-const TAKES_CALLERS: f64 = 0.3;
-/// Part of the time to end after which what is left is cut off.
-const ENDS: f64 = 0.95;
+/// Share of the grace period during which new callers are still accepted: by its
+/// end nearly all of them have resolved the directory again. A request accepted
+/// later might still run when the process is killed.
+const ANNOUNCE_SHARE: f64 = 0.3;
+/// Share of the grace period after which remaining requests are aborted.
+const DRAIN_END_SHARE: f64 = 0.95;
 
-/// Whether an entry takes callers: from its first route table on, until it is
-/// asked to end. Clones share one state.
+/// Whether an entry accepts callers: from its first route table until it is asked
+/// to shut down. Clones share their state.
 #[derive(Clone)]
 pub struct Readiness {
     watcher: Watcher,
-    closing: Arc<AtomicBool>,
+    shutting_down: Arc<AtomicBool>,
 }
 
 impl Readiness {
-    /// Opens as soon as the watcher holds a route table.
+    /// Becomes ready as soon as the watcher has a route table.
     #[must_use]
     pub fn spawn(watcher: Watcher) -> Readiness {
         let readiness = Readiness {
             watcher,
-            closing: Arc::default(),
+            shutting_down: Arc::default(),
         };
-        tokio::spawn(readiness.clone().open_with_table());
+        tokio::spawn(readiness.clone().open_when_table_known());
         readiness
     }
 
-    /// Whether callers may be sent here.
+    /// Whether callers should be directed to this entry.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.watcher.table().is_some() && !self.is_shutting_down()
     }
 
-    /// Whether the entry is about to end, so that callers should go elsewhere
-    /// with their next request.
+    /// Whether the entry is shutting down, so that callers should use another one
+    /// for their next request.
     #[must_use]
     pub fn is_shutting_down(&self) -> bool {
-        self.closing.load(Ordering::Relaxed)
+        self.shutting_down.load(Ordering::Relaxed)
     }
 
-    /// Of the time that is given to end, the part for requests that run once
+    /// The part of the grace period that is left to running requests after
     /// [`Readiness::announce_shutdown`] has returned.
     #[must_use]
     pub fn drain_timeout(grace: Duration) -> Duration {
-        grace.mul_f64(ENDS - TAKES_CALLERS)
+        grace.mul_f64(DRAIN_END_SHARE - ANNOUNCE_SHARE)
     }
 
-    /// Has callers sent elsewhere, and returns once they had time to learn of
-    /// it. Requests that come until then are still run.
+    /// Announces that callers should use other entries, and returns once they
+    /// have had time to notice. Requests that arrive until then are still served.
     pub async fn announce_shutdown(&self, grace: Duration) {
-        self.closing.store(true, Ordering::Relaxed);
+        self.shutting_down.store(true, Ordering::Relaxed);
         self.watcher.set_open(false);
-        sleep(grace.mul_f64(TAKES_CALLERS)).await;
+        sleep(grace.mul_f64(ANNOUNCE_SHARE)).await;
     }
 
-    async fn open_with_table(self) {
+    async fn open_when_table_known(self) {
         let mut changed = self.watcher.watched().changed();
         while self.watcher.table().is_none() {
             if changed.changed().await.is_err() {
--- a/crates/direct/src/refusal.rs
+++ b/crates/direct/src/refusal.rs
@@ -1,33 +1,33 @@
-//! Why a caller gets no answer of a target.
+//! Why a request got no response from a target.
 
 use std::fmt;
 use std::time::Duration;
 
-/// Why a caller gets no answer of a target.
+/// Why a request got no response from a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
-    /// This entry knows no route table yet.
+    /// This entry has not received a route table yet.
     NoTable,
-    /// No route leads there.
+    /// No route matches the host and path.
     NoRoute,
     /// The route needs the key of a client account.
     UnknownKey,
-    /// The service has no target that takes work.
+    /// The service has no available target.
     NoTarget,
     /// All targets of the service are full.
     Full,
-    /// All targets that were tried said that they did not run it.
+    /// Every target that was tried reported that it did not run the request.
     Declined,
-    /// It was sent to a target and nobody can say what became of it.
+    /// The request was sent to a target, and it is unknown whether it ran.
     Lost,
-    /// The time was over, and it was sent to a target.
+    /// The deadline passed after the request was sent to a target.
     TimedOut,
-    /// The time was over before it was sent to any target.
+    /// The deadline passed before the request was sent to any target.
     Expired,
 }
 
 impl Reason {
-    /// Whether the request surely has not run and never will.
+    /// Whether the request has certainly not run and never will.
     #[must_use]
     pub fn not_run(self) -> bool {
         !matches!(self, Reason::Lost | Reason::TimedOut)
@@ -50,12 +50,12 @@
     }
 }
 
-/// Why a caller gets no answer of a target, and when to come back.
+/// Why a request got no response from a target, and when to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: Reason,
-    /// When asking again makes sense.
+    /// Delay after which the caller should retry, if a retry makes sense.
     pub retry_after: Option<Duration>,
 }
 
@@ -67,7 +67,7 @@
         }
     }
 
-    pub(crate) fn after(reason: Reason, retry_after: Duration) -> Refusal {
+    pub(crate) fn with_retry_after(reason: Reason, retry_after: Duration) -> Refusal {
         Refusal {
             reason,
             retry_after: Some(retry_after),
--- a/crates/direct/src/service_targets.rs
+++ b/crates/direct/src/service_targets.rs
@@ -1,4 +1,4 @@
-//! The targets of one service, with what bounds requests to them.
+//! The targets of one service, with their retry budget and connections.
 
 use crate::dialect::{KeepAlive, ResponseInfo};
 use crate::timing::Timing;
@@ -14,38 +14,40 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Retries for each request. Targets of a service bear a fifth more; the rest
-/// is for callers who come back by themselves.
+/// Retries per request. Targets of a service can take a fifth more requests; the
+/// rest is left to callers that retry by themselves.
 const RETRY_RATIO: f64 = 0.15;
-/// Retries beside those that requests pay for, so that a quiet service may
-/// retry at all.
+/// Retries available in addition to the earned ones, so that a service with few
+/// requests can retry at all.
 const RETRY_RESERVE: u32 = 3;
-/// Retries that requests have paid for and that are kept for later. With the
-/// reserve and what comes back of it in ten seconds they make 13 at an entry:
-/// 52 at four entries, 208 at sixteen. A service bears 88 and 212.
+/// Maximum number of earned retries that are saved. Together with the reserve and
+/// its refill in ten seconds this allows 13 retries per entry: 52 at four
+/// entries, 208 at sixteen. A service can take 88 and 212,
+/// respectively.
 const RETRY_EARNED: f64 = 5.0;
-/// Time in which one retry of the reserve comes back.
+/// Time in which one retry of the reserve is refilled.
 const RETRY_REFILL: Duration = Duration::from_secs(2);
-/// Requests that may wait at a model engine for each of its slots, however much
-/// time they have.
-const ENGINE_WAITING: f64 = 0.15;
-/// Connections to a target that are kept.
-const MOST_KEPT: usize = 16;
-/// Silence after which a target gets no new work: five check-ins of it.
-const SILENT: Duration = Duration::from_secs(6);
+/// Requests that may queue at a model engine per slot, however much time they
+/// have left.
+const ENGINE_QUEUE_PER_SLOT: f64 = 0.15;
+/// Maximum number of idle connections kept per target.
+const MAX_IDLE_CONNECTIONS: usize = 16;
+/// Time without a heartbeat after which a target gets no new requests: five
+/// heartbeat intervals.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// The targets of one service, with what bounds requests to them.
+/// The targets of one service, with their retry budget and connections.
 #[derive(Debug)]
 pub(crate) struct ServiceTargets {
     pub(crate) set: TargetSet,
-    pub(crate) budget: RetryBudget,
-    pub(crate) returns: ReturnSchedule,
+    pub(crate) retry_budget: RetryBudget,
+    pub(crate) retry_schedule: ReturnSchedule,
     pub(crate) endpoints: BTreeMap<String, (TargetKey, Endpoint)>,
-    /// Since when requests have found no target that takes work.
-    pub(crate) absent: Option<Instant>,
+    /// Since when requests have found no available target.
+    pub(crate) unavailable_since: Option<Instant>,
 }
 
-/// How a target is reached.
+/// Address and connections of a target.
 #[derive(Clone, Debug)]
 pub(crate) struct Endpoint {
     pub(crate) id: String,
@@ -56,46 +58,47 @@
 impl ServiceTargets {
     pub(crate) fn new(
         service: &table::Service,
-        retry_full: Duration,
+        min_retry_after: Duration,
         now: Instant,
     ) -> ServiceTargets {
         ServiceTargets {
             set: TargetSet::new(tuning(service)),
-            budget: RetryBudget::new(RETRY_RATIO, RETRY_RESERVE, now)
+            retry_budget: RetryBudget::new(RETRY_RATIO, RETRY_RESERVE, now)
                 .bounded(RETRY_EARNED, RETRY_REFILL),
-            returns: ReturnSchedule::new(retry_full),
+            retry_schedule: ReturnSchedule::new(min_retry_after),
             endpoints: BTreeMap::new(),
-            absent: None,
+            unavailable_since: None,
         }
     }
 
-    /// Begins a request at a target.
-    pub(crate) fn start(
+    /// Counts a new request at a target, and returns the load known before it.
+    pub(crate) fn start_request(
         &mut self,
         key: TargetKey,
         now: Instant,
     ) -> Option<(Endpoint, Option<LoadEstimate>)> {
         let mut endpoints = self.endpoints.values();
         let (_, endpoint) = endpoints.find(|(known, _)| *known == key)?;
-        let seen = self.set.seen(key, now);
+        let load = self.set.seen(key, now);
         self.set.start(key);
-        Some((endpoint.clone(), seen))
+        Some((endpoint.clone(), load))
     }
 
-    pub(crate) fn follow<'a>(
+    /// Adds, removes and updates targets according to the known ones.
+    pub(crate) fn update<'a>(
         &mut self,
         known: impl Iterator<Item = &'a KnownTarget>,
         zone: &str,
-        kept: Duration,
+        idle_timeout: Duration,
         now: Instant,
     ) {
-        let mut stays = BTreeSet::new();
+        let mut present = BTreeSet::new();
         let mut slowdowns = Vec::new();
         let known: Vec<&KnownTarget> = known.collect();
         let silence = |known: &KnownTarget| now.saturating_duration_since(known.heard);
-        // With control lost nothing is heard of any target, and that says
-        // nothing about them.
-        let heard_any = known.iter().any(|known| silence(known) < SILENT);
+        // If control is unreachable, no heartbeats arrive from any target, and
+        // their absence says nothing about the targets.
+        let any_heard = known.iter().any(|known| silence(known) < HEARTBEAT_TIMEOUT);
         for known in known {
             let told = &known.told;
             let moved = |endpoint: &Endpoint| endpoint.address != told.address;
@@ -107,31 +110,31 @@
                 self.remove(&told.id);
             }
             if !self.endpoints.contains_key(&told.id) {
-                self.insert(known, zone, kept);
+                self.insert(known, zone, idle_timeout);
             }
             let Some((key, _)) = self.endpoints.get(&told.id) else {
                 continue;
             };
-            let silent = heard_any && silence(known) >= SILENT;
+            let silent = any_heard && silence(known) >= HEARTBEAT_TIMEOUT;
             let open = told.presence == Presence::Ready && !silent;
             self.set.set_open(*key, open);
             self.set.heard(*key, known.heard);
             slowdowns.push((*key, known.slowdown));
-            stays.insert(told.id.clone());
+            present.insert(told.id.clone());
         }
         self.set.set_slowdowns(&slowdowns);
-        let gone: Vec<String> = self
+        let removed: Vec<String> = self
             .endpoints
             .keys()
-            .filter(|id| !stays.contains(*id))
+            .filter(|id| !present.contains(*id))
             .cloned()
             .collect();
-        for id in gone {
+        for id in removed {
             self.remove(&id);
         }
     }
 
-    fn insert(&mut self, known: &KnownTarget, zone: &str, kept: Duration) {
+    fn insert(&mut self, known: &KnownTarget, zone: &str, idle_timeout: Duration) {
         let told = &known.told;
         let distance = if told.zone == zone {
             Distance::Near
@@ -142,7 +145,7 @@
         let endpoint = Endpoint {
             id: told.id.clone(),
             address: told.address,
-            pool: Arc::new(Pool::new(MOST_KEPT, kept)),
+            pool: Arc::new(Pool::new(MAX_IDLE_CONNECTIONS, idle_timeout)),
         };
         self.endpoints.insert(told.id.clone(), (key, endpoint));
     }
@@ -155,27 +158,29 @@
     }
 }
 
-/// A plain service's requests take a fifth of their objective, so that one
-/// round may wait; a stream takes several times its objective.
+/// Requests of a service without an engine take a fifth of their latency
+/// objective, so one per slot may queue. Streams take several times
+/// their objective, so far fewer may.
 fn tuning(service: &table::Service) -> TargetSetTuning {
     let Some(engine) = service.engine else {
         return TargetSetTuning::default();
     };
     TargetSetTuning {
-        waiting: ENGINE_WAITING,
+        waiting: ENGINE_QUEUE_PER_SLOT,
         pace: Some(Pace::new(engine.step, engine.step_per_request)),
         ..TargetSetTuning::default()
     }
 }
 
-/// Keeps a connection whose answer was read to its end, if its target does.
-pub(crate) fn keep(
+/// Returns a connection to the pool after a complete response, unless the target
+/// closes it.
+pub(crate) fn return_connection(
     endpoint: &Endpoint,
     mut conn: Connection,
-    reading: &ResponseInfo,
+    info: &ResponseInfo,
     timing: &Timing,
 ) {
-    match reading.keep_alive {
+    match info.keep_alive {
         KeepAlive::Close => return,
         KeepAlive::Timeout(time) if time < timing.idle_connection => return,
         KeepAlive::Timeout(_) | KeepAlive::Unspecified => {}
@@ -188,6 +193,9 @@
     };
     match conn.keep(&cfg) {
         Ok(()) => endpoint.pool.put(conn, Instant::now()),
-        Err(e) => log::debug!("connection to {} isn't kept: {e}", endpoint.address),
+        Err(e) => log::debug!(
+            "connection to {} not returned to the pool: {e}",
+            endpoint.address
+        ),
     }
 }
--- a/crates/direct/src/stream.rs
+++ b/crates/direct/src/stream.rs
@@ -1,7 +1,7 @@
-//! Passes a stream on, and goes on elsewhere when its target is lost.
+//! Forwards a stream, and resumes it at another target if its own one fails.
 
 use crate::dispatch::Dispatch;
-use crate::events::Events;
+use crate::events::EventBuffer;
 use crate::exchange::Head;
 use crate::permit::Permit;
 use crate::target_response::TargetResponse;
@@ -16,64 +16,65 @@
 use table::Kind;
 use tokio::time::timeout;
 
-/// A stream on its way to the caller.
+/// A stream that is being forwarded to the caller.
 struct Relay {
     dispatch: Dispatch,
-    /// None once the target's part is over.
-    source: Option<Source>,
-    events: Events,
-    /// Last event that the caller has.
-    last: Option<u64>,
+    /// None once the target has ended the stream or failed.
+    source: Option<TargetStream>,
+    events: EventBuffer,
+    /// Id of the last event that the caller has received.
+    last_event_id: Option<u64>,
 }
 
-/// Where the events come from now. Dropping it closes the connection, and so
-/// tells the target to stop.
-struct Source {
+/// The stream of the current target. Dropping it closes the connection, which makes
+/// the target stop.
+struct TargetStream {
     body: Incoming,
     conn: Connection,
-    reading: crate::ResponseInfo,
+    info: crate::ResponseInfo,
     permit: Permit,
-    /// When its last events came.
-    heard: Option<Instant>,
+    /// When the last data was received.
+    last_data: Option<Instant>,
 }
 
-impl Source {
-    /// Learns from the pause before the events that have come.
-    fn heard(&mut self, kind: Kind) {
+impl TargetStream {
+    /// Records the pause before the data that was just received.
+    fn record_pause(&mut self, kind: Kind) {
         let now = Instant::now();
-        let before = self.heard.replace(now);
+        let previous = self.last_data.replace(now);
         if let (
-            Some(before),
+            Some(previous),
             Kind::Stream {
-                pause: Some(most), ..
+                pause: Some(max_pause),
+                ..
             },
-        ) = (before, kind)
+        ) = (previous, kind)
         {
-            self.permit.paused(now - before, most, now);
+            self.permit.record_pause(now - previous, max_pause, now);
         }
     }
 }
 
-/// What comes next of a stream.
+/// Result of reading from a target's stream.
 enum Next {
     Data(Bytes),
     Ended,
     Broken(String),
 }
 
-/// The answer whose body passes a target's events on as they come.
+/// Returns a response whose body forwards a target's events as they arrive.
 pub(crate) fn relay(dispatch: Dispatch, head: Head, permit: Permit) -> TargetResponse {
     let (status, headers) = (head.status, head.headers);
     let relay = Relay {
-        last: dispatch.req.last_event_id,
-        source: Some(Source {
+        last_event_id: dispatch.req.last_event_id,
+        source: Some(TargetStream {
             body: head.body,
             conn: head.conn,
-            reading: head.reading,
+            info: head.info,
             permit,
-            heard: None,
+            last_data: None,
         }),
-        events: Events::default(),
+        events: EventBuffer::default(),
         dispatch,
     };
     let body = stream::unfold(Some(relay), |relay| async move {
@@ -92,42 +93,42 @@
 }
 
 impl Relay {
-    /// The next events; none once the stream has ended as a whole.
+    /// The next events; none once the stream has ended completely.
     async fn next(&mut self) -> io::Result<Option<Bytes>> {
         loop {
-            if let Some(event) = self.event() {
-                return Ok(Some(event));
+            if let Some(events) = self.complete_events() {
+                return Ok(Some(events));
             }
-            self.leave_slow_target().await?;
+            self.move_from_slow_target().await?;
             match self.read().await {
                 Next::Data(data) => {
                     if !self.events.push(&data) {
-                        return Err(self.broken_off("an event is too long"));
+                        return Err(self.stream_error("event exceeds the size limit"));
                     }
                 }
                 Next::Ended => return Ok(self.finish()),
-                Next::Broken(why) => self.go_on(&why).await?,
+                Next::Broken(why) => self.resume_elsewhere(&why).await?,
             }
         }
     }
 
-    /// All whole events that are here, in one piece.
-    fn event(&mut self) -> Option<Bytes> {
+    /// All complete events that are buffered, joined into one piece.
+    fn complete_events(&mut self) -> Option<Bytes> {
         let mut all: Option<Vec<u8>> = None;
         let mut first = None;
         while let Some(event) = self.events.next() {
-            if let (Some(id), Some(last)) = (event.id, self.last)
+            if let (Some(id), Some(last)) = (event.id, self.last_event_id)
                 && id <= last
             {
-                // The caller has it from the target before.
+                // The caller has received it from the previous target.
                 continue;
             }
-            self.last = event.id.or(self.last);
+            self.last_event_id = event.id.or(self.last_event_id);
             match (&mut all, first.take()) {
                 (Some(all), _) => all.extend_from_slice(&event.bytes),
                 (None, None) => first = Some(event.bytes),
-                (None, Some(before)) => {
-                    let mut joined = Vec::from(before);
+                (None, Some(first_event)) => {
+                    let mut joined = Vec::from(first_event);
                     joined.extend_from_slice(&event.bytes);
                     all = Some(joined);
                 }
@@ -137,8 +138,8 @@
     }
 
     async fn read(&mut self) -> Next {
-        let left = self.dispatch.left();
-        let silence = if self.can_go_on() {
+        let left = self.dispatch.time_left();
+        let inactivity = if self.can_resume() {
             self.dispatch.timing.inactivity.min(left)
         } else {
             left
@@ -147,102 +148,109 @@
             return Next::Ended;
         };
         loop {
-            match timeout(silence, source.body.frame()).await {
+            match timeout(inactivity, source.body.frame()).await {
                 Ok(None) => return Next::Ended,
                 Ok(Some(Err(e))) => return Next::Broken(e.to_string()),
                 Ok(Some(Ok(frame))) => {
                     if let Ok(data) = frame.into_data() {
-                        source.heard(self.dispatch.kind);
+                        source.record_pause(self.dispatch.kind);
                         return Next::Data(data);
                     }
                 }
-                Err(_) => return Next::Broken("silent for too long".to_owned()),
+                Err(_) => return Next::Broken("target unresponsive".to_owned()),
             }
         }
     }
 
-    /// The target has ended the stream.
+    /// Ends the stream as its target has ended it; returns the last bytes.
     fn finish(&mut self) -> Option<Bytes> {
-        let Source {
-            conn,
-            reading,
-            permit,
-            ..
+        let TargetStream {
+            conn, info, permit, ..
         } = self.source.take()?;
-        crate::service_targets::keep(permit.endpoint(), conn, &reading, &self.dispatch.timing);
-        permit.ended(Outcome::Answered);
-        if self.events.is_between() {
+        crate::service_targets::return_connection(
+            permit.endpoint(),
+            conn,
+            &info,
+            &self.dispatch.timing,
+        );
+        permit.finish(Outcome::Answered);
+        if self.events.is_empty() {
             return None;
         }
-        // What is no event ends the stream as the target ended it.
-        Some(self.events.rest())
+        // An incomplete event at the end is forwarded as the target sent it.
+        Some(self.events.take_rest())
     }
 
-    fn can_go_on(&self) -> bool {
+    fn can_resume(&self) -> bool {
         self.dispatch.kind.repeats()
     }
 
-    /// Moves to another target if that of the stream is so slow that it delays
-    /// the streams of all.
-    async fn leave_slow_target(&mut self) -> io::Result<()> {
+    /// Moves the stream to another target if its own one is so slow that it delays
+    /// all streams of the group.
+    async fn move_from_slow_target(&mut self) -> io::Result<()> {
         let Some(source) = &self.source else {
             return Ok(());
         };
-        let Some(place) = self.dispatch.place_to_move(&source.permit) else {
+        let Some(permit) = self.dispatch.acquire_for_move(&source.permit) else {
             return Ok(());
         };
-        let why = "the target is slow";
-        self.dispatch.log_miss(&source.permit, "stream moved", why);
+        let why = "target is slow";
+        self.dispatch
+            .log_failed_attempt(&source.permit, "stream moved", why);
         self.source = None;
         self.events.clear();
-        match self.dispatch.resume(place, self.last).await {
+        match self.dispatch.resume_at(permit, self.last_event_id).await {
             Some((head, permit)) => {
-                self.resumed(head, permit);
+                self.set_source(head, permit);
                 Ok(())
             }
-            None => self.go_on(why).await,
+            None => self.resume_elsewhere(why).await,
         }
     }
 
-    /// Goes on at another target after the last event that the caller has.
-    async fn go_on(&mut self, why: &str) -> io::Result<()> {
+    /// Resumes the stream at another target, after the last event that the caller
+    /// has received.
+    async fn resume_elsewhere(&mut self, why: &str) -> io::Result<()> {
         if let Some(source) = self.source.take() {
-            self.dispatch.log_miss(&source.permit, "stream broken", why);
-            source.permit.ended(Outcome::Failed);
+            self.dispatch
+                .log_failed_attempt(&source.permit, "stream broken", why);
+            source.permit.finish(Outcome::Failed);
         }
-        if !self.can_go_on() {
-            return Err(self.broken_off(why));
+        if !self.can_resume() {
+            return Err(self.stream_error(why));
         }
         self.events.clear();
-        let Some((head, permit)) = self.dispatch.go_on(self.last).await else {
-            return Err(self.broken_off(why));
+        let Some((head, permit)) = self.dispatch.resume_elsewhere(self.last_event_id).await else {
+            return Err(self.stream_error(why));
         };
-        self.resumed(head, permit);
+        self.set_source(head, permit);
         Ok(())
     }
 
-    fn resumed(&mut self, head: Head, permit: Permit) {
+    /// Continues with the stream of a new target.
+    fn set_source(&mut self, head: Head, permit: Permit) {
         log::info!(
             request = self.dispatch.req.id.as_str(), target_id = permit.endpoint().id.as_str(),
-            after = self.last.unwrap_or(0);
-            "stream goes on at another target"
+            after = self.last_event_id.unwrap_or(0);
+            "stream resumed at another target"
         );
-        self.source = Some(Source {
+        self.source = Some(TargetStream {
             body: head.body,
             conn: head.conn,
-            reading: head.reading,
+            info: head.info,
             permit,
-            heard: None,
+            last_data: None,
         });
     }
 
-    /// The caller's connection ends without the mark of a whole answer.
-    fn broken_off(&self, why: &str) -> io::Error {
-        self.dispatch.metrics.miss("stream cut");
+    /// Logs the failure of the stream. The returned error closes the caller's
+    /// connection without ending the body.
+    fn stream_error(&self, why: &str) -> io::Error {
+        self.dispatch.metrics.attempt_failed("stream cut");
         log::warn!(
-            request = self.dispatch.req.id.as_str(), after = self.last.unwrap_or(0),
-            left_ms:display = self.dispatch.left().as_millis();
-            "stream broken off: {why}"
+            request = self.dispatch.req.id.as_str(), after = self.last_event_id.unwrap_or(0),
+            left_ms:display = self.dispatch.time_left().as_millis();
+            "stream aborted: {why}"
         );
         io::Error::other(why.to_owned())
     }
--- a/crates/direct/src/target_response.rs
+++ b/crates/direct/src/target_response.rs
@@ -1,16 +1,16 @@
-//! What a caller gets of its target.
+//! The response of a target.
 
 use admin::Body;
 use hyper::{HeaderMap, StatusCode};
 
-/// A target's own answer: status, headers and bytes as it gave them.
+/// A target's response: status, headers and body as the target sent them.
 #[derive(Debug)]
 pub struct TargetResponse {
-    /// Status.
+    /// Status code.
     pub status: StatusCode,
-    /// Headers that are passed on.
+    /// Headers, including hop-by-hop ones.
     pub headers: HeaderMap,
-    /// Body; it fails where the target's broke off, and then the caller's
-    /// connection must not end as if it were whole.
+    /// Body. It yields an error if the target's body was truncated; the
+    /// connection to the caller must then not end as if the body were complete.
     pub body: Body,
 }
--- a/crates/direct/src/timing.rs
+++ b/crates/direct/src/timing.rs
@@ -1,30 +1,30 @@
-//! Times of requests.
+//! Timeouts of requests to targets.
 
 use route::Absence;
 use std::time::Duration;
 
-/// Times of requests straight to targets.
+/// Timeouts of requests to targets, and delays until callers retry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Timing {
-    /// Time to connect at most. Targets are a few milliseconds away, so a
-    /// connection that isn't there by then waits for a packet to be sent
-    /// again, a second later.
+    /// Timeout for opening a connection. Round trips to targets take a few
+    /// milliseconds; a connection that takes longer has lost a packet, which is
+    /// retransmitted only after a second.
     pub connect: Duration,
-    /// Silence of a target after which a request that may be repeated is sent
-    /// to another one.
+    /// Time without data from a target after which a repeatable request is sent
+    /// to another target.
     pub inactivity: Duration,
-    /// How long a connection is kept without use. Shorter than targets keep
-    /// theirs, so that no request meets the target's close.
+    /// How long an idle connection is kept. Shorter than the targets' own idle
+    /// timeout, so that no request is sent on a connection being closed.
     pub idle_connection: Duration,
-    /// When a caller who finds all targets full, or is declined by them, may
-    /// come back: about the time that bursts of demand, switches of expert maps
-    /// and groups that form anew last. Its objective is missed by then, so that
-    /// to come back sooner wins nothing and fails more often.
+    /// Earliest retry of a caller whose request found all targets full or was
+    /// declined by them: about as long as load bursts, switches of expert maps
+    /// and group re-formations last. The latency objective is missed by then, so
+    /// an earlier retry gains nothing and fails more often.
     pub retry_after_full: Duration,
-    /// When a caller who finds no target or no table may come back: about the
-    /// time in which a target or entry that starts is known.
+    /// Retry delay of a caller whose request found no target or no route table:
+    /// about the time until a starting target or entry is known.
     pub retry_after_absent: Duration,
-    /// How long requests wait for a table or target of which none is known.
+    /// How long requests wait while no route table or no target is known.
     pub absence: Absence,
 }
 
