--- a/crates/direct/src/service_targets.rs
+++ b/crates/direct/src/service_targets.rs
@@ -22,8 +22,7 @@
 const RETRY_RESERVE: u32 = 3;
 /// Maximum number of earned retries that are saved. Together with the reserve and
 /// its refill in ten seconds this allows 13 retries per entry: 52 at four
-/// entries, 208 at sixteen. A service can take 88 and 212,
-/// respectively.
+/// entries, 208 at sixteen. A service can take 88 and 212, respectively.
 const RETRY_EARNED: f64 = 5.0;
 /// Time in which one retry of the reserve is refilled.
 const RETRY_REFILL: Duration = Duration::from_secs(2);
@@ -95,32 +94,34 @@
         let mut present = BTreeSet::new();
         let mut slowdowns = Vec::new();
         let known: Vec<&KnownTarget> = known.collect();
-        let silence = |known: &KnownTarget| now.saturating_duration_since(known.heard);
+        let since_heartbeat = |known: &KnownTarget| now.saturating_duration_since(known.heard);
         // If control is unreachable, no heartbeats arrive from any target, and
         // their absence says nothing about the targets.
-        let any_heard = known.iter().any(|known| silence(known) < HEARTBEAT_TIMEOUT);
+        let any_heard = known
+            .iter()
+            .any(|known| since_heartbeat(known) < HEARTBEAT_TIMEOUT);
         for known in known {
-            let told = &known.told;
-            let moved = |endpoint: &Endpoint| endpoint.address != told.address;
+            let sighting = &known.told;
+            let moved = |endpoint: &Endpoint| endpoint.address != sighting.address;
             if self
                 .endpoints
-                .get(&told.id)
+                .get(&sighting.id)
                 .is_some_and(|(_, endpoint)| moved(endpoint))
             {
-                self.remove(&told.id);
+                self.remove(&sighting.id);
             }
-            if !self.endpoints.contains_key(&told.id) {
+            if !self.endpoints.contains_key(&sighting.id) {
                 self.insert(known, zone, idle_timeout);
             }
-            let Some((key, _)) = self.endpoints.get(&told.id) else {
+            let Some((key, _)) = self.endpoints.get(&sighting.id) else {
                 continue;
             };
-            let silent = any_heard && silence(known) >= HEARTBEAT_TIMEOUT;
-            let open = told.presence == Presence::Ready && !silent;
+            let is_stale = any_heard && since_heartbeat(known) >= HEARTBEAT_TIMEOUT;
+            let open = sighting.presence == Presence::Ready && !is_stale;
             self.set.set_open(*key, open);
             self.set.heard(*key, known.heard);
             slowdowns.push((*key, known.slowdown));
-            present.insert(told.id.clone());
+            present.insert(sighting.id.clone());
         }
         self.set.set_slowdowns(&slowdowns);
         let removed: Vec<String> = self
@@ -135,19 +136,19 @@
     }
 
     fn insert(&mut self, known: &KnownTarget, zone: &str, idle_timeout: Duration) {
-        let told = &known.told;
-        let distance = if told.zone == zone {
+        let sighting = &known.told;
+        let distance = if sighting.zone == zone {
             Distance::Near
         } else {
             Distance::Far
         };
-        let key = self.set.insert(told.slots, distance);
+        let key = self.set.insert(sighting.slots, distance);
         let endpoint = Endpoint {
-            id: told.id.clone(),
-            address: told.address,
+            id: sighting.id.clone(),
+            address: sighting.address,
             pool: Arc::new(Pool::new(MAX_IDLE_CONNECTIONS, idle_timeout)),
         };
-        self.endpoints.insert(told.id.clone(), (key, endpoint));
+        self.endpoints.insert(sighting.id.clone(), (key, endpoint));
     }
 
     fn remove(&mut self, id: &str) {
@@ -159,8 +160,8 @@
 }
 
 /// Requests of a service without an engine take a fifth of their latency
-/// objective, so one per slot may queue. Streams take several times
-/// their objective, so far fewer may.
+/// objective, so one per slot may queue. Streams take several times their
+/// objective, so far fewer may.
 fn tuning(service: &table::Service) -> TargetSetTuning {
     let Some(engine) = service.engine else {
         return TargetSetTuning::default();
