--- a/crates/agent/src/engine/arming.rs
+++ b/crates/agent/src/engine/arming.rs
@@ -15,7 +15,7 @@
 use serde::Deserialize;
 use tokio::time::timeout;
 
-use super::{ArmingBody, ArmingDialect, ArmingOrder, ArmingState};
+use super::{ArmingAction, ArmingCommand, ArmingDialect, ArmingState};
 use super::{ExpertCounts, MapOrder, MapState, Obeyed, OrderFailure, RankCounts};
 
 /// How often an order is sent before its outcome counts as unknown. With every
@@ -202,13 +202,13 @@
         &self,
         fencing: u64,
         formation: u64,
-        body: ArmingBody,
+        body: ArmingAction,
     ) -> Result<(), OrderFailure> {
         let mut failure = Failure::NotRun("not tried".to_owned());
         let mut absent = 0;
         for _ in 0..TRIES {
-            let order = ArmingOrder {
-                body: body.clone(),
+            let order = ArmingCommand {
+                action: body.clone(),
                 fencing: self.number(fencing),
                 formation,
             };
@@ -219,7 +219,7 @@
                 }
                 Ok(status) if status.is_success() => return Ok(()),
                 Ok(status) if status.is_client_error() => {
-                    let refused = format!("{:?} answered {status}", order.body);
+                    let refused = format!("{:?} answered {status}", order.action);
                     return Err(OrderFailure::Refused(refused));
                 }
                 Ok(status) => failure = Failure::Broken(format!("order answered {status}")),
@@ -240,9 +240,9 @@
         (fencing << SERIAL_BITS) + serial
     }
 
-    async fn send(&self, order: &ArmingOrder) -> Result<StatusCode, Failure> {
-        let body = (self.dialect.order)(order);
-        let req = self.request(Method::POST, self.dialect.order_path, body.into())?;
+    async fn send(&self, order: &ArmingCommand) -> Result<StatusCode, Failure> {
+        let body = (self.dialect.command)(order);
+        let req = self.request(Method::POST, self.dialect.command_path, body.into())?;
         let cfg = ClientSettings {
             connect: self.within,
             head: self.within,
@@ -325,25 +325,25 @@
 }
 
 /// The rank's own orders that make up one order of a switch.
-fn bodies(order: &MapOrder, state: &ArmingState) -> Result<Vec<ArmingBody>, OrderFailure> {
+fn bodies(order: &MapOrder, state: &ArmingState) -> Result<Vec<ArmingAction>, OrderFailure> {
     Ok(match order {
-        MapOrder::Stage { version, map } => vec![ArmingBody::Prepare {
+        MapOrder::Stage { version, map } => vec![ArmingAction::Prepare {
             version: *version,
             map: lists(map)?,
         }],
         // Held first: once it is, no step begins on another map than the
         // others use, however long arming takes.
         MapOrder::Hold { version, step } => vec![
-            ArmingBody::Hold { step: *step },
-            ArmingBody::Arm {
+            ArmingAction::Hold { step: *step },
+            ArmingAction::Arm {
                 version: *version,
                 step: *step,
             },
         ],
-        MapOrder::Commit { step, .. } => vec![ArmingBody::Go { step: *step }],
+        MapOrder::Commit { step, .. } => vec![ArmingAction::Go { step: *step }],
         MapOrder::Abort { version, .. } => {
-            let mut bodies = vec![ArmingBody::Disarm { version: *version }];
-            bodies.extend(state.held.map(|step| ArmingBody::Go { step }));
+            let mut bodies = vec![ArmingAction::Disarm { version: *version }];
+            bodies.extend(state.held.map(|step| ArmingAction::Go { step }));
             bodies
         }
         // Such an engine starts each formation on its start map by itself.
--- a/crates/agent/src/engine/arming_dialect.rs
+++ b/crates/agent/src/engine/arming_dialect.rs
@@ -13,9 +13,9 @@
     /// Reads how often each expert was chosen, layer by layer, since its start.
     pub counts: fn(&[u8]) -> Option<Vec<u64>>,
     /// Path of orders.
-    pub order_path: &'static str,
+    pub command_path: &'static str,
     /// Writes an order.
-    pub order: fn(&ArmingOrder) -> Vec<u8>,
+    pub command: fn(&ArmingCommand) -> Vec<u8>,
 }
 
 /// Where one rank stands with its maps.
@@ -45,9 +45,9 @@
 
 /// An order to one rank.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ArmingOrder {
+pub struct ArmingCommand {
     /// What it is to do.
-    pub body: ArmingBody,
+    pub action: ArmingAction,
     /// Higher than that of any order sent before; the rank refuses lower ones.
     pub fencing: u64,
     /// The rank refuses it in any other formation.
@@ -56,7 +56,7 @@
 
 /// What a rank is to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ArmingBody {
+pub enum ArmingAction {
     /// Load a map, by layer and rank the experts.
     Prepare {
         /// Its version.
--- a/crates/agent/src/engine/mod.rs
+++ b/crates/agent/src/engine/mod.rs
@@ -19,7 +19,7 @@
 
 pub use ::outlet::{ClientSettings, Failure, PoolCounts};
 pub(crate) use arming::{ArmingEngine, Release};
-pub use arming_dialect::{ArmingBody, ArmingDialect, ArmingOrder, ArmingState};
+pub use arming_dialect::{ArmingAction, ArmingCommand, ArmingDialect, ArmingState};
 pub use cache::CacheChange;
 pub use call::{Call, Repeats};
 pub use expert_counts::{ExpertCounts, RankCounts};
