--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -14,14 +14,14 @@
 use wire::proto::NodeInfo;
 use wire::{ClusterKey, Identity, LinkSettings, Role};
 
+use crate::command::CommandQueue;
 use crate::context::Context;
 use crate::desk::{Desk, DeskMsg, Idle};
-use crate::engine::{Outlet, Stand};
+use crate::engine::{TargetClient, TargetKind};
 use crate::links::{Links, MAX_ASKED};
 use crate::map::{MapContext, Maps, Offers};
 use crate::metrics::Metrics;
 use crate::monitor::Monitor;
-use crate::order::Orders;
 use crate::status::Status;
 use crate::{Health, Listeners, Phase, Settings};
 
@@ -35,7 +35,7 @@
 pub struct Agent {
     cx: Arc<Context>,
     desk: ActorRef<DeskMsg>,
-    orders: Orders,
+    commands: CommandQueue,
     links: SocketAddr,
     http: SocketAddr,
     _stop: DropGuard,
@@ -61,14 +61,14 @@
         let cx = context(cfg, me.incarnation, follower);
         cx.metrics.register(&mut registry);
         let counts = registry.sub_registry_with_prefix("agent");
-        cx.outlet.counts().register(counts);
+        cx.target_client.counts().register(counts);
         let (desk, _) = Actor::spawn(None, Desk, Arc::clone(&cx)).await?;
         let (monitor, _) = Actor::spawn(None, Monitor, Arc::clone(&cx)).await?;
         let map_cx = Arc::new(map_context(&cx));
-        let orders = crate::order::start(Arc::clone(&map_cx)).await?;
-        let maps = match cx.cfg.stand {
-            Stand::Engine => crate::map::start(&map_cx, &orders, &me, &key, &link).await?,
-            Stand::Service => Maps::none(),
+        let commands = crate::command::start(Arc::clone(&map_cx)).await?;
+        let maps = match cx.cfg.kind {
+            TargetKind::Engine => crate::map::start(&map_cx, &commands, &me, &key, &link).await?,
+            TargetKind::Service => Maps::none(),
         };
         let accept = Arc::new(Links {
             cx: Arc::clone(&cx),
@@ -93,7 +93,7 @@
             _stop: cx.stop.clone().drop_guard(),
             cx,
             desk,
-            orders,
+            commands,
             links,
             http,
         })
@@ -117,10 +117,10 @@
         self.cx.incarnation
     }
 
-    /// Gives orders to the engine.
+    /// Gives commands to the engine.
     #[must_use]
-    pub fn orders(&self) -> Orders {
-        self.orders.clone()
+    pub fn commands(&self) -> CommandQueue {
+        self.commands.clone()
     }
 
     /// Leaves: tells entries and control, takes nothing new, finishes what
@@ -179,8 +179,8 @@
 fn context(cfg: Settings, incarnation: u64, follower: Follower) -> Arc<Context> {
     let stop = CancellationToken::new();
     Arc::new(Context {
-        outlet: Outlet::new(cfg.target, cfg.stand, cfg.timing.client.clone())
-            .keeping(cfg.limits.kept, cfg.timing.kept),
+        target_client: TargetClient::new(cfg.target, cfg.kind, cfg.timing.client.clone())
+            .with_keep_alive(cfg.limits.kept, cfg.timing.kept),
         cfg,
         incarnation,
         follower,
@@ -201,7 +201,7 @@
         cfg: cx.cfg.maps.clone(),
         poll: cx.cfg.timing.poll,
         follower: cx.follower.clone(),
-        outlet: cx.outlet.clone(),
+        target_client: cx.target_client.clone(),
         offers: Offers::Note,
         stop: cx.stop.clone(),
     }
--- a/crates/agent/src/context.rs
+++ b/crates/agent/src/context.rs
@@ -8,7 +8,7 @@
 use tokio_util::sync::CancellationToken;
 use wire::proto::{CacheEvents, Role};
 
-use crate::engine::{Outlet, Stand};
+use crate::engine::{TargetClient, TargetKind};
 use crate::metrics::Metrics;
 use crate::status::Status;
 use crate::{Health, Lease, Offered, Phase, Settings};
@@ -17,7 +17,7 @@
     pub cfg: Settings,
     pub incarnation: u64,
     pub follower: Follower,
-    pub outlet: Outlet,
+    pub target_client: TargetClient,
     pub metrics: Metrics,
     pub phase: watch::Sender<Phase>,
     pub status: watch::Sender<Status>,
@@ -74,14 +74,14 @@
             return Offered::No;
         };
         let serves = self.cfg.serves.as_str();
-        let offered = match self.cfg.stand {
-            Stand::Engine => {
+        let offered = match self.cfg.kind {
+            TargetKind::Engine => {
                 let group = catalogue.group(serves);
                 target.group() == Some(serves)
                     && wanted.group == serves
                     && group.is_some_and(|group| group.model == wanted.model)
             }
-            Stand::Service => {
+            TargetKind::Service => {
                 target.service() == Some(serves)
                     && wanted.service == serves
                     && catalogue.service(serves).is_some()
--- a/crates/agent/src/crash.rs
+++ b/crates/agent/src/crash.rs
@@ -12,7 +12,7 @@
 use crate::Suspicion;
 use crate::context::Context;
 use crate::desk::{DeskMsg, State};
-use crate::engine::{Failure, Stand};
+use crate::engine::{Failure, TargetKind};
 
 /// Looks at the target before it is taken not to have crashed.
 const LOOKS: u32 = 10;
@@ -173,10 +173,10 @@
 
 /// The instance that answers; empty where targets don't tell.
 async fn look(cx: &Context) -> Result<String, Failure> {
-    match cx.outlet.stand() {
-        Stand::Engine => Ok(cx.outlet.profile().await?.instance),
-        Stand::Service => {
-            cx.outlet.load().await?;
+    match cx.target_client.kind() {
+        TargetKind::Engine => Ok(cx.target_client.profile().await?.instance),
+        TargetKind::Service => {
+            cx.target_client.load().await?;
             Ok(String::new())
         }
     }
--- a/crates/agent/src/engine/arming_dialect.rs
+++ b/crates/agent/src/engine/arming_dialect.rs
@@ -1,87 +1,89 @@
-//! What is said to an engine that is armed and held by orders of its own.
+//! Wire format of engines that take separate commands to arm and to hold.
 
-/// How an engine whose ranks are armed and held by orders of their own is
-/// spoken to.
+/// Paths and encodings of an engine whose ranks take separate commands to arm
+/// and to hold.
 #[derive(Clone, Copy, Debug)]
 pub struct ArmingDialect {
-    /// Path of its state.
+    /// Path of the rank's state.
     pub state_path: &'static str,
-    /// Reads its state.
+    /// Parses the state.
     pub state: fn(&[u8]) -> Option<ArmingState>,
-    /// Path of its counts.
+    /// Path of the expert counts.
     pub counts_path: &'static str,
-    /// Reads how often each expert was chosen, layer by layer, since its start.
+    /// Parses how often each expert was chosen since the engine started, layer
+    /// by layer.
     pub counts: fn(&[u8]) -> Option<Vec<u64>>,
-    /// Path of orders.
+    /// Path of commands.
     pub command_path: &'static str,
-    /// Writes an order.
+    /// Encodes a command.
     pub command: fn(&ArmingCommand) -> Vec<u8>,
 }
 
-/// Where one rank stands with its maps.
+/// State of one rank.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ArmingState {
-    /// Name of its group.
+    /// Name of the group.
     pub group: String,
-    /// Its number in the group.
+    /// Number of the rank in the group.
     pub rank: u32,
-    /// Ranks of the group.
+    /// Number of ranks in the group.
     pub ranks: u32,
-    /// Number of the formation in which it steps; `None` between two.
+    /// Number of the current formation; `None` between two formations.
     pub formation: Option<u64>,
-    /// The last step that was begun.
+    /// The last step that has begun.
     pub step: u64,
-    /// Version in use.
+    /// Version of the map in use.
     pub version: u64,
-    /// Version that is loaded.
+    /// Version that is loaded and not in use.
     pub prepared: Option<u64>,
-    /// Version that comes into use, and the first step that uses it.
+    /// Version that will come into use, and the first step that uses it.
     pub armed: Option<(u64, u64)>,
-    /// The step that isn't begun.
+    /// The step that the rank doesn't begin until it is released.
     pub held: Option<u64>,
-    /// How many times longer than usual it takes for its work.
+    /// How many times longer than usual the rank takes for its work.
     pub slowdown: f64,
 }
 
-/// An order to one rank.
+/// A command to one rank.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ArmingCommand {
-    /// What it is to do.
+    /// What the rank is to do.
     pub action: ArmingAction,
-    /// Higher than that of any order sent before; the rank refuses lower ones.
+    /// Higher than that of any earlier command; the rank refuses lower numbers.
     pub fencing: u64,
-    /// The rank refuses it in any other formation.
+    /// The formation in which the command holds; the rank refuses it in any
+    /// other.
     pub formation: u64,
 }
 
 /// What a rank is to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ArmingAction {
-    /// Load a map, by layer and rank the experts.
+    /// Load a map without using it.
     Prepare {
-        /// Its version.
+        /// Version of the map.
         version: u64,
-        /// The experts.
+        /// Experts by layer and rank.
         map: Vec<Vec<Vec<u16>>>,
     },
     /// Use a loaded map from a step on.
     Arm {
-        /// Its version.
+        /// Version of the map.
         version: u64,
         /// The step.
         step: u64,
     },
-    /// Don't use it after all.
+    /// Cancel the use of a map that was armed.
     Disarm {
-        /// Its version.
+        /// Version of the map.
         version: u64,
     },
-    /// Don't begin a step.
+    /// Don't begin a step until told to.
     Hold {
         /// The step.
         step: u64,
     },
-    /// Begin it after all.
+    /// Begin a step that was held.
     Go {
         /// The step.
         step: u64,
--- a/crates/agent/src/engine/cache.rs
+++ b/crates/agent/src/engine/cache.rs
@@ -2,14 +2,14 @@
 
 use serde::Deserialize;
 
-/// What changed in the prefix cache up to a sequence number.
+/// Changes of the prefix cache up to a sequence number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct CacheChange {
     /// Number of the last change.
     pub sequence: u64,
-    /// Hashes of prompt prefixes that are held now.
+    /// Hashes of prompt prefixes that were added.
     pub stored: Vec<u64>,
-    /// Hashes of prompt prefixes that are no longer held.
+    /// Hashes of prompt prefixes that were removed.
     pub evicted: Vec<u64>,
 }
--- a/crates/agent/src/engine/call.rs
+++ b/crates/agent/src/engine/call.rs
@@ -1,11 +1,11 @@
-//! One call of a target.
+//! A request to the target.
 
 use bytes::Bytes;
 
-/// What an attempt asks of its target.
+/// The request that an attempt sends to its target.
 #[derive(Clone, Debug, Default)]
 pub struct Call {
-    /// Names the request in the target's logs and in a cancellation.
+    /// Id of the request in the target's logs and in cancellations.
     pub request: String,
     /// HTTP method, for plain services.
     pub method: String,
@@ -15,24 +15,24 @@
     pub headers: Vec<(String, Bytes)>,
     /// Body.
     pub body: Bytes,
-    /// Rank of the group that is to run it.
+    /// Rank of the group that runs it.
     pub rank: u32,
     /// Priority of the client account.
     pub priority: u32,
-    /// Server-sent events that the caller already has.
+    /// Number of server-sent events that the caller has already received.
     pub resume_events: u64,
     /// Trace context of this hop.
     pub traceparent: String,
     /// Whether it may be run again.
-    pub repeats: Repeats,
+    pub retry: Retry,
 }
 
 /// Whether a call may be run again when its first run is lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Repeats {
-    /// It must not.
+pub enum Retry {
+    /// It must not be run again.
     #[default]
     Never,
-    /// It may.
-    Freely,
+    /// It may be run again.
+    Allowed,
 }
--- a/crates/agent/src/engine/expert_counts.rs
+++ b/crates/agent/src/engine/expert_counts.rs
@@ -1,8 +1,8 @@
-//! What an engine counts of its experts.
+//! Expert counters of an engine.
 
 use serde::Deserialize;
 
-/// What an engine counts of its experts, from its start on.
+/// Expert counters of an engine, cumulative since it started.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct ExpertCounts {
@@ -10,20 +10,21 @@
     pub step: u64,
     /// Version of the map in use.
     pub map_version: u64,
-    /// For each of its ranks.
+    /// Counters of each rank.
     pub ranks: Vec<RankCounts>,
 }
 
-/// What one rank counts.
+/// Counters of one rank.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct RankCounts {
     /// Number of the rank.
     pub rank: u32,
-    /// Time of a step, in microseconds.
+    /// Duration of a step, in microseconds.
     pub step_us: u32,
-    /// How many times longer than usual it takes for its work, if it tells.
+    /// How many times longer than usual the rank takes for its work, if it
+    /// reports that.
     pub slowdown: Option<f64>,
-    /// Tokens by layer and expert.
+    /// Routed tokens by layer and expert.
     pub tokens: Vec<Vec<u64>>,
 }
--- a/crates/agent/src/engine/load.rs
+++ b/crates/agent/src/engine/load.rs
@@ -1,4 +1,4 @@
-//! The load that a target reports.
+//! Load report of a target.
 
 use serde::Deserialize;
 
@@ -6,13 +6,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct Load {
-    /// Load by rank; empty for plain services.
+    /// Load of each rank; empty for plain services.
     pub ranks: Vec<RankLoad>,
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Queued requests.
     pub queued: u32,
-    /// Requests that may run at once.
+    /// Maximum number of concurrent requests.
     pub limit: u32,
 }
 
@@ -20,14 +20,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct RankLoad {
-    /// The rank.
+    /// Number of the rank.
     pub rank: u32,
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Tokens of prompts that wait.
+    /// Prompt tokens of requests that wait.
     pub queued_tokens: u32,
-    /// Use of the key-value cache, in thousandths.
+    /// Usage of the key-value cache, in thousandths.
     pub kv_used_permille: u32,
-    /// Time of the last step in microseconds.
+    /// Duration of the last step, in microseconds.
     pub step_us: u32,
 }
--- a/crates/agent/src/engine/order.rs
+++ b/crates/agent/src/engine/map_command.rs
@@ -1,4 +1,4 @@
-//! Orders that switch an engine's expert map.
+//! Commands that switch an engine's expert map.
 
 use bytes::Bytes;
 use expert::Arming;
@@ -8,8 +8,8 @@
 
 /// One step of a switch to another expert map.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum MapOrder {
-    /// Begin to load a map without using it; `GET /map` tells when it is done.
+pub enum MapCommand {
+    /// Begin to load a map without using it; `GET /map` shows when it is loaded.
     Stage {
         /// Version of the map.
         version: u64,
@@ -23,13 +23,13 @@
         /// The step.
         step: u64,
     },
-    /// Take over the maps in force and begin to run steps, if the engine waits
-    /// for that in this formation.
+    /// Adopt the committed maps and begin to run steps, if the engine waits for
+    /// that in this formation.
     Join {
         /// Number of the formation.
         formation: u64,
         /// The maps, oldest first.
-        maps: Vec<InForce>,
+        maps: Vec<CommittedMap>,
     },
     /// Use the staged map from a step on.
     Commit {
@@ -38,7 +38,7 @@
         /// The first step that uses it.
         step: u64,
     },
-    /// Drop the staged map and go on with the former one.
+    /// Drop the staged map and continue with the present one.
     Abort {
         /// Version of the staged map.
         version: u64,
@@ -47,9 +47,9 @@
     },
 }
 
-/// A map that is in force from a step on.
+/// A committed map, used from a step on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct InForce {
+pub struct CommittedMap {
     /// Version of the map.
     pub version: u64,
     /// The first step that uses it.
@@ -58,21 +58,21 @@
     pub map: Bytes,
 }
 
-/// What an engine answers to an order that it took.
+/// An engine's answer to a command that it accepted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
-pub struct Obeyed {
+pub struct CommandReply {
     /// The last step that ran.
     pub step: u64,
     /// Whether the map is loaded, after `Stage`.
     pub ready: bool,
-    /// Whether the step will wait, after `Hold`.
+    /// Whether the engine will wait before the step, after `Hold`.
     pub held: bool,
     /// Whether the staged map was known, after `Commit` and `Abort`.
     pub known: bool,
 }
 
-/// Where an engine stands with its maps.
+/// State of an engine's expert maps.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct MapState {
@@ -88,35 +88,36 @@
     pub next: Option<u64>,
     /// The step that waits for an outcome.
     pub held: Option<u64>,
-    /// Whether the engine runs no step after a start until it has joined.
+    /// Whether the engine runs no step after a start until it receives `Join`.
     pub waits: bool,
-    /// Whether it waits for that now.
+    /// Whether it is waiting for `Join` now.
     pub waiting: bool,
-    /// Number of the formation in which it steps with the other engines of
-    /// its group: 0 between two, `None` if the engine tells none.
+    /// Number of the formation, the set of engines of the group that run steps
+    /// together: 0 between two formations, `None` if the engine reports none.
     ///
-    /// An engine may tell of a formation only once all engines in it have
-    /// left the former one.
+    /// An engine may report a formation only once all engines in it have left
+    /// the previous one.
     pub formation: Option<u64>,
-    /// Ranks of that formation.
+    /// Ranks of the formation.
     pub ranks: Vec<u32>,
     /// The highest fencing number that the engine has seen.
     pub fencing: u64,
-    /// Whether an engine that is armed by an order of its own is armed.
+    /// Whether the engine is armed, if it takes separate commands to arm.
     #[serde(skip)]
     pub arming: Option<Arming>,
 }
 
-/// Why an order isn't known to be obeyed.
+/// Why a command isn't known to have been applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OrderFailure {
+pub enum CommandFailure {
     /// Its fencing number is lower than one seen before.
     Fenced {
         /// The highest number seen.
         highest: u64,
     },
-    /// The engine refused it for another reason.
+    /// The engine refused it, with this reason.
     Refused(String),
-    /// The call failed; unless as not run, the order may have been obeyed.
+    /// The call failed; unless it is [`Failure::NotRun`], the command may have
+    /// been applied.
     Failed(Failure),
 }
--- a/crates/agent/src/engine/map_document.rs
+++ b/crates/agent/src/engine/map_document.rs
@@ -1,10 +1,10 @@
-//! An expert map as engines read it.
+//! The JSON form of an expert map.
 
 use bytes::Bytes;
 use expert::Map;
 use serde_json::{Value, json};
 
-/// The JSON document of a map: by layer, rank and slot the expert's number,
+/// The JSON document of a map: the number of the expert by layer, rank and slot,
 /// or null for an empty slot.
 ///
 /// ```
--- a/crates/agent/src/engine/profile.rs
+++ b/crates/agent/src/engine/profile.rs
@@ -1,8 +1,9 @@
-//! What an engine says it is and can do.
+//! Models and capabilities of an engine.
 
 use serde::Deserialize;
 
-/// What an engine says it is and can do; what it doesn't say, it can't.
+/// Models and capabilities that an engine reports; a capability that it doesn't
+/// report counts as missing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 #[allow(
@@ -18,16 +19,17 @@
     pub versions: Vec<String>,
     /// Ranks that it runs.
     pub ranks: Vec<u32>,
-    /// Whether a stream can begin at a later event.
+    /// Whether a stream can be resumed at a later event.
     pub resume: bool,
-    /// Whether a request can be cancelled by order.
+    /// Whether a running request can be cancelled.
     pub cancel: bool,
     /// Whether it honours priorities.
     pub priority: bool,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it refuses commands with an outdated fencing number.
     pub checks_fencing: bool,
-    /// Whether it exports key-value cache.
+    /// Whether it exports its key-value cache.
     pub exports_kv: bool,
-    /// Differs after each restart, if it is told.
+    /// Id of the instance, new after each restart; empty if the engine reports
+    /// none.
     pub instance: String,
 }
--- a/crates/agent/src/engine/reply.rs
+++ b/crates/agent/src/engine/reply.rs
@@ -1,4 +1,4 @@
-//! The answer to a call, as it comes.
+//! The streamed response to a call.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -14,30 +14,31 @@
 use ::outlet::{Connection, Pool};
 use admin::HOP_HEADERS;
 
-use super::{ClientSettings, Failure, Whole};
+use super::{ClientSettings, CompletionCheck, Failure};
 
 const EVENT_STREAM: &[u8] = b"text/event-stream";
 
-/// Tokens that an answer took.
+/// Token counts of a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct Usage {
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Tokens of the prompt that were cached.
+    /// Tokens of the prompt that were found in the cache.
     pub cached_tokens: u32,
     /// Tokens generated.
     pub completion_tokens: u32,
 }
 
-/// A target's answer: its head is here, its body comes.
+/// A target's response: the head has arrived, the body is streamed.
 pub struct Reply {
     status: StatusCode,
     headers: Vec<(String, Bytes)>,
     body: Incoming,
-    whole: Whole,
+    completion: CompletionCheck,
     cfg: ClientSettings,
-    /// Closes the connection when the reply is dropped before its end.
+    /// Taken when the body is complete; otherwise the connection is closed when
+    /// the reply is dropped.
     conn: Option<Connection>,
     pool: Arc<Pool>,
 }
@@ -52,9 +53,9 @@
     ) -> Self {
         let (head, body) = response.into_parts();
         Reply {
-            whole: form(head.status, &head.headers, method),
+            completion: framing(head.status, &head.headers, method),
             status: head.status,
-            headers: passed_on(&head.headers),
+            headers: end_to_end_headers(&head.headers),
             body,
             cfg: cfg.clone(),
             conn: Some(conn),
@@ -68,18 +69,18 @@
         self.status.as_u16()
     }
 
-    /// Headers that are passed on.
+    /// Headers without the hop-by-hop ones.
     #[must_use]
     pub fn headers(&self) -> Vec<(String, Bytes)> {
         self.headers.clone()
     }
 
-    /// The next bytes of the body, `None` once it ended as a whole.
+    /// The next bytes of the body; `None` once it has ended and is complete.
     ///
     /// # Errors
     ///
-    /// Fails when the connection breaks, when nothing comes for too long and
-    /// when the body ends before it is whole.
+    /// Fails when the connection breaks, when no byte arrives within the
+    /// progress timeout, and when the body ends before it is complete.
     pub async fn next(&mut self) -> Result<Option<Bytes>, Failure> {
         loop {
             let Ok(frame) = timeout(self.cfg.progress, self.body.frame()).await else {
@@ -90,20 +91,20 @@
             };
             let frame = frame.map_err(|e| Failure::Broken(e.to_string()))?;
             if let Ok(data) = frame.into_data() {
-                self.whole.push(&data);
+                self.completion.push(&data);
                 return Ok(Some(data));
             }
         }
     }
 
-    /// Tokens that the answer took, as far as its end tells.
+    /// Token counts, if the end of the body has them.
     #[must_use]
     pub fn usage(&self) -> Option<Usage> {
-        parse_usage(self.whole.tail())
+        parse_usage(self.completion.tail())
     }
 
     fn end(&mut self) -> Result<(), Failure> {
-        if !self.whole.is_whole() {
+        if !self.completion.is_complete() {
             return Err(Failure::EndedEarly("the last event is missing".into()));
         }
         if let Some(mut conn) = self.conn.take()
@@ -115,38 +116,38 @@
     }
 }
 
-/// Copies: the values as they came hold on to the whole of the connection's
-/// first read buffer for as long as the answer takes.
-fn passed_on(headers: &HeaderMap) -> Vec<(String, Bytes)> {
-    let passed = headers
+/// Copies the values, because the originals would keep the connection's whole
+/// first read buffer in memory until the response is done.
+fn end_to_end_headers(headers: &HeaderMap) -> Vec<(String, Bytes)> {
+    let kept = headers
         .iter()
         .filter(|(name, _)| !HOP_HEADERS.contains(&name.as_str()));
-    passed
-        .map(|(name, value)| {
-            let value = Bytes::copy_from_slice(value.as_bytes());
-            (name.as_str().to_owned(), value)
-        })
-        .collect()
+    kept.map(|(name, value)| {
+        let value = Bytes::copy_from_slice(value.as_bytes());
+        (name.as_str().to_owned(), value)
+    })
+    .collect()
 }
 
-fn form(status: StatusCode, headers: &HeaderMap, method: &str) -> Whole {
+fn framing(status: StatusCode, headers: &HeaderMap, method: &str) -> CompletionCheck {
     let kind = headers.get(CONTENT_TYPE).map(HeaderValue::as_bytes);
     let events = kind.is_some_and(|kind| kind.starts_with(EVENT_STREAM));
     if events && status.is_success() {
-        return Whole::events();
+        return CompletionCheck::events();
     }
     let empty =
         method == "HEAD" || status == StatusCode::NO_CONTENT || status == StatusCode::NOT_MODIFIED;
     let framed = headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING);
     if empty || framed {
-        Whole::framed()
+        CompletionCheck::framed()
     } else {
-        Whole::unframed()
+        CompletionCheck::unframed()
     }
 }
 
-/// The usage stands near the end, in the last events or at the end of the
-/// document; the tail may begin anywhere before it.
+/// Parses the token counts, which stand near the end of the body: in the last
+/// events of a stream or at the end of a document. The tail may begin anywhere
+/// before them.
 fn parse_usage(tail: &[u8]) -> Option<Usage> {
     const NAME: &[u8] = b"\"usage\":";
     let at = tail
--- a/crates/agent/src/engine/outlet.rs
+++ b/crates/agent/src/engine/target_client.rs
@@ -1,4 +1,4 @@
-//! The agent's way to its target.
+//! The HTTP client of the agent's target.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,107 +16,107 @@
 use admin::HOP_HEADERS;
 
 use super::{
-    ArmingDialect, ArmingEngine, ArmingState, CacheChange, Call, ClientSettings, ExpertCounts,
-    Failure, InForce, Load, MapOrder, MapState, Obeyed, OrderFailure, PoolCounts, Profile, Repeats,
-    Reply,
+    ArmingClient, ArmingDialect, ArmingState, CacheChange, Call, ClientSettings, CommandFailure,
+    CommandReply, CommittedMap, ExpertCounts, Failure, Load, MapCommand, MapState, PoolCounts,
+    Profile, Reply, Retry,
 };
 
-/// Bytes of a body at most that is written to a connection that was kept. More
-/// might fill the buffers of a target that reads slowly, and then what isn't
-/// acknowledged in time would say nothing about the connection.
-const MAX_KEPT_BODY: usize = 16 << 10;
+/// Largest request body that is written to a reused connection. A larger one
+/// may fill the buffers of a target that reads slowly, and then a missing
+/// acknowledgement says nothing about the connection.
+const MAX_POOLED_BODY_BYTES: usize = 16 << 10;
 
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 
-/// What kind of target stands behind the agent.
+/// Kind of the agent's target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stand {
+pub enum TargetKind {
     /// A model engine.
     Engine,
     /// A plain service.
     Service,
 }
 
-/// Calls and orders one target.
+/// Sends requests and commands to one target.
 #[derive(Clone, Debug)]
-pub struct Outlet {
+pub struct TargetClient {
     address: SocketAddr,
-    stand: Stand,
+    kind: TargetKind,
     cfg: ClientSettings,
     pool: Arc<Pool>,
-    /// Set for an engine whose ranks are armed and held by orders of their own.
-    arming: Option<Arc<ArmingEngine>>,
+    /// Set for an engine whose ranks take separate commands to arm and to hold.
+    arming: Option<Arc<ArmingClient>>,
 }
 
-/// Microseconds of a window that a layer of a busy rank is taken to need
-/// where the rank doesn't say: six layers share six sevenths of half a second.
-/// All ranks of such a group step together, so no rank is told apart by it.
-const EQUAL_STEP_US: u32 = 70_000;
+/// Busy time per layer and window, in microseconds, of ranks that don't report
+/// it: six layers share six sevenths of half a second. All ranks of such a group
+/// step together, so the value doesn't distinguish between them.
+const DEFAULT_STEP_US: u32 = 70_000;
 
-impl Outlet {
-    /// The way to the target at an address; keeps no connections.
+impl TargetClient {
+    /// A client of the target at an address; it keeps no idle connections.
     #[must_use]
-    pub fn new(address: SocketAddr, stand: Stand, cfg: ClientSettings) -> Self {
-        Outlet {
+    pub fn new(address: SocketAddr, kind: TargetKind, cfg: ClientSettings) -> Self {
+        TargetClient {
             address,
-            stand,
+            kind,
             cfg,
             pool: Arc::new(Pool::new(0, Duration::ZERO)),
             arming: None,
         }
     }
 
-    /// The way to an engine whose ranks are armed and held by orders of their
-    /// own; it is only asked about maps.
+    /// A client of an engine whose ranks take separate commands to arm and to
+    /// hold; it is used for expert maps only.
     #[must_use]
     pub fn arming(address: SocketAddr, dialect: ArmingDialect, cfg: ClientSettings) -> Self {
-        let engine = ArmingEngine::new(address, dialect, cfg.clone());
-        let mut outlet = Outlet::new(address, Stand::Engine, cfg);
-        outlet.arming = Some(Arc::new(engine));
-        outlet
+        let engine = ArmingClient::new(address, dialect, cfg.clone());
+        let mut client = TargetClient::new(address, TargetKind::Engine, cfg);
+        client.arming = Some(Arc::new(engine));
+        client
     }
 
-    /// Keeps at most `most` connections between two calls, each for at most
-    /// `idle` unused.
+    /// Keeps up to `max_idle` connections open between calls, each idle for at
+    /// most `idle_timeout`.
     #[must_use]
-    pub fn keeping(mut self, most: usize, idle: Duration) -> Self {
-        self.pool = Arc::new(Pool::new(most, idle));
+    pub fn with_keep_alive(mut self, max_idle: usize, idle_timeout: Duration) -> Self {
+        self.pool = Arc::new(Pool::new(max_idle, idle_timeout));
         self
     }
 
-    /// Counts of connections.
+    /// Counters of the connection pool.
     #[must_use]
     pub fn counts(&self) -> &PoolCounts {
         self.pool.counts()
     }
 
-    /// Closes connections that were kept for too long.
-    pub fn tidy(&self, now: Instant) {
+    /// Closes connections that have been idle for too long.
+    pub fn evict_idle(&self, now: Instant) {
         self.pool.tidy(now);
     }
 
-    /// Closes all connections that are kept: the target may be another one.
-    pub fn forget_kept(&self) {
+    /// Closes all idle connections, since another target instance may answer now.
+    pub fn clear_pool(&self) {
         self.pool.clear();
     }
 
-    /// What kind of target it is.
+    /// Kind of the target.
     #[must_use]
-    pub fn stand(&self) -> Stand {
-        self.stand
+    pub fn kind(&self) -> TargetKind {
+        self.kind
     }
 
     /// Makes a call: connects, runs `before_write`, writes the request and
-    /// waits for the head of the answer. A call that may be repeated is
-    /// written to a connection that was kept, if there is one; all others have
-    /// a fresh one.
+    /// waits for the head of the response. A call that may be repeated reuses an
+    /// idle connection if there is one; every other call opens a new one.
     ///
     /// # Errors
     ///
+    /// Fails when there is no response head in time. Returns
     /// [`Failure::NotRun`] only if nothing was written.
     pub async fn call(&self, call: &Call, before_write: impl Fn()) -> Result<Reply, Failure> {
-        let mut req = self.request(call)?;
-        if let Some(mut conn) = self.kept(call).await {
+        let mut req = self.build_request(call)?;
+        if let Some(mut conn) = self.pooled_connection(call).await {
             before_write();
             match conn.try_send(req, self.cfg.head).await {
                 Ok(response) => {
@@ -124,8 +124,8 @@
                     return Ok(self.reply(response, conn, call));
                 }
                 Err(Unanswered::Failed(failure)) => return Err(failure),
-                // The connection ended first; a fresh one runs it for the
-                // first time.
+                // The connection closed before anything was written, so the
+                // call hasn't run.
                 Err(Unanswered::Unwritten(unwritten)) => req = *unwritten,
             }
         }
@@ -136,8 +136,8 @@
         Ok(self.reply(response, conn, call))
     }
 
-    async fn kept(&self, call: &Call) -> Option<Connection> {
-        if call.repeats == Repeats::Never || call.body.len() > MAX_KEPT_BODY {
+    async fn pooled_connection(&self, call: &Call) -> Option<Connection> {
+        if call.retry == Retry::Never || call.body.len() > MAX_POOLED_BODY_BYTES {
             return None;
         }
         while let Some(mut conn) = self.pool.take(Instant::now()) {
@@ -154,53 +154,53 @@
         Reply::new(response, conn, &self.cfg, &call.method, pool)
     }
 
-    /// Asks for the load.
+    /// Reads the load.
     ///
     /// # Errors
     ///
-    /// Fails when the target doesn't answer or answers something else.
+    /// Fails when the target doesn't answer or its answer is malformed.
     pub async fn load(&self) -> Result<Load, Failure> {
-        match self.stand {
-            Stand::Engine => self.get("/load").await,
-            Stand::Service => self.service_load().await,
+        match self.kind {
+            TargetKind::Engine => self.get("/load").await,
+            TargetKind::Service => self.service_load().await,
         }
     }
 
-    /// Asks an engine what it is and can do.
+    /// Reads what an engine is and can do.
     ///
     /// # Errors
     ///
-    /// Fails when the target doesn't answer or answers something else.
+    /// Fails when the target doesn't answer or its answer is malformed.
     pub async fn profile(&self) -> Result<Profile, Failure> {
         self.get("/info").await
     }
 
-    /// Asks for the changes of the prefix cache after a sequence number.
+    /// Reads the changes of the prefix cache after a sequence number.
     ///
     /// # Errors
     ///
-    /// Fails when the target doesn't answer or answers something else.
+    /// Fails when the target doesn't answer or its answer is malformed.
     pub async fn cache(&self, after: u64) -> Result<CacheChange, Failure> {
         self.get(&format!("/cache?after={after}")).await
     }
 
-    /// Asks for steps and token counts of the experts.
+    /// Reads the step and the token counts of the experts.
     ///
     /// # Errors
     ///
-    /// Fails when the target doesn't answer or answers something else.
+    /// Fails when the target doesn't answer or its answer is malformed.
     pub async fn experts(&self) -> Result<ExpertCounts, Failure> {
         match &self.arming {
-            Some(engine) => engine.experts(EQUAL_STEP_US).await,
+            Some(engine) => engine.experts(DEFAULT_STEP_US).await,
             None => self.get("/experts").await,
         }
     }
 
-    /// Asks where the engine stands with its maps.
+    /// Reads the state of the engine's expert maps.
     ///
     /// # Errors
     ///
-    /// Fails when the target doesn't answer or answers something else.
+    /// Fails when the target doesn't answer or its answer is malformed.
     pub async fn map(&self) -> Result<MapState, Failure> {
         match &self.arming {
             Some(engine) => engine.map().await,
@@ -208,22 +208,27 @@
         }
     }
 
-    /// Asks a rank that is armed and held by orders of its own where it stands.
+    /// Reads the state of a rank that takes separate commands to arm and to
+    /// hold.
     ///
     /// # Errors
     ///
-    /// Fails when the engine doesn't answer, answers something else, or is no
-    /// such engine.
+    /// Fails when the engine doesn't answer, its answer is malformed, or it is
+    /// not such an engine.
     pub async fn arming_state(&self) -> Result<ArmingState, Failure> {
         match &self.arming {
             Some(engine) => engine.state().await,
-            None => Err(Failure::NotRun("not such an engine".to_owned())),
+            None => Err(Failure::NotRun(
+                "the engine takes no arming commands".to_owned(),
+            )),
         }
     }
 
-    /// The engine of another rank, if this one is armed by orders of its own.
-    pub(crate) fn beside(&self, address: SocketAddr) -> Option<ArmingEngine> {
-        self.arming.as_ref().map(|engine| engine.beside(address))
+    /// A client of another rank's engine, if this one takes arming commands.
+    pub(crate) fn peer_client(&self, address: SocketAddr) -> Option<ArmingClient> {
+        self.arming
+            .as_ref()
+            .map(|engine| engine.peer_client(address))
     }
 
     /// Tells the engine to stop a request.
@@ -236,41 +241,44 @@
         self.post("/cancel", body).await.map(drop)
     }
 
-    /// Gives an order under a fencing number.
+    /// Sends a map command under a fencing number.
     ///
     /// # Errors
     ///
-    /// See [`OrderFailure`]; a call that failed otherwise than as not run may
-    /// have been obeyed.
-    pub async fn order(&self, fencing: u64, order: &MapOrder) -> Result<Obeyed, OrderFailure> {
+    /// See [`CommandFailure`].
+    pub async fn send_command(
+        &self,
+        fencing: u64,
+        command: &MapCommand,
+    ) -> Result<CommandReply, CommandFailure> {
         if let Some(engine) = &self.arming {
-            return engine.order(fencing, order).await;
+            return engine.send_command(fencing, command).await;
         }
-        let (path, body) = spell(fencing, order)?;
+        let (path, body) = encode_command(fencing, command)?;
         let answer = self.post(path, body).await;
-        let (status, body) = answer.map_err(OrderFailure::Failed)?;
+        let (status, body) = answer.map_err(CommandFailure::Failed)?;
         if status == StatusCode::CONFLICT {
-            let stands: MapState = parse(&body).map_err(OrderFailure::Failed)?;
-            return Err(OrderFailure::Fenced {
-                highest: stands.fencing,
+            let state: MapState = parse(&body).map_err(CommandFailure::Failed)?;
+            return Err(CommandFailure::Fenced {
+                highest: state.fencing,
             });
         }
         if !status.is_success() {
             let reason = String::from_utf8_lossy(&body).into_owned();
-            return Err(OrderFailure::Refused(reason));
+            return Err(CommandFailure::Refused(reason));
         }
-        parse(&body).map_err(OrderFailure::Failed)
+        parse(&body).map_err(CommandFailure::Failed)
     }
 
-    /// A service that answers, but not with a load, is up all the same.
+    /// A service that answers without a load report still counts as up.
     async fn service_load(&self) -> Result<Load, Failure> {
-        let req = self.plain(Method::GET, "/load", Bytes::new())?;
+        let req = self.json_request(Method::GET, "/load", Bytes::new())?;
         let (_, body) = ask(self.address, &self.cfg, req).await?;
         Ok(serde_json::from_slice(&body).unwrap_or_default())
     }
 
     async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Failure> {
-        let req = self.plain(Method::GET, path, Bytes::new())?;
+        let req = self.json_request(Method::GET, path, Bytes::new())?;
         let (status, body) = ask(self.address, &self.cfg, req).await?;
         if !status.is_success() {
             return Err(Failure::Broken(format!("{path} answered {status}")));
@@ -279,11 +287,11 @@
     }
 
     async fn post(&self, path: &str, body: String) -> Result<(StatusCode, Bytes), Failure> {
-        let req = self.plain(Method::POST, path, body.into())?;
+        let req = self.json_request(Method::POST, path, body.into())?;
         ask(self.address, &self.cfg, req).await
     }
 
-    fn plain(
+    fn json_request(
         &self,
         method: Method,
         path: &str,
@@ -298,25 +306,25 @@
             .map_err(|e| Failure::NotRun(e.to_string()))
     }
 
-    fn request(&self, call: &Call) -> Result<Request<Full<Bytes>>, Failure> {
-        let mut req = match self.stand {
-            Stand::Engine => {
+    fn build_request(&self, call: &Call) -> Result<Request<Full<Bytes>>, Failure> {
+        let mut req = match self.kind {
+            TargetKind::Engine => {
                 let path = "/v1/chat/completions";
-                let mut req = self.plain(Method::POST, path, call.body.clone())?;
+                let mut req = self.json_request(Method::POST, path, call.body.clone())?;
                 let headers = req.headers_mut();
                 headers.insert("x-resume-events", call.resume_events.into());
                 headers.insert("x-rank", call.rank.into());
                 headers.insert("x-priority", call.priority.into());
                 req
             }
-            Stand::Service => self.passed_on(call)?,
+            TargetKind::Service => self.forwarded_request(call)?,
         };
         insert_text(&mut req, "x-request-id", &call.request);
         insert_text(&mut req, "traceparent", &call.traceparent);
         Ok(req)
     }
 
-    fn passed_on(&self, call: &Call) -> Result<Request<Full<Bytes>>, Failure> {
+    fn forwarded_request(&self, call: &Call) -> Result<Request<Full<Bytes>>, Failure> {
         let mut req = Request::builder().method(call.method.as_str());
         req = req.uri(call.path.as_str());
         for (name, value) in &call.headers {
@@ -344,33 +352,36 @@
     serde_json::from_slice(body).map_err(|e| Failure::Broken(e.to_string()))
 }
 
-fn spell(fencing: u64, order: &MapOrder) -> Result<(&'static str, String), OrderFailure> {
+fn encode_command(
+    fencing: u64,
+    command: &MapCommand,
+) -> Result<(&'static str, String), CommandFailure> {
     let outcome = |version: &u64, step: &u64, commit: bool| {
         let body = json!({"fencing": fencing, "version": version, "step": step, "commit": commit});
         ("/map/outcome", body.to_string())
     };
-    Ok(match order {
-        MapOrder::Stage { version, map } => {
+    Ok(match command {
+        MapCommand::Stage { version, map } => {
             let map: Value = serde_json::from_slice(map)
-                .map_err(|e| OrderFailure::Failed(Failure::NotRun(e.to_string())))?;
+                .map_err(|e| CommandFailure::Failed(Failure::NotRun(e.to_string())))?;
             let body = json!({"fencing": fencing, "version": version, "map": map});
             ("/map/stage", body.to_string())
         }
-        MapOrder::Hold { version, step } => {
+        MapCommand::Hold { version, step } => {
             let body = json!({"fencing": fencing, "version": version, "step": step});
             ("/map/hold", body.to_string())
         }
-        MapOrder::Join { formation, maps } => {
+        MapCommand::Join { formation, maps } => {
             let mut all = Vec::new();
-            for InForce { version, step, map } in maps {
+            for CommittedMap { version, step, map } in maps {
                 let map: Value = serde_json::from_slice(map)
-                    .map_err(|e| OrderFailure::Failed(Failure::NotRun(e.to_string())))?;
+                    .map_err(|e| CommandFailure::Failed(Failure::NotRun(e.to_string())))?;
                 all.push(json!({"version": version, "step": step, "map": map}));
             }
             let body = json!({"fencing": fencing, "formation": formation, "maps": all});
             ("/map/join", body.to_string())
         }
-        MapOrder::Commit { version, step } => outcome(version, step, true),
-        MapOrder::Abort { version, step } => outcome(version, step, false),
+        MapCommand::Commit { version, step } => outcome(version, step, true),
+        MapCommand::Abort { version, step } => outcome(version, step, false),
     })
 }
--- a/crates/agent/src/map/engine_calls.rs
+++ b/crates/agent/src/map/engine_calls.rs
@@ -5,28 +5,28 @@
 use expert::{Decision, EngineOrder, EngineState, Map, Verdict};
 use ractor::ActorRef;
 
-use crate::engine::{InForce, MapOrder, MapState, map_document};
+use crate::command::CommandQueue;
+use crate::engine::{CommittedMap, MapCommand, MapState, map_document};
 use crate::map::map_context::MapContext;
 use crate::map::msg::MapMsg;
-use crate::order::Orders;
 
 /// Gives an order and reports the state that it left, which is read back.
 pub(crate) async fn order(
     cx: Arc<MapContext>,
-    orders: Orders,
+    commands: CommandQueue,
     serial: u64,
     order: EngineOrder,
     inbox: ActorRef<MapMsg>,
 ) {
-    let state = match given(&orders, order).await {
-        Some(()) => cx.outlet.map().await.ok().as_ref().map(state),
+    let state = match given(&commands, order).await {
+        Some(()) => cx.target_client.map().await.ok().as_ref().map(state),
         None => None,
     };
     let _ = inbox.send_message(MapMsg::Engine { serial, state });
 }
 
 /// Whether the order is known to have been answered.
-async fn given(orders: &Orders, order: EngineOrder) -> Option<()> {
+async fn given(commands: &CommandQueue, order: EngineOrder) -> Option<()> {
     let (fencing, order) = match order {
         EngineOrder::Read => return Some(()),
         EngineOrder::Stage {
@@ -36,7 +36,7 @@
         } => {
             let map = Map::from_bytes(map).ok()?;
             let map = map_document(&map);
-            (fencing, MapOrder::Stage { version, map })
+            (fencing, MapCommand::Stage { version, map })
         }
         EngineOrder::Join {
             fencing,
@@ -44,32 +44,32 @@
             maps,
         } => {
             let maps = maps.into_iter().map(in_force).collect::<Option<_>>()?;
-            (fencing, MapOrder::Join { formation, maps })
+            (fencing, MapCommand::Join { formation, maps })
         }
         EngineOrder::Hold {
             fencing,
             version,
             barrier_step: step,
-        } => (fencing, MapOrder::Hold { version, step }),
+        } => (fencing, MapCommand::Hold { version, step }),
         EngineOrder::Outcome {
             fencing,
             version,
             barrier_step: step,
             verdict: Verdict::Commit,
-        } => (fencing, MapOrder::Commit { version, step }),
+        } => (fencing, MapCommand::Commit { version, step }),
         EngineOrder::Outcome {
             fencing,
             version,
             barrier_step: step,
             verdict: Verdict::Abort,
-        } => (fencing, MapOrder::Abort { version, step }),
+        } => (fencing, MapCommand::Abort { version, step }),
     };
-    orders.give(fencing, order).await.ok().map(drop)
+    commands.send(fencing, order).await.ok().map(drop)
 }
 
-fn in_force(decision: Decision) -> Option<InForce> {
+fn in_force(decision: Decision) -> Option<CommittedMap> {
     let map = Map::from_bytes(decision.map).ok()?;
-    Some(InForce {
+    Some(CommittedMap {
         version: decision.version,
         step: decision.barrier_step,
         map: map_document(&map),
--- a/crates/agent/src/map/loads.rs
+++ b/crates/agent/src/map/loads.rs
@@ -38,12 +38,12 @@
         }
         let (cx, inbox, to) = (Arc::clone(&self.cx), self.inbox.clone(), from.to_owned());
         tokio::spawn(async move {
-            let Ok(map) = cx.outlet.map().await else {
+            let Ok(map) = cx.target_client.map().await else {
                 return;
             };
             if load.about_formation {
                 let _ = inbox.send_message(MapMsg::Formed { to, map });
-            } else if let Ok(counts) = cx.outlet.experts().await {
+            } else if let Ok(counts) = cx.target_client.experts().await {
                 let _ = inbox.send_message(MapMsg::Counted { to, counts, map });
             }
         });
--- a/crates/agent/src/map/map_context.rs
+++ b/crates/agent/src/map/map_context.rs
@@ -7,7 +7,7 @@
 use note::Group;
 use tokio_util::sync::CancellationToken;
 
-use crate::engine::Outlet;
+use crate::engine::TargetClient;
 use crate::map::MapSettings;
 
 /// What the map actor needs of its agent.
@@ -21,7 +21,7 @@
     /// Between two looks at what is due.
     pub poll: Duration,
     pub follower: Follower,
-    pub outlet: Outlet,
+    pub target_client: TargetClient,
     pub offers: Offers,
     /// Ends everything.
     pub stop: CancellationToken,
--- a/crates/agent/src/map/maps.rs
+++ b/crates/agent/src/map/maps.rs
@@ -5,11 +5,11 @@
 use ractor::{Actor, ActorRef};
 use wire::{ClusterKey, Identity, Incoming, LinkSettings};
 
+use crate::command::CommandQueue;
 use crate::map::map_context::MapContext;
 use crate::map::msg::MapMsg;
 use crate::map::peers::Peers;
 use crate::map::switcher::{Start, Switcher};
-use crate::order::Orders;
 
 /// Takes the messages of the other agents of the group.
 #[derive(Clone, Debug)]
@@ -34,7 +34,7 @@
 /// Starts the actor.
 pub(crate) async fn start(
     cx: &Arc<MapContext>,
-    orders: &Orders,
+    commands: &CommandQueue,
     me: &Identity,
     key: &ClusterKey,
     link: &LinkSettings,
@@ -42,7 +42,7 @@
     let peers = Peers::new(me.clone(), key.clone(), link.clone(), cx.stop.clone());
     let start = Start {
         cx: Arc::clone(cx),
-        orders: orders.clone(),
+        commands: commands.clone(),
         peers,
     };
     let (actor, _) = Actor::spawn(None, Switcher, start).await?;
--- a/crates/agent/src/map/stand_in.rs
+++ b/crates/agent/src/map/stand_in.rs
@@ -7,7 +7,7 @@
 
 use expert::{Decision, Standing, Verdict};
 
-use crate::engine::Release;
+use crate::engine::DecidedSwitches;
 use crate::map::map_context::MapContext;
 
 /// How long a rank's own agent is waited for. With every second order
@@ -98,21 +98,25 @@
     }
 
     /// What is decided, for a rank that is to be let go.
-    pub fn release(&self, fencing: u64) -> Release {
-        Release {
+    pub fn release(&self, fencing: u64) -> DecidedSwitches {
+        DecidedSwitches {
             fencing,
-            decided: self.decided,
+            newest: self.decided,
             committed: self.committed.clone(),
         }
     }
 }
 
 /// Lets one rank go; whether it was held.
-pub(crate) async fn let_go(cx: Arc<MapContext>, address: SocketAddr, release: Release) -> bool {
-    let Some(engine) = cx.outlet.beside(address) else {
+pub(crate) async fn let_go(
+    cx: Arc<MapContext>,
+    address: SocketAddr,
+    release: DecidedSwitches,
+) -> bool {
+    let Some(engine) = cx.target_client.peer_client(address) else {
         return false;
     };
-    match engine.let_go(&release).await {
+    match engine.release_rank(&release).await {
         Ok(held) => held,
         Err(e) => {
             log::info!(engine:display = address; "rank can't be let go in its agent's place: {e}");
--- a/crates/agent/src/map/state.rs
+++ b/crates/agent/src/map/state.rs
@@ -13,6 +13,7 @@
 use wire::Incoming;
 use wire::proto::frame::Body;
 
+use crate::command::CommandQueue;
 use crate::map::chooser::Chooser;
 use crate::map::control_call::ControlCall;
 use crate::map::formations::Formations;
@@ -26,12 +27,11 @@
 use crate::map::translate::{self, Received};
 use crate::map::windows::Windows;
 use crate::map::{control_calls, engine_calls};
-use crate::order::Orders;
 
 /// Participant and coordinator of one agent, and what they want done.
 pub(crate) struct State {
     pub cx: Arc<MapContext>,
-    orders: Orders,
+    commands: CommandQueue,
     peers: Peers,
     pub inbox: ActorRef<MapMsg>,
     participant: Participant,
@@ -70,7 +70,7 @@
             participant: Participant::new(maps.timing, now),
             window_ends: now + maps.window,
             cx: start.cx,
-            orders: start.orders,
+            commands: start.commands,
             peers: start.peers,
             inbox,
             coordinator: None,
@@ -353,8 +353,8 @@
                 ParticipantOutput::Order(order) => {
                     self.serial += 1;
                     let (cx, inbox) = (Arc::clone(&self.cx), self.inbox.clone());
-                    let orders = self.orders.clone();
-                    let order = engine_calls::order(cx, orders, self.serial, order, inbox);
+                    let commands = self.commands.clone();
+                    let order = engine_calls::order(cx, commands, self.serial, order, inbox);
                     tokio::spawn(order);
                 }
                 ParticipantOutput::Send { to, message } => {
--- a/crates/agent/src/map/switcher.rs
+++ b/crates/agent/src/map/switcher.rs
@@ -5,11 +5,11 @@
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use tokio::task::JoinHandle;
 
+use crate::command::CommandQueue;
 use crate::map::map_context::MapContext;
 use crate::map::msg::MapMsg;
 use crate::map::peers::Peers;
 use crate::map::state::State;
-use crate::order::Orders;
 
 /// Runs participant and coordinator over links, control and engine.
 pub(crate) struct Switcher;
@@ -17,7 +17,7 @@
 /// What the actor is started with.
 pub(crate) struct Start {
     pub cx: Arc<MapContext>,
-    pub orders: Orders,
+    pub commands: CommandQueue,
     pub peers: Peers,
 }
 
--- a/crates/agent/src/map_agent.rs
+++ b/crates/agent/src/map_agent.rs
@@ -11,7 +11,7 @@
 use wire::proto::Announcement;
 use wire::{ClusterKey, Identity, LinkSettings};
 
-use crate::engine::{ArmingDialect, ClientSettings, Outlet};
+use crate::engine::{ArmingDialect, ClientSettings, TargetClient};
 use crate::map::{MapContext, MapSettings, Maps, Offers};
 
 /// Settings of an agent that only switches maps.
@@ -72,12 +72,12 @@
             cfg: cfg.maps,
             poll: cfg.poll,
             follower: cfg.follower.clone(),
-            outlet: Outlet::arming(cfg.engine, cfg.dialect, cfg.client),
+            target_client: TargetClient::arming(cfg.engine, cfg.dialect, cfg.client),
             offers: Offers::Told(Arc::clone(&group)),
             stop: stop.clone(),
         });
-        let orders = crate::order::start(Arc::clone(&cx)).await?;
-        let maps = crate::map::start(&cx, &orders, &cfg.me, &cfg.key, &cfg.link).await?;
+        let commands = crate::command::start(Arc::clone(&cx)).await?;
+        let maps = crate::map::start(&cx, &commands, &cfg.me, &cfg.key, &cfg.link).await?;
         let accepting = accept(links, cfg.me, cfg.key, cfg.link, maps, cfg.follower);
         tokio::spawn(stop.clone().run_until_cancelled_owned(accepting));
         Ok(MapAgent {
--- a/crates/agent/src/monitor.rs
+++ b/crates/agent/src/monitor.rs
@@ -9,7 +9,7 @@
 
 use crate::Health;
 use crate::context::Context;
-use crate::engine::{Failure, Load, Profile, Stand};
+use crate::engine::{Failure, Load, Profile, TargetKind};
 
 /// Looks in a row that a target may leave unanswered.
 const MISSES: u32 = 2;
@@ -89,7 +89,7 @@
 impl Watch {
     async fn look(&mut self) {
         let asked = Instant::now();
-        self.cx.outlet.tidy(asked);
+        self.cx.target_client.evict_idle(asked);
         match self.ask().await {
             Ok(load) => {
                 self.misses = 0;
@@ -102,12 +102,12 @@
 
     /// An engine that doesn't say what it is can't be offered either.
     async fn ask(&mut self) -> Result<Load, Failure> {
-        let load = self.cx.outlet.load().await?;
+        let load = self.cx.target_client.load().await?;
         let unknown = self.cx.status.borrow().instance.is_empty();
         if unknown || self.profile_age >= PROFILE_LOOKS || self.profile.is_none() {
-            let profile = match self.cx.outlet.stand() {
-                Stand::Engine => self.cx.outlet.profile().await?,
-                Stand::Service => Profile::default(),
+            let profile = match self.cx.target_client.kind() {
+                TargetKind::Engine => self.cx.target_client.profile().await?,
+                TargetKind::Service => Profile::default(),
             };
             self.take_profile(profile);
         }
@@ -126,7 +126,7 @@
         let former = self.profile.as_ref().map(|profile| &profile.instance);
         if former != Some(&profile.instance) {
             self.cache_sequence = 0;
-            self.cx.outlet.forget_kept();
+            self.cx.target_client.clear_pool();
         }
         self.profile = Some(profile);
         self.announce(Health::Up);
@@ -138,7 +138,7 @@
         self.misses += 1;
         // What breaks on a connection to a former instance would be taken for
         // a crash of the one that follows.
-        self.cx.outlet.forget_kept();
+        self.cx.target_client.clear_pool();
         if self.misses < MISSES && !matches!(failure, Failure::NotRun(_)) {
             return;
         }
@@ -172,9 +172,9 @@
     fn announce(&self, health: Health) {
         let profile = self.profile.clone().unwrap_or_default();
         let cfg = &self.cx.cfg;
-        let (group, service) = match cfg.stand {
-            Stand::Engine => (cfg.serves.clone(), String::new()),
-            Stand::Service => (String::new(), cfg.serves.clone()),
+        let (group, service) = match cfg.kind {
+            TargetKind::Engine => (cfg.serves.clone(), String::new()),
+            TargetKind::Service => (String::new(), cfg.serves.clone()),
         };
         self.cx.follower.set_announcement(Announcement {
             target: cfg.name.clone(),
@@ -194,10 +194,10 @@
     }
 
     async fn pass_on_cache(&mut self) {
-        if self.cx.outlet.stand() != Stand::Engine {
+        if self.cx.target_client.kind() != TargetKind::Engine {
             return;
         }
-        let Ok(change) = self.cx.outlet.cache(self.cache_sequence).await else {
+        let Ok(change) = self.cx.target_client.cache(self.cache_sequence).await else {
             return;
         };
         if change.sequence == self.cache_sequence {
--- a/crates/agent/src/rank_agent.rs
+++ b/crates/agent/src/rank_agent.rs
@@ -14,7 +14,7 @@
 use wire::proto::{NodeInfo, RouteTableQuery, query, query_reply};
 use wire::{ClusterKey, Identity, LinkSettings, Role};
 
-use crate::engine::{ArmingDialect, ArmingState, ClientSettings, Outlet};
+use crate::engine::{ArmingDialect, ArmingState, ClientSettings, TargetClient};
 use crate::{MapAgent, MapAgentSettings, MapSettings, StartMap};
 
 /// Between two renewals of the lease, a third of it.
@@ -106,12 +106,12 @@
 ///
 /// An address can't be listened on.
 pub async fn run_rank_agent(cfg: RankAgentSettings) -> eyre::Result<()> {
-    let outlet = Outlet::arming(cfg.engine, cfg.dialect, CLIENT);
+    let client = TargetClient::arming(cfg.engine, cfg.dialect, CLIENT);
     let me = Identity::new(Role::Agent, cfg.name.clone(), rand::random());
     let follower = follow(&cfg, &me);
     let (experts, pause) = known_service(&cfg, &follower).await;
     loop {
-        let state = known_state(&outlet).await;
+        let state = known_state(&client).await;
         let bound = TcpListener::bind(cfg.links).await;
         let listener = bound.wrap_err_with(|| format!("can't listen on {}", cfg.links))?;
         let settings = MapAgentSettings {
@@ -130,7 +130,7 @@
         let agent = MapAgent::start(settings, listener).await?;
         agent.set_group(group(&state, experts));
         log::info!(group = state.group.as_str(), rank = state.rank; "agent serves its rank");
-        watch_engine(&outlet, &state, cfg.engine, &follower).await;
+        watch_engine(&client, &state, cfg.engine, &follower).await;
         log::info!("the engine is a rank elsewhere now");
     }
 }
@@ -157,9 +157,9 @@
 }
 
 /// Waits until the engine tells its rank.
-async fn known_state(outlet: &Outlet) -> ArmingState {
+async fn known_state(client: &TargetClient) -> ArmingState {
     loop {
-        match outlet.arming_state().await {
+        match client.arming_state().await {
             Ok(state) => return state,
             Err(e) => log::debug!("the engine doesn't tell its rank: {e}"),
         }
@@ -170,7 +170,7 @@
 /// Reports how fast the engine is, until it belongs to another group or is
 /// another rank.
 async fn watch_engine(
-    outlet: &Outlet,
+    client: &TargetClient,
     known: &ArmingState,
     engine: SocketAddr,
     follower: &Follower,
@@ -179,7 +179,7 @@
     let mut reports = SpeedReports::default();
     loop {
         sleep(LOOK).await;
-        let Ok(state) = outlet.arming_state().await else {
+        let Ok(state) = client.arming_state().await else {
             continue;
         };
         if place(&state) != place(known) {
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -7,7 +7,7 @@
 
 use crate::answer::{Answer, Stage};
 use crate::context::Context;
-use crate::engine::{Call, Failure, Outlet, Stand};
+use crate::engine::{Call, Failure, TargetClient, TargetKind};
 use crate::{Ending, Keep};
 
 /// How the run of an attempt came to its end.
@@ -41,11 +41,11 @@
     let stopped = tokio::select! {
         biased;
         () = answer.cancel.cancelled() => {
-            stop(&cx.outlet, call).await;
+            stop(&cx.target_client, call).await;
             Ending::new(End::Cancelled, "cancelled")
         }
         () = sleep(within) => {
-            stop(&cx.outlet, call).await;
+            stop(&cx.target_client, call).await;
             Ending::new(End::Deadline, "out of time")
         }
         ended = fill(cx, call, answer, keep) => match ended {
@@ -69,7 +69,7 @@
 }
 
 async fn fill(cx: &Context, call: &Call, answer: &Answer, keep: Keep) -> Result<Ending, Failure> {
-    let mut reply = cx.outlet.call(call, || answer.set_written()).await?;
+    let mut reply = cx.target_client.call(call, || answer.set_written()).await?;
     answer.set_head(reply.status(), reply.headers());
     while let Some(data) = reply.next().await? {
         cx.metrics.received(data.len());
@@ -86,9 +86,9 @@
 }
 
 /// An engine goes on generating for nobody unless it is told to stop.
-async fn stop(outlet: &Outlet, call: &Call) {
-    if outlet.stand() == Stand::Engine
-        && let Err(e) = outlet.cancel(&call.request).await
+async fn stop(client: &TargetClient, call: &Call) {
+    if client.kind() == TargetKind::Engine
+        && let Err(e) = client.cancel(&call.request).await
     {
         log::debug!(request = call.request.as_str(); "can't be cancelled: {e}");
     }
--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -6,7 +6,7 @@
 use cfg::{Findings, Reader};
 use serde_json::Value;
 
-use crate::engine::Stand;
+use crate::engine::TargetKind;
 use crate::{Limits, MapSettings, Timing};
 
 /// Settings of an agent, checked.
@@ -29,7 +29,7 @@
     /// Name of the group or service that the target serves.
     pub serves: String,
     /// What kind of target it is.
-    pub stand: Stand,
+    pub kind: TargetKind,
     /// Where the target listens.
     pub target: SocketAddr,
     /// Times.
@@ -82,7 +82,7 @@
         let effective = r.effective();
         r.finish()?;
         let settings = || {
-            let (serves, stand, target) = serves?;
+            let (serves, kind, target) = serves?;
             Some(Settings {
                 name: name?,
                 zone: zone?,
@@ -92,7 +92,7 @@
                 controls: controls?,
                 cluster_key_file: key?,
                 serves,
-                stand,
+                kind,
                 target,
                 timing,
                 limits,
@@ -111,10 +111,10 @@
     }
 }
 
-fn read_serves(r: &mut Reader) -> Option<(String, Stand, SocketAddr)> {
-    let (key, section, stand) = match (r.has("group"), r.has("service")) {
-        (true, false) => ("group", "engine", Stand::Engine),
-        (false, true) => ("service", "target", Stand::Service),
+fn read_serves(r: &mut Reader) -> Option<(String, TargetKind, SocketAddr)> {
+    let (key, section, kind) = match (r.has("group"), r.has("service")) {
+        (true, false) => ("group", "engine", TargetKind::Engine),
+        (false, true) => ("service", "target", TargetKind::Service),
         _ => {
             r.finding("group", "exactly one of group and service must be set");
             return None;
@@ -122,5 +122,5 @@
     };
     let serves = r.required(key);
     let address = r.section(section).required("address");
-    Some((serves?, stand, address?))
+    Some((serves?, kind, address?))
 }
--- a/crates/agent/src/take.rs
+++ b/crates/agent/src/take.rs
@@ -15,7 +15,7 @@
 use crate::attempts::Known;
 use crate::context::Wanted;
 use crate::desk::{DeskMsg, Origin, State, keep};
-use crate::engine::{Call, Repeats, Stand};
+use crate::engine::{Call, Retry, TargetKind};
 use crate::run::run;
 use crate::{Arrival, Ending, Gate, Keep, Lease, Refusal, Suspicion, Tombstone};
 
@@ -237,7 +237,7 @@
 
 fn call(state: &State, attempt: Attempt, start: &Start, traceparent: String) -> Call {
     let mut request = text(&start.request);
-    if state.cx.outlet.stand() == Stand::Engine {
+    if state.cx.target_client.kind() == TargetKind::Engine {
         // Two attempts of one request may meet on one engine; cancelling the
         // former must not stop the latter.
         request = format!("{request}-{attempt}");
@@ -255,10 +255,10 @@
         priority: start.priority,
         resume_events: start.resume_events,
         traceparent,
-        repeats: if start.keep {
-            Repeats::Never
+        retry: if start.keep {
+            Retry::Never
         } else {
-            Repeats::Freely
+            Retry::Allowed
         },
     }
 }
--- a/crates/agent/tests/kept.rs
+++ b/crates/agent/tests/kept.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-use agent::engine::{Call, ClientSettings, Failure, Outlet, Repeats, Reply, Stand};
+use agent::engine::{Call, ClientSettings, Failure, Reply, Retry, TargetClient, TargetKind};
 use fake::{Engine, EngineSettings, Fault};
 use serde_json::json;
 use support::{Bench, id, until};
@@ -25,15 +25,15 @@
     }
 }
 
-fn outlet(address: SocketAddr) -> Outlet {
-    Outlet::new(address, Stand::Service, cfg()).keeping(2, LONG)
+fn client(address: SocketAddr) -> TargetClient {
+    TargetClient::new(address, TargetKind::Service, cfg()).with_keep_alive(2, LONG)
 }
 
-fn call(path: &str, repeats: Repeats) -> Call {
+fn call(path: &str, retry: Retry) -> Call {
     Call {
         method: "GET".into(),
         path: path.into(),
-        repeats,
+        retry,
         ..Call::default()
     }
 }
@@ -111,38 +111,38 @@
     String::from_utf8(body).unwrap()
 }
 
-async fn get(outlet: &Outlet, path: &str) -> String {
-    read(outlet.call(&call(path, Repeats::Freely), || {}).await).await
+async fn get(client: &TargetClient, path: &str) -> String {
+    read(client.call(&call(path, Retry::Allowed), || {}).await).await
 }
 
 /// An outlet that has one connection kept, and the target's end of it.
-async fn after_first_call() -> (Target, Outlet, Peer) {
+async fn after_first_call() -> (Target, TargetClient, Peer) {
     let target = Target::start();
-    let outlet = outlet(target.address());
+    let client = client(target.address());
     let served = on_thread(move || {
         let mut peer = target.accept();
         peer.answer();
         (target, peer)
     });
-    assert_eq!(get(&outlet, "/first").await, "/first");
+    assert_eq!(get(&client, "/first").await, "/first");
     let (target, peer) = served.recv().unwrap();
-    assert_eq!(outlet.counts().kept.get(), 1);
-    (target, outlet, peer)
+    assert_eq!(client.counts().kept.get(), 1);
+    (target, client, peer)
 }
 
 #[tokio::test]
 async fn call_over_kept() {
-    let (_target, outlet, mut peer) = after_first_call().await;
+    let (_target, client, mut peer) = after_first_call().await;
     let served = on_thread(move || {
         peer.answer();
         peer.answer();
         peer
     });
-    assert_eq!(get(&outlet, "/second").await, "/second");
-    assert_eq!(get(&outlet, "/third").await, "/third");
+    assert_eq!(get(&client, "/second").await, "/second");
+    assert_eq!(get(&client, "/third").await, "/third");
     let _peer = served.recv().unwrap();
-    assert_eq!(outlet.counts().opened.get(), 1);
-    assert_eq!(outlet.counts().reused.get(), 2);
+    assert_eq!(client.counts().opened.get(), 1);
+    assert_eq!(client.counts().reused.get(), 2);
 }
 
 #[tokio::test]
@@ -150,16 +150,16 @@
     // A reservation that is written to a connection which had already ended
     // can neither be called run nor not run, and its lot is blocked for
     // nothing. It has a connection that nobody used before.
-    let (target, outlet, mut former) = after_first_call().await;
+    let (target, client, mut former) = after_first_call().await;
     let served = on_thread(move || {
         target.accept().answer();
     });
-    let call = call("/reserve", Repeats::Never);
-    let reply = outlet.call(&call, || {}).await;
+    let call = call("/reserve", Retry::Never);
+    let reply = client.call(&call, || {}).await;
     assert_eq!(read(reply).await, "/reserve");
     served.recv().unwrap();
-    assert_eq!(outlet.counts().reused.get(), 0);
-    outlet.forget_kept();
+    assert_eq!(client.counts().reused.get(), 0);
+    client.clear_pool();
     let ends = on_thread(move || former.ends());
     tokio::task::yield_now().await;
     let ended = tokio::task::spawn_blocking(move || ends.recv().unwrap());
@@ -172,21 +172,21 @@
     // call comes before its tasks have heard of that. The call must not be
     // spent on the dead connection: its caller would wait for a retry, and a
     // target that was restarted would be reported as crashed by it.
-    let (target, outlet, peer) = after_first_call().await;
+    let (target, client, peer) = after_first_call().await;
     // Nothing of the agent runs between the end and the next call.
     drop(peer);
     let served = on_thread(move || target.accept().answer());
-    assert_eq!(get(&outlet, "/second").await, "/second");
+    assert_eq!(get(&client, "/second").await, "/second");
     served.recv().unwrap();
-    assert_eq!(outlet.counts().opened.get(), 2);
-    assert_eq!(outlet.counts().dropped.get(), 1);
+    assert_eq!(client.counts().opened.get(), 2);
+    assert_eq!(client.counts().dropped.get(), 1);
 }
 
 #[tokio::test]
 async fn call_after_restart() {
     // The target is started again between two calls. Its former connections
     // end, and the next call runs on the new one as if nothing had been.
-    let (target, outlet, peer) = after_first_call().await;
+    let (target, client, peer) = after_first_call().await;
     drop(peer);
     let address = target.address();
     drop(target);
@@ -195,7 +195,7 @@
         listener: again.unwrap(),
     };
     let served = on_thread(move || target.accept().answer());
-    assert_eq!(get(&outlet, "/second").await, "/second");
+    assert_eq!(get(&client, "/second").await, "/second");
     served.recv().unwrap();
 }
 
@@ -205,20 +205,20 @@
     // written to it. The call may have run for all that can be seen, so it is
     // never said not to have, and the agent doesn't run it a second time by
     // itself.
-    let (target, outlet, mut peer) = after_first_call().await;
+    let (target, client, mut peer) = after_first_call().await;
     let served = on_thread(move || {
         let path = peer.read();
         drop(peer);
         path
     });
-    let call = call("/second", Repeats::Freely);
-    let Err(failure) = outlet.call(&call, || {}).await else {
+    let call = call("/second", Retry::Allowed);
+    let Err(failure) = client.call(&call, || {}).await else {
         panic!("answered by nobody");
     };
     assert!(matches!(failure, Failure::Broken(_)), "{failure}");
     assert_eq!(served.recv().unwrap(), "/second");
-    assert_eq!(outlet.counts().opened.get(), 1);
-    assert_eq!(outlet.counts().kept.get(), 0);
+    assert_eq!(client.counts().opened.get(), 1);
+    assert_eq!(client.counts().kept.get(), 0);
     drop(target);
 }
 
@@ -227,12 +227,13 @@
     // Something in between has lost track of a kept connection: the call is
     // swallowed. It is given up as lost, never as not run, and the next one
     // doesn't meet that connection again.
-    let (target, outlet, mut peer) = after_first_call().await;
+    let (target, client, mut peer) = after_first_call().await;
     let quick = ClientSettings {
         head: Duration::from_millis(50),
         ..cfg()
     };
-    let quick = Outlet::new(target.address(), Stand::Service, quick).keeping(2, LONG);
+    let quick =
+        TargetClient::new(target.address(), TargetKind::Service, quick).with_keep_alive(2, LONG);
     let served = on_thread(move || {
         let mut first = target.accept();
         first.answer();
@@ -240,20 +241,20 @@
     });
     while !quick_first(&quick).await {}
     let (target, first) = served.recv().unwrap();
-    let lost = quick.call(&call("/lost", Repeats::Freely), || {}).await;
+    let lost = quick.call(&call("/lost", Retry::Allowed), || {}).await;
     assert!(matches!(lost, Err(Failure::Silent(_))));
     assert_eq!(quick.counts().kept.get(), 0);
     // The other outlet's connection is none of its business.
     let served = on_thread(move || peer.answer());
-    assert_eq!(get(&outlet, "/second").await, "/second");
+    assert_eq!(get(&client, "/second").await, "/second");
     served.recv().unwrap();
     drop((target, first));
 }
 
 /// Whether the first call was answered in time; a slow machine may take
 /// longer than the little time for the head.
-async fn quick_first(outlet: &Outlet) -> bool {
-    let reply = outlet.call(&call("/first", Repeats::Freely), || {}).await;
+async fn quick_first(client: &TargetClient) -> bool {
+    let reply = client.call(&call("/first", Retry::Allowed), || {}).await;
     if reply.is_err() {
         return false;
     }
@@ -265,7 +266,7 @@
     // A faulty target answers twice. The second answer must not reach the next
     // caller, who asked something else.
     let target = Target::start();
-    let outlet = outlet(target.address());
+    let client = client(target.address());
     let (go_on, gone_on): (Sender<()>, Receiver<()>) = channel();
     let served = on_thread(move || {
         let mut peer = target.accept();
@@ -275,14 +276,14 @@
         peer.write(&whole("another caller's"));
         (target, peer)
     });
-    assert_eq!(get(&outlet, "/first").await, "/first");
+    assert_eq!(get(&client, "/first").await, "/first");
     go_on.send(()).unwrap();
     // Nothing of the agent runs until the second answer is there.
     let (target, _peer) = served.recv().unwrap();
     let served = on_thread(move || target.accept().answer());
-    assert_eq!(get(&outlet, "/second").await, "/second");
+    assert_eq!(get(&client, "/second").await, "/second");
     served.recv().unwrap();
-    assert_eq!(outlet.counts().reused.get(), 0);
+    assert_eq!(client.counts().reused.get(), 0);
 }
 
 #[tokio::test]
@@ -290,7 +291,7 @@
     // Many calls at once leave no more connections behind than are allowed,
     // and an answer that nobody reads to its end leaves none.
     let target = Target::start();
-    let outlet = outlet(target.address());
+    let client = client(target.address());
     let served = on_thread(move || {
         let mut peers: Vec<Peer> = Vec::new();
         for _ in 0..4 {
@@ -302,15 +303,15 @@
     });
     let mut replies = Vec::new();
     for _ in 0..4 {
-        let call = call("/stock", Repeats::Freely);
-        replies.push(outlet.call(&call, || {}).await);
+        let call = call("/stock", Retry::Allowed);
+        replies.push(client.call(&call, || {}).await);
     }
     let mut peers = served.recv().unwrap();
     replies.pop();
     for reply in replies {
         read(reply).await;
     }
-    assert_eq!(outlet.counts().kept.get(), 2);
+    assert_eq!(client.counts().kept.get(), 2);
     let mut closed = peers.split_off(2);
     let ends = on_thread(move || closed.iter_mut().all(Peer::ends));
     let ended = tokio::task::spawn_blocking(move || ends.recv().unwrap());
@@ -321,12 +322,12 @@
 async fn keep_until_idle() {
     // A connection that lies unused is closed by the agent before anything in
     // between can lose track of it.
-    let (_target, outlet, mut peer) = after_first_call().await;
+    let (_target, client, mut peer) = after_first_call().await;
     let now = Instant::now();
-    outlet.tidy(now);
-    assert_eq!(outlet.counts().kept.get(), 1);
-    outlet.tidy(now + LONG);
-    assert_eq!(outlet.counts().kept.get(), 0);
+    client.evict_idle(now);
+    assert_eq!(client.counts().kept.get(), 1);
+    client.evict_idle(now + LONG);
+    assert_eq!(client.counts().kept.get(), 0);
     let ends = on_thread(move || peer.ends());
     let ended = tokio::task::spawn_blocking(move || ends.recv().unwrap());
     assert!(ended.await.unwrap());
@@ -335,15 +336,15 @@
 #[tokio::test]
 async fn keep_none() {
     let target = Target::start();
-    let outlet = outlet(target.address()).keeping(0, LONG);
+    let client = client(target.address()).with_keep_alive(0, LONG);
     let served = on_thread(move || {
         target.accept().answer();
         target.accept().answer();
     });
-    assert_eq!(get(&outlet, "/first").await, "/first");
-    assert_eq!(get(&outlet, "/second").await, "/second");
+    assert_eq!(get(&client, "/first").await, "/first");
+    assert_eq!(get(&client, "/second").await, "/second");
     served.recv().unwrap();
-    assert_eq!(outlet.counts().opened.get(), 2);
+    assert_eq!(client.counts().opened.get(), 2);
 }
 
 /// An engine whose agent has kept a connection for a long time.
--- a/crates/agent/tests/nonsense.rs
+++ b/crates/agent/tests/nonsense.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use agent::engine::{Call, ClientSettings, MapOrder, Outlet, Stand};
+use agent::engine::{Call, ClientSettings, MapCommand, TargetClient, TargetKind};
 use fake::{Engine, EngineSettings};
 use quickcheck::{Arbitrary, Gen};
 use serde_json::json;
@@ -62,30 +62,30 @@
         let mut bytes = HEADS[round % HEADS.len()].as_bytes().to_vec();
         bytes.extend(Vec::<u8>::arbitrary(&mut random));
         *answer.lock().unwrap() = bytes;
-        let stand = if round % 2 == 0 {
-            Stand::Engine
+        let kind = if round % 2 == 0 {
+            TargetKind::Engine
         } else {
-            Stand::Service
+            TargetKind::Service
         };
-        let outlet = Outlet::new(target, stand, cfg.clone());
+        let client = TargetClient::new(target, kind, cfg.clone());
         let call = Call {
             method: "POST".into(),
             path: "/lots".into(),
             ..Call::default()
         };
-        if let Ok(mut reply) = outlet.call(&call, || ()).await {
+        if let Ok(mut reply) = client.call(&call, || ()).await {
             while let Ok(Some(_)) = reply.next().await {}
             let _ = reply.usage();
         }
-        let _ = outlet.load().await;
-        let _ = outlet.profile().await;
-        let _ = outlet.cache(3).await;
-        let _ = outlet.map().await;
-        let hold = MapOrder::Hold {
+        let _ = client.load().await;
+        let _ = client.profile().await;
+        let _ = client.cache(3).await;
+        let _ = client.map().await;
+        let hold = MapCommand::Hold {
             version: 1,
             step: 2,
         };
-        let _ = outlet.order(1, &hold).await;
+        let _ = client.send_command(1, &hold).await;
     }
 }
 
--- a/crates/agent/tests/orders.rs
+++ b/crates/agent/tests/orders.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use agent::engine::{Failure, MapOrder, OrderFailure};
+use agent::engine::{CommandFailure, Failure, MapCommand};
 use fake::{Engine, EngineSettings, Fault, FencingCheck};
 use serde_json::json;
 use support::Bench;
@@ -15,8 +15,8 @@
     Engine::start(cfg).await.unwrap()
 }
 
-fn stage(version: u64) -> MapOrder {
-    MapOrder::Stage {
+fn stage(version: u64) -> MapCommand {
+    MapCommand::Stage {
         version,
         map: "{}".into(),
     }
@@ -29,10 +29,10 @@
     let engine = engine(FencingCheck::Ignore).await;
     let bench = Bench::engine(&engine, json!({})).await;
     bench.control.fence(5);
-    let orders = bench.agent.orders();
-    orders.give(6, stage(2)).await.unwrap();
-    let refused = orders.give(5, stage(3)).await;
-    assert_eq!(refused, Err(OrderFailure::Fenced { highest: 6 }));
+    let commands = bench.agent.commands();
+    commands.send(6, stage(2)).await.unwrap();
+    let refused = commands.send(5, stage(3)).await;
+    assert_eq!(refused, Err(CommandFailure::Fenced { highest: 6 }));
     assert_eq!(engine.map()["staged"], 2);
 }
 
@@ -43,8 +43,8 @@
     let engine = engine(FencingCheck::Ignore).await;
     let bench = Bench::engine(&engine, json!({})).await;
     bench.control.fence(9);
-    let refused = bench.agent.orders().give(8, stage(2)).await;
-    assert_eq!(refused, Err(OrderFailure::Fenced { highest: 9 }));
+    let refused = bench.agent.commands().send(8, stage(2)).await;
+    assert_eq!(refused, Err(CommandFailure::Fenced { highest: 9 }));
     assert!(engine.seen().is_empty());
 }
 
@@ -54,10 +54,10 @@
     let engine = engine(FencingCheck::Ignore).await;
     let bench = Bench::engine(&engine, json!({})).await;
     bench.control.resign();
-    let refused = bench.agent.orders().give(8, stage(2)).await;
+    let refused = bench.agent.commands().send(8, stage(2)).await;
     assert!(matches!(
         refused,
-        Err(OrderFailure::Failed(Failure::NotRun(_)))
+        Err(CommandFailure::Failed(Failure::NotRun(_)))
     ));
     assert!(engine.seen().is_empty());
 }
@@ -67,10 +67,10 @@
     // The engine has obeyed a higher number before, through a former agent.
     let engine = engine(FencingCheck::Refuse).await;
     let first = Bench::engine(&engine, json!({})).await;
-    first.agent.orders().give(7, stage(2)).await.unwrap();
+    first.agent.commands().send(7, stage(2)).await.unwrap();
     let second = Bench::engine(&engine, json!({})).await;
-    let refused = second.agent.orders().give(6, stage(3)).await;
-    assert_eq!(refused, Err(OrderFailure::Fenced { highest: 7 }));
+    let refused = second.agent.commands().send(6, stage(3)).await;
+    assert_eq!(refused, Err(CommandFailure::Fenced { highest: 7 }));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -79,27 +79,29 @@
     // agent reads back what was done instead of guessing.
     let engine = engine(FencingCheck::Ignore).await;
     let bench = Bench::engine(&engine, json!({})).await;
-    let orders = bench.agent.orders();
+    let commands = bench.agent.commands();
     engine.fault(Fault::LoseAnswer);
-    let staged = orders.give(1, stage(2)).await.unwrap();
+    let staged = commands.send(1, stage(2)).await.unwrap();
     assert!(staged.ready);
     let step = engine.map()["step"].as_u64().unwrap() + 1_000_000;
-    let held = orders.give(1, MapOrder::Hold { version: 2, step }).await;
+    let held = commands
+        .send(1, MapCommand::Hold { version: 2, step })
+        .await;
     assert!(held.unwrap().held);
-    let commit = MapOrder::Commit { version: 2, step };
-    assert!(orders.give(1, commit.clone()).await.unwrap().known);
+    let commit = MapCommand::Commit { version: 2, step };
+    assert!(commands.send(1, commit.clone()).await.unwrap().known);
     assert_eq!(engine.map()["next"], 2);
     // Given once more, by a coordinator that lost the outcome.
-    assert!(orders.give(1, commit).await.unwrap().known);
-    let abort = MapOrder::Abort { version: 3, step };
-    orders.give(1, stage(3)).await.unwrap();
-    assert!(orders.give(1, abort).await.unwrap().known);
+    assert!(commands.send(1, commit).await.unwrap().known);
+    let abort = MapCommand::Abort { version: 3, step };
+    commands.send(1, stage(3)).await.unwrap();
+    assert!(commands.send(1, abort).await.unwrap().known);
     assert_eq!(engine.map()["staged"], json!(null));
     assert_eq!(engine.map()["next"], 2);
     assert_eq!(engine.seen().len(), 6);
     engine.clear();
-    let again = MapOrder::Commit { version: 2, step };
-    assert!(orders.give(1, again).await.unwrap().known);
+    let again = MapCommand::Commit { version: 2, step };
+    assert!(commands.send(1, again).await.unwrap().known);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -108,6 +110,6 @@
     let engine = engine(FencingCheck::Ignore).await;
     let bench = Bench::engine(&engine, json!({})).await;
     engine.fault(Fault::Die);
-    let failed = bench.agent.orders().give(1, stage(2)).await;
-    assert!(matches!(failed, Err(OrderFailure::Failed(_))));
+    let failed = bench.agent.commands().send(1, stage(2)).await;
+    assert!(matches!(failed, Err(CommandFailure::Failed(_))));
 }
