--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -14,27 +14,27 @@
 use wire::proto::NodeInfo;
 use wire::{ClusterKey, Identity, LinkSettings, Role};
 
+use crate::attempt_manager::{AttemptManager, AttemptMsg, Idle};
 use crate::command::CommandQueue;
 use crate::context::Context;
-use crate::desk::{Desk, DeskMsg, Idle};
 use crate::engine::{TargetClient, TargetKind};
-use crate::links::{Links, MAX_ASKED};
+use crate::links::{LinkServer, MAX_PENDING};
 use crate::map::{MapContext, Maps, Offers};
 use crate::metrics::Metrics;
 use crate::monitor::Monitor;
 use crate::status::Status;
 use crate::{Health, Listeners, Phase, Settings};
 
-/// Between two looks at whether anything still runs.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
+/// Interval at which a shutdown checks whether anything still runs.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Cache changes that wait for a slow link.
-const CACHE_QUEUE: usize = 64;
+/// Cache changes that are queued for a slow link.
+const CACHE_EVENT_CAPACITY: usize = 64;
 
-/// A running agent; dropping it ends it at once.
+/// A running agent; dropping it stops it at once.
 pub struct Agent {
     cx: Arc<Context>,
-    desk: ActorRef<DeskMsg>,
+    manager: ActorRef<AttemptMsg>,
     commands: CommandQueue,
     links: SocketAddr,
     http: SocketAddr,
@@ -42,7 +42,7 @@
 }
 
 impl Agent {
-    /// Starts an agent with a fresh incarnation.
+    /// Starts an agent with a new incarnation.
     ///
     /// # Errors
     ///
@@ -53,16 +53,16 @@
         let http = listeners.http.local_addr()?;
         let me = Identity::new(Role::Agent, cfg.name.clone(), rand::random());
         let link = LinkSettings {
-            beat: cfg.timing.beat,
+            beat: cfg.timing.heartbeat_interval,
             ..LinkSettings::default()
         };
-        let follower = follow(&cfg, &me, &key, &link, links);
+        let follower = spawn_follower(&cfg, &me, &key, &link, links);
         let mut registry = admin::Registry::default();
         let cx = context(cfg, me.incarnation, follower);
         cx.metrics.register(&mut registry);
         let counts = registry.sub_registry_with_prefix("agent");
         cx.target_client.counts().register(counts);
-        let (desk, _) = Actor::spawn(None, Desk, Arc::clone(&cx)).await?;
+        let (manager, _) = Actor::spawn(None, AttemptManager, Arc::clone(&cx)).await?;
         let (monitor, _) = Actor::spawn(None, Monitor, Arc::clone(&cx)).await?;
         let map_cx = Arc::new(map_context(&cx));
         let commands = crate::command::start(Arc::clone(&map_cx)).await?;
@@ -70,106 +70,108 @@
             TargetKind::Engine => crate::map::start(&map_cx, &commands, &me, &key, &link).await?,
             TargetKind::Service => Maps::none(),
         };
-        let accept = Arc::new(Links {
+        let accept = Arc::new(LinkServer {
             cx: Arc::clone(&cx),
-            desk: desk.clone(),
+            manager: manager.clone(),
             maps,
             me,
             key,
             cfg: link,
-            asked: Arc::new(Semaphore::new(MAX_ASKED)),
+            pending: Arc::new(Semaphore::new(MAX_PENDING)),
         });
         tokio::spawn(accept.accept(listeners.links));
-        tokio::spawn(serve_pages(Arc::clone(&cx), registry, listeners.http));
+        tokio::spawn(serve_admin(Arc::clone(&cx), registry, listeners.http));
         tokio::spawn({
-            let (stop, desk) = (cx.stop.clone(), desk.clone());
+            let (stop, manager) = (cx.stop.clone(), manager.clone());
             async move {
                 stop.cancelled().await;
-                desk.stop(None);
+                manager.stop(None);
                 monitor.stop(None);
             }
         });
         Ok(Agent {
             _stop: cx.stop.clone().drop_guard(),
             cx,
-            desk,
+            manager,
             commands,
             links,
             http,
         })
     }
 
-    /// Where it accepts links.
+    /// Address on which links are accepted.
     #[must_use]
     pub fn link_address(&self) -> SocketAddr {
         self.links
     }
 
-    /// Where it serves health and metrics.
+    /// Address of the health and metrics endpoints.
     #[must_use]
     pub fn http_address(&self) -> SocketAddr {
         self.http
     }
 
-    /// This start's incarnation.
+    /// Incarnation of this agent.
     #[must_use]
     pub fn incarnation(&self) -> u64 {
         self.cx.incarnation
     }
 
-    /// Gives commands to the engine.
+    /// Queue of map commands to the engine.
     #[must_use]
     pub fn commands(&self) -> CommandQueue {
         self.commands.clone()
     }
 
-    /// Leaves: tells entries and control, takes nothing new, finishes what
-    /// runs, keeps answers until they are recorded, and then ends; at the
-    /// latest when the time for a shutdown is over. Calling it again waits
-    /// for the same end and cuts nothing short.
+    /// Shuts the agent down gracefully: announces to entries and control that the
+    /// target is leaving, refuses new attempts, finishes running ones, and keeps
+    /// answers until they are recorded. Stops when that is done, at the latest
+    /// after the shutdown timeout. A second call waits for the same shutdown and
+    /// doesn't shorten it.
     pub async fn shutdown(&self) {
         self.cx.follower.set_leaving(true);
         self.cx.phase.send_if_modified(|phase| {
             let before = std::mem::replace(phase, Phase::Leaving);
             before != Phase::Leaving
         });
-        let drained = tokio::time::timeout(self.cx.cfg.timing.shutdown, self.drained());
+        let drained =
+            tokio::time::timeout(self.cx.cfg.timing.shutdown_timeout, self.wait_drained());
         if drained.await.is_err() {
-            log::warn!("the time for a shutdown is over, what still runs is lost");
+            log::warn!("shutdown timeout reached; aborting running attempts");
         }
         self.cx.stop.cancel();
     }
 
-    async fn drained(&self) {
+    async fn wait_drained(&self) {
         while !self.cx.stop.is_cancelled() {
-            match call!(self.desk, DeskMsg::Idle) {
-                Ok(Idle::No) => sleep(DRAIN_LOOK).await,
+            match call!(self.manager, AttemptMsg::Idle) {
+                Ok(Idle::No) => sleep(DRAIN_POLL_INTERVAL).await,
                 Ok(Idle::Yes) | Err(_) => return,
             }
         }
     }
 }
 
-fn follow(
+fn spawn_follower(
     cfg: &Settings,
     me: &Identity,
     key: &ClusterKey,
     link: &LinkSettings,
-    listening: SocketAddr,
+    local_address: SocketAddr,
 ) -> Follower {
     let info = NodeInfo {
         role: Role::Agent.into(),
         name: cfg.name.clone(),
         incarnation: me.incarnation,
         zone: cfg.zone.clone(),
-        link_address: cfg.advertise.unwrap_or(listening).to_string(),
+        link_address: cfg.advertise.unwrap_or(local_address).to_string(),
         caller_address: String::new(),
         leaving: false,
         target: None,
     };
     let settings = FollowerSettings {
         controls: cfg.controls.clone(),
-        renew: cfg.timing.renew,
+        renew: cfg.timing.renew_interval,
         key: key.clone(),
         link: link.clone(),
     };
@@ -179,16 +181,19 @@
 fn context(cfg: Settings, incarnation: u64, follower: Follower) -> Arc<Context> {
     let stop = CancellationToken::new();
     Arc::new(Context {
-        target_client: TargetClient::new(cfg.target, cfg.kind, cfg.timing.client.clone())
-            .with_keep_alive(cfg.limits.kept, cfg.timing.kept),
+        target_client: TargetClient::new(cfg.target_address, cfg.kind, cfg.timing.client.clone())
+            .with_keep_alive(
+                cfg.limits.idle_connections,
+                cfg.timing.connection_idle_timeout,
+            ),
         cfg,
         incarnation,
         follower,
         metrics: Metrics::default(),
         phase: watch::Sender::new(Phase::Serving),
         status: watch::Sender::new(Status::new(Instant::now())),
-        cache: broadcast::Sender::new(CACHE_QUEUE),
-        cut: watch::Sender::new(stop.child_token()),
+        cache: broadcast::Sender::new(CACHE_EVENT_CAPACITY),
+        link_cancel: watch::Sender::new(stop.child_token()),
         stop,
     })
 }
@@ -196,10 +201,10 @@
 fn map_context(cx: &Context) -> MapContext {
     MapContext {
         name: cx.cfg.name.clone(),
-        group: cx.cfg.serves.clone(),
+        group: cx.cfg.group_or_service.clone(),
         incarnation: cx.incarnation,
         cfg: cx.cfg.maps.clone(),
-        poll: cx.cfg.timing.poll,
+        poll: cx.cfg.timing.poll_interval,
         follower: cx.follower.clone(),
         target_client: cx.target_client.clone(),
         offers: Offers::Note,
@@ -207,7 +212,7 @@
     }
 }
 
-async fn serve_pages(
+async fn serve_admin(
     cx: Arc<Context>,
     registry: admin::Registry,
     listener: tokio::net::TcpListener,
--- a/crates/agent/src/answer.rs
+++ b/crates/agent/src/answer.rs
@@ -1,4 +1,4 @@
-//! One attempt's answer, shared by those who fill, send and watch it.
+//! The answer of one attempt, shared by its producer, sender and manager.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -10,22 +10,22 @@
 use wire::proto::frame::Body;
 use wire::proto::{AnswerChunk, AnswerEnd, AnswerHead, Header, Usage};
 
-use crate::{Buffer, Ending, Keep};
+use crate::{Buffer, Ending, Retention};
 
-/// Bytes of one chunk at most; small enough that no answer holds up the
-/// others on its link for long.
-const MAX_CHUNK: usize = 32 << 10;
+/// Maximum chunk size; small enough that one answer doesn't delay the others on
+/// its link for long.
+const MAX_CHUNK_BYTES: usize = 32 << 10;
 
-/// One attempt's answer.
+/// The answer of one attempt.
 #[derive(Debug)]
 pub(crate) struct Answer {
     id: Bytes,
     inner: Mutex<Inner>,
-    /// More may be sent.
+    /// Notified when there may be more to send.
     readable: Notify,
-    /// More may be taken from the target.
+    /// Notified when there may be room for more bytes from the target.
     room: Notify,
-    /// Stops the attempt.
+    /// Cancels the attempt.
     pub cancel: CancellationToken,
 }
 
@@ -34,34 +34,34 @@
     buffer: Buffer,
     head: Option<(u16, Vec<(String, Bytes)>)>,
     ending: Option<Ending>,
-    stage: Stage,
+    write_state: WriteState,
     sender: Option<(Link, CancellationToken)>,
 }
 
-/// How far an attempt has come.
+/// Whether the request has been written to the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Stage {
-    /// Nothing was written to the target.
+pub(crate) enum WriteState {
+    /// Nothing was written.
     Unwritten,
-    /// The target may be running it.
+    /// It was written, and the target may be running it.
     Written,
 }
 
-/// The next thing to send.
+/// What a sender does next.
 pub(crate) enum Next {
     Frame(Body),
     Last(Body),
     Wait,
 }
 
-/// Where a sender stands in the answer.
+/// Position of a sender in the answer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Cursor {
     pub head: HeadSent,
     pub offset: u64,
 }
 
-/// Whether a link has had the head of an answer.
+/// Whether the head of the answer was sent on a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeadSent {
     Yes,
@@ -69,14 +69,14 @@
 }
 
 impl Answer {
-    pub fn new(attempt: Attempt, keep: Keep, window: usize, max: usize) -> Self {
+    pub fn new(attempt: Attempt, retention: Retention, window: usize, max: usize) -> Self {
         Answer {
             id: Bytes::copy_from_slice(&attempt.to_bytes()),
             inner: Mutex::new(Inner {
-                buffer: Buffer::new(keep, window, max),
+                buffer: Buffer::new(retention, window, max),
                 head: None,
                 ending: None,
-                stage: Stage::Unwritten,
+                write_state: WriteState::Unwritten,
                 sender: None,
             }),
             readable: Notify::new(),
@@ -85,17 +85,17 @@
         }
     }
 
-    /// The attempt's identity as it stands in frames.
+    /// The attempt's id as encoded in frames.
     pub fn id(&self) -> Bytes {
         self.id.clone()
     }
 
     pub fn set_written(&self) {
-        self.lock().stage = Stage::Written;
+        self.lock().write_state = WriteState::Written;
     }
 
-    pub fn stage(&self) -> Stage {
-        self.lock().stage
+    pub fn write_state(&self) -> WriteState {
+        self.lock().write_state
     }
 
     pub fn set_head(&self, status: u16, headers: Vec<(String, Bytes)>) {
@@ -108,7 +108,7 @@
         self.readable.notify_one();
     }
 
-    /// Ends the answer; the first ending stays.
+    /// Ends the answer; only the first call has an effect.
     pub fn end(&self, ending: Ending) {
         let mut inner = self.lock();
         if inner.ending.is_none() {
@@ -122,35 +122,35 @@
         self.lock().buffer.has_room()
     }
 
-    /// Waits until the entry has read enough for more to be taken.
-    pub async fn await_room(&self) {
+    /// Waits until the entry has read enough to make room for more bytes.
+    pub async fn wait_for_room(&self) {
         while !self.has_room() {
             self.room.notified().await;
         }
     }
 
-    pub fn pass(&self, offset: u64) {
-        self.lock().buffer.pass(offset);
+    pub fn acknowledge(&self, offset: u64) {
+        self.lock().buffer.acknowledge(offset);
         self.readable.notify_one();
         self.room.notify_one();
     }
 
     /// Bytes held for the answer.
-    pub fn held(&self) -> usize {
-        self.lock().buffer.held()
+    pub fn held_bytes(&self) -> usize {
+        self.lock().buffer.held_bytes()
     }
 
-    /// Whether a link that is up has the answer.
+    /// Whether the answer is attached to a link that is up.
     pub fn is_attached(&self) -> bool {
         let inner = self.lock();
         let sender = inner.sender.as_ref();
         sender.is_some_and(|(link, _)| !link.is_closed())
     }
 
-    /// Gives the answer to a link, in place of the one that had it. The token
-    /// ends when yet another link takes over.
+    /// Attaches the answer to a link, replacing the previous one. The returned
+    /// token is cancelled when another link takes over.
     ///
-    /// `None` when the bytes from that offset are no longer held.
+    /// Returns `None` if the bytes from that offset on are no longer held.
     pub fn attach(&self, link: &Link, offset: u64) -> Option<CancellationToken> {
         let mut inner = self.lock();
         if !inner.buffer.holds(offset) {
@@ -158,16 +158,16 @@
         }
         inner.buffer.attach(offset);
         let token = CancellationToken::new();
-        let former = inner.sender.replace((link.clone(), token.clone()));
-        if let Some((_, former)) = former {
-            former.cancel();
+        let previous = inner.sender.replace((link.clone(), token.clone()));
+        if let Some((_, previous)) = previous {
+            previous.cancel();
         }
         drop(inner);
         self.room.notify_one();
         Some(token)
     }
 
-    /// What a link that stands at `cursor` is sent next.
+    /// The next frame for a sender at `cursor`.
     pub fn next(&self, cursor: &mut Cursor) -> Next {
         let inner = self.lock();
         if cursor.head == HeadSent::No
@@ -176,7 +176,7 @@
             cursor.head = HeadSent::Yes;
             return Next::Frame(head_frame(self.id(), *status, headers));
         }
-        if let Some(data) = inner.buffer.read(cursor.offset, MAX_CHUNK) {
+        if let Some(data) = inner.buffer.read(cursor.offset, MAX_CHUNK_BYTES) {
             let offset = cursor.offset;
             cursor.offset += data.len() as u64;
             return Next::Frame(Body::AnswerChunk(AnswerChunk {
@@ -192,7 +192,7 @@
         Next::Last(end_frame(self.id(), &inner.buffer, ending))
     }
 
-    pub async fn await_readable(&self) {
+    pub async fn wait_readable(&self) {
         self.readable.notified().await;
     }
 
--- a/crates/agent/src/attempts.rs
+++ b/crates/agent/src/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts that an agent knows.
+//! Running, ended and remembered attempts.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,134 +8,136 @@
 use ledger::Attempt;
 use wire::proto::{AttemptState, End};
 
-use crate::answer::{Answer, Stage};
-use crate::{Ending, Keep, Limits, Suspicion, Timing, Tombstone, Tombstones};
+use crate::answer::{Answer, WriteState};
+use crate::{Ending, Limits, Retention, Suspicion, Timing, Tombstone, Tombstones};
 
-/// How long a repeatable attempt that nobody acknowledged is remembered once
-/// it is forgotten: longer than any start of it can be held up on a link.
-const REMEMBER_REPEATABLE: Duration = Duration::from_mins(5);
+/// How long a tombstone is kept for a repeatable attempt that its entry never
+/// released: longer than a start message can be delayed on a link.
+const UNACKNOWLEDGED_RETENTION: Duration = Duration::from_mins(5);
 
-/// For as long as the agent lives.
-const FOR_GOOD: Duration = Duration::MAX;
+/// Retention of tombstones that last as long as the process.
+const NEVER_EXPIRES: Duration = Duration::MAX;
 
-/// One attempt that runs, or whose answer is held.
-pub(crate) struct Known {
+/// An attempt that runs or whose answer is held.
+pub(crate) struct AttemptEntry {
     pub answer: Arc<Answer>,
     pub fingerprint: Bytes,
-    pub keep: Keep,
+    pub retention: Retention,
     pub suspicion: Suspicion,
-    pub state: State,
+    pub state: RunState,
     pub started: Instant,
-    /// The target's instance when it started, as far as that was told.
+    /// The target's instance when the attempt started; empty if unknown.
     pub instance: String,
-    unattached: Option<Instant>,
-    acknowledged: Acknowledged,
+    detached_since: Option<Instant>,
+    released: Released,
 }
 
-/// Whether the entry has said that it needs the answer no more: a repeatable
-/// one has arrived or isn't wanted, that of a non-repeatable call is recorded.
+/// Whether the entry process no longer needs the answer: that of a repeatable
+/// call has arrived or was cancelled, that of a non-repeatable call is recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Acknowledged {
+enum Released {
     Yes,
     No,
 }
 
-/// How far an attempt has come.
-pub(crate) enum State {
+/// Progress of an attempt.
+pub(crate) enum RunState {
     Running,
-    /// Its connection broke, and whether the target crashed isn't known yet.
-    Broke(String),
-    /// The target crashed, and control is being told.
+    /// The connection broke, and whether the target crashed isn't known yet.
+    ConnectionLost(String),
+    /// The target crashed, and the crash is being reported to control.
     Crashed,
     Ended(Instant),
 }
 
-impl Known {
+impl AttemptEntry {
     pub fn new(
         answer: Arc<Answer>,
         fingerprint: Bytes,
-        keep: Keep,
+        retention: Retention,
         suspicion: Suspicion,
         instance: String,
         now: Instant,
     ) -> Self {
-        Known {
+        AttemptEntry {
             answer,
             fingerprint,
-            keep,
+            retention,
             suspicion,
-            state: State::Running,
+            state: RunState::Running,
             started: now,
             instance,
-            unattached: None,
-            acknowledged: Acknowledged::No,
+            detached_since: None,
+            released: Released::No,
         }
     }
 
     fn is_running(&self) -> bool {
-        matches!(self.state, State::Running | State::Broke(_))
+        matches!(self.state, RunState::Running | RunState::ConnectionLost(_))
     }
 
     fn is_ended(&self) -> bool {
-        matches!(self.state, State::Ended(_))
+        matches!(self.state, RunState::Ended(_))
     }
 }
 
-/// All attempts that an agent knows, and those that must never start.
+/// All attempts that an agent knows, and tombstones of those that must never
+/// start.
 pub(crate) struct Attempts {
-    known: BTreeMap<Attempt, Known>,
-    /// Of the known ones: counted as they change, since each start asks.
+    entries: BTreeMap<Attempt, AttemptEntry>,
+    /// Counters over `entries`, kept up to date because every start reads them.
     running: usize,
     suspects: usize,
-    /// Bytes held of all answers at the last tick.
-    held: usize,
+    /// Bytes held for all answers at the last tick.
+    held_bytes: usize,
     /// Barred attempts, and non-repeatable ones whose answer is recorded.
-    kept: Tombstones,
-    /// Non-repeatable attempts whose answer nobody recorded in time. The ledger
-    /// may take such a one for running at any later time, since its time stands
-    /// still while control has no leader. Were it forgotten, it would be barred
-    /// as one that never started, and its call run a second time.
+    recorded: Tombstones,
+    /// Non-repeatable attempts whose answer wasn't recorded in time. Their
+    /// tombstones never expire: the ledger's clock stops while control has no
+    /// leader, so it may consider such an attempt running at any later time.
+    /// Without the tombstone the attempt would be barred as never started, and
+    /// its call would run a second time.
     unrecorded: Tombstones,
-    /// Repeatable attempts that nobody acknowledged.
-    brief: Tombstones,
+    /// Repeatable attempts that weren't released.
+    unacknowledged: Tombstones,
 }
 
 impl Attempts {
     pub fn new(limits: &Limits, timing: &Timing) -> Self {
         Attempts {
-            known: BTreeMap::new(),
+            entries: BTreeMap::new(),
             running: 0,
             suspects: 0,
-            held: 0,
-            kept: Tombstones::new(limits.remembered, timing.remember),
-            unrecorded: Tombstones::new(limits.remembered, FOR_GOOD),
-            brief: Tombstones::new(limits.remembered, REMEMBER_REPEATABLE),
+            held_bytes: 0,
+            recorded: Tombstones::new(limits.remembered_attempts, timing.tombstone_retention),
+            unrecorded: Tombstones::new(limits.remembered_attempts, NEVER_EXPIRES),
+            unacknowledged: Tombstones::new(limits.remembered_attempts, UNACKNOWLEDGED_RETENTION),
         }
     }
 
-    pub fn get(&self, attempt: Attempt) -> Option<&Known> {
-        self.known.get(&attempt)
+    pub fn get(&self, attempt: Attempt) -> Option<&AttemptEntry> {
+        self.entries.get(&attempt)
     }
 
     pub fn tombstone(&self, attempt: Attempt) -> Option<Tombstone> {
-        let all = [&self.kept, &self.unrecorded, &self.brief];
+        let all = [&self.recorded, &self.unrecorded, &self.unacknowledged];
         all.into_iter()
             .find_map(|tombstones| tombstones.get(attempt))
     }
 
-    /// Whether there is room to remember another attempt once it is over.
-    pub fn has_room(&self, keep: Keep) -> bool {
-        match keep {
-            Keep::Whole => !self.kept.is_full() && !self.unrecorded.is_full(),
-            Keep::UntilPassed => !self.brief.is_full(),
+    /// Whether there is room for the tombstone of another attempt.
+    pub fn has_room(&self, retention: Retention) -> bool {
+        match retention {
+            Retention::UntilRecorded => !self.recorded.is_full() && !self.unrecorded.is_full(),
+            Retention::UntilAcknowledged => !self.unacknowledged.is_full(),
         }
     }
 
-    /// Enters an attempt that begins to run and was not known before.
-    pub fn insert(&mut self, attempt: Attempt, known: Known) {
+    /// Adds an attempt that begins to run.
+    pub fn insert(&mut self, attempt: Attempt, entry: AttemptEntry) {
         self.running += 1;
-        self.suspects += usize::from(known.suspicion == Suspicion::Suspect);
-        self.known.insert(attempt, known);
+        self.suspects += usize::from(entry.suspicion == Suspicion::Suspect);
+        self.entries.insert(attempt, entry);
     }
 
     pub fn running(&self) -> usize {
@@ -146,28 +148,28 @@
         self.suspects
     }
 
-    /// Bytes held of all answers, as of the last tick.
-    pub fn held(&self) -> usize {
-        self.held
+    /// Bytes held for all answers, as of the last tick.
+    pub fn held_bytes(&self) -> usize {
+        self.held_bytes
     }
 
-    /// Notes that an attempt runs no longer.
-    fn ran(&mut self, suspicion: Suspicion) {
+    /// Updates the counters for an attempt that no longer runs.
+    fn count_stopped(&mut self, suspicion: Suspicion) {
         self.running -= 1;
         self.suspects -= usize::from(suspicion == Suspicion::Suspect);
     }
 
-    pub fn remembered(&self) -> usize {
-        self.kept.len() + self.unrecorded.len() + self.brief.len()
+    pub fn tombstones(&self) -> usize {
+        self.recorded.len() + self.unrecorded.len() + self.unacknowledged.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.entries.is_empty()
     }
 
     pub fn state(&self, attempt: Attempt) -> AttemptState {
-        match (self.known.get(&attempt), self.tombstone(attempt)) {
-            (Some(known), _) if known.is_ended() => AttemptState::Ended,
+        match (self.entries.get(&attempt), self.tombstone(attempt)) {
+            (Some(entry), _) if entry.is_ended() => AttemptState::Ended,
             (Some(_), _) => AttemptState::Running,
             (None, Some(Tombstone::Barred)) => AttemptState::Barred,
             (None, Some(Tombstone::Forgotten)) => AttemptState::Forgotten,
@@ -175,182 +177,187 @@
         }
     }
 
-    /// Bars an attempt that never started, and tells what stands. `Absent`
-    /// means that there was no room for the bar: then it proves nothing.
+    /// Bars an attempt that never started, and returns its state. `Absent` means
+    /// that there was no room for the tombstone, and the attempt may still start.
     pub fn bar(&mut self, attempt: Attempt, now: Instant) -> AttemptState {
         let state = self.state(attempt);
         if state == AttemptState::Absent {
-            self.kept.insert(attempt, Tombstone::Barred, now);
+            self.recorded.insert(attempt, Tombstone::Barred, now);
         }
         self.state(attempt)
     }
 
-    /// Cancels a repeatable attempt. A non-repeatable call goes on: it may
-    /// have run, and its answer is worth more than the time it takes.
+    /// Cancels a repeatable attempt. A non-repeatable call continues: it may have
+    /// run, and its answer is needed.
     pub fn cancel(&mut self, attempt: Attempt) {
-        if let Some(known) = self.known.get_mut(&attempt)
-            && known.keep == Keep::UntilPassed
+        if let Some(entry) = self.entries.get_mut(&attempt)
+            && entry.retention == Retention::UntilAcknowledged
         {
-            known.acknowledged = Acknowledged::Yes;
-            known.answer.cancel.cancel();
+            entry.released = Released::Yes;
+            entry.answer.cancel.cancel();
         }
     }
 
-    pub fn pass(&self, attempt: Attempt, offset: u64) {
-        if let Some(known) = self.known.get(&attempt) {
-            known.answer.pass(offset);
+    pub fn acknowledge(&self, attempt: Attempt, offset: u64) {
+        if let Some(entry) = self.entries.get(&attempt) {
+            entry.answer.acknowledge(offset);
         }
     }
 
-    /// Ends an attempt; `false` if it has ended before or isn't known.
+    /// Ends an attempt. Returns `false` if it has already ended or is unknown.
     pub fn end(&mut self, attempt: Attempt, ending: Ending, now: Instant) -> bool {
-        let Some(known) = self.known.get_mut(&attempt) else {
+        let Some(entry) = self.entries.get_mut(&attempt) else {
             return false;
         };
-        if !known.is_running() {
+        if !entry.is_running() {
             return false;
         }
-        known.state = State::Ended(now);
-        known.answer.end(ending);
-        let suspicion = known.suspicion;
-        self.ran(suspicion);
+        entry.state = RunState::Ended(now);
+        entry.answer.end(ending);
+        let suspicion = entry.suspicion;
+        self.count_stopped(suspicion);
         true
     }
 
-    /// Notes that an attempt's connection broke; `false` if it had ended.
-    pub fn broke(&mut self, attempt: Attempt, reason: String) -> bool {
-        let Some(known) = self.known.get_mut(&attempt) else {
+    /// Records that an attempt's connection broke. Returns `false` if it had
+    /// already ended.
+    pub fn mark_connection_lost(&mut self, attempt: Attempt, reason: String) -> bool {
+        let Some(entry) = self.entries.get_mut(&attempt) else {
             return false;
         };
-        if !known.is_running() {
+        if !entry.is_running() {
             return false;
         }
-        known.state = State::Broke(reason);
+        entry.state = RunState::ConnectionLost(reason);
         true
     }
 
-    /// Ends all attempts whose connection broke, and returns their endings.
+    /// Ends all attempts whose connection broke and returns how they ended.
     pub fn end_broken(&mut self, now: Instant) -> Vec<Ending> {
         let mut endings = Vec::new();
         let mut ended = Vec::new();
-        for known in self.known.values_mut() {
-            if let State::Broke(reason) = &known.state {
+        for entry in self.entries.values_mut() {
+            if let RunState::ConnectionLost(reason) = &entry.state {
                 let ending = Ending::new(End::Lost, reason.clone());
                 endings.push(ending.clone());
-                known.answer.end(ending);
-                known.state = State::Ended(now);
-                ended.push(known.suspicion);
+                entry.answer.end(ending);
+                entry.state = RunState::Ended(now);
+                ended.push(entry.suspicion);
             }
         }
         for suspicion in ended {
-            self.ran(suspicion);
+            self.count_stopped(suspicion);
         }
         endings
     }
 
-    /// Picks all that a crashed target may have been running, as far as
-    /// `ran_on` says that it ran on that one.
+    /// Marks all attempts that a crashed target may have been running, filtered
+    /// by `ran_on_crashed`, and returns them with their fingerprints.
     ///
-    /// All of them are picked, also those whose connection seems to stand: were
-    /// one of them to be reported on its own later, that would count as another
-    /// crash, and convict a bystander.
-    pub fn pick_crashed(&mut self, ran_on: impl Fn(&Known) -> bool) -> Vec<(Attempt, Bytes)> {
+    /// Attempts whose connection still appears open are included: if one were
+    /// reported on its own later, it would count as another crash and convict an
+    /// unrelated request.
+    pub fn mark_crashed(
+        &mut self,
+        ran_on_crashed: impl Fn(&AttemptEntry) -> bool,
+    ) -> Vec<(Attempt, Bytes)> {
         let mut crashed = Vec::new();
         let mut suspicions = Vec::new();
         let running = self
-            .known
+            .entries
             .iter_mut()
-            .filter(|(_, known)| known.is_running());
-        for (attempt, known) in running {
-            if known.answer.stage() == Stage::Unwritten || !ran_on(known) {
+            .filter(|(_, entry)| entry.is_running());
+        for (attempt, entry) in running {
+            if entry.answer.write_state() == WriteState::Unwritten || !ran_on_crashed(entry) {
                 continue;
             }
-            known.state = State::Crashed;
-            known.answer.cancel.cancel();
-            crashed.push((*attempt, known.fingerprint.clone()));
-            suspicions.push(known.suspicion);
+            entry.state = RunState::Crashed;
+            entry.answer.cancel.cancel();
+            crashed.push((*attempt, entry.fingerprint.clone()));
+            suspicions.push(entry.suspicion);
         }
         for suspicion in suspicions {
-            self.ran(suspicion);
+            self.count_stopped(suspicion);
         }
         crashed
     }
 
-    /// Ends the attempts that were picked, once control knows of the crash.
+    /// Ends the marked attempts once control has recorded the crash.
     pub fn end_crashed(&mut self, crashed: &[Attempt], now: Instant) {
         for attempt in crashed {
-            if let Some(known) = self.known.get_mut(attempt) {
-                known.state = State::Ended(now);
+            if let Some(entry) = self.entries.get_mut(attempt) {
+                entry.state = RunState::Ended(now);
                 let ending = Ending::new(End::Crashed, "the target crashed");
-                known.answer.end(ending);
+                entry.answer.end(ending);
             }
         }
     }
 
-    /// Forgets an attempt whose answer has arrived or is recorded, as its
-    /// entry says. One that still runs stays until it ended.
-    pub fn acknowledge(&mut self, attempt: Attempt, now: Instant) {
-        if let Some(known) = self.known.get_mut(&attempt) {
-            known.acknowledged = Acknowledged::Yes;
+    /// Drops an attempt whose answer the entry process no longer needs. An
+    /// attempt that still runs is dropped after it has ended.
+    pub fn release(&mut self, attempt: Attempt, now: Instant) {
+        if let Some(entry) = self.entries.get_mut(&attempt) {
+            entry.released = Released::Yes;
             self.forget(attempt, now);
         }
     }
 
     fn forget(&mut self, attempt: Attempt, now: Instant) {
-        let ended = self.known.get(&attempt).filter(|known| known.is_ended());
-        let Some(known) = ended else {
+        let ended = self.entries.get(&attempt).filter(|entry| entry.is_ended());
+        let Some(entry) = ended else {
             return;
         };
-        let tombstones = match (known.keep, known.acknowledged) {
-            (Keep::Whole, Acknowledged::Yes) => &mut self.kept,
-            (Keep::Whole, Acknowledged::No) => &mut self.unrecorded,
-            (Keep::UntilPassed, Acknowledged::No) => &mut self.brief,
-            // Its only start was taken, and who sent that wants no more of it.
-            (Keep::UntilPassed, Acknowledged::Yes) => {
-                self.known.remove(&attempt);
+        let tombstones = match (entry.retention, entry.released) {
+            (Retention::UntilRecorded, Released::Yes) => &mut self.recorded,
+            (Retention::UntilRecorded, Released::No) => &mut self.unrecorded,
+            (Retention::UntilAcknowledged, Released::No) => &mut self.unacknowledged,
+            // Its only start message was accepted, and the sender is done with it.
+            (Retention::UntilAcknowledged, Released::Yes) => {
+                self.entries.remove(&attempt);
                 return;
             }
         };
-        // Without room it stays known, so that it can't start a second time.
+        // Without room for a tombstone the entry stays, so that the attempt can't
+        // start a second time.
         if tombstones.insert(attempt, Tombstone::Forgotten, now) {
-            self.known.remove(&attempt);
+            self.entries.remove(&attempt);
         }
     }
 
-    /// Cancels what nobody waits for and forgets what nobody fetched.
+    /// Cancels detached attempts and drops answers that weren't fetched in time.
     pub fn tick(&mut self, timing: &Timing, now: Instant) {
-        self.kept.expire(now);
-        self.brief.expire(now);
-        let mut over = Vec::new();
-        self.held = 0;
-        for (attempt, known) in &mut self.known {
-            self.held += known.answer.held();
-            known.look_at_link(timing.grace, now);
-            let held = match known.keep {
-                Keep::Whole => timing.keep,
-                Keep::UntilPassed => timing.ended,
+        self.recorded.expire(now);
+        self.unacknowledged.expire(now);
+        let mut expired = Vec::new();
+        self.held_bytes = 0;
+        for (attempt, entry) in &mut self.entries {
+            self.held_bytes += entry.answer.held_bytes();
+            entry.check_attachment(timing.detach_grace, now);
+            let retention = match entry.retention {
+                Retention::UntilRecorded => timing.unrecorded_retention,
+                Retention::UntilAcknowledged => timing.answer_retention,
             };
-            if let State::Ended(ended) = known.state
-                && now.saturating_duration_since(ended) >= held
+            if let RunState::Ended(ended) = entry.state
+                && now.saturating_duration_since(ended) >= retention
             {
-                over.push(*attempt);
+                expired.push(*attempt);
             }
         }
-        for attempt in over {
+        for attempt in expired {
             self.forget(attempt, now);
         }
     }
 }
 
-impl Known {
-    fn look_at_link(&mut self, grace: Duration, now: Instant) {
+impl AttemptEntry {
+    fn check_attachment(&mut self, grace: Duration, now: Instant) {
         if self.answer.is_attached() {
-            self.unattached = None;
+            self.detached_since = None;
             return;
         }
-        let since = *self.unattached.get_or_insert(now);
-        let left = now.saturating_duration_since(since) >= grace;
-        if left && self.keep == Keep::UntilPassed {
+        let since = *self.detached_since.get_or_insert(now);
+        let expired = now.saturating_duration_since(since) >= grace;
+        if expired && self.retention == Retention::UntilAcknowledged {
             self.answer.cancel.cancel();
         }
     }
--- a/crates/agent/src/buffer.rs
+++ b/crates/agent/src/buffer.rs
@@ -1,62 +1,63 @@
-//! The bytes of one answer between target and entry.
+//! Buffer of one answer between target and entry.
 
 use std::collections::BTreeMap;
 
 use bytes::{Bytes, BytesMut};
 
-/// Whether bytes that arrived may be dropped.
+/// When the bytes of an answer may be dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Keep {
-    /// They are dropped once they have arrived.
-    UntilPassed,
-    /// All stay until the answer is recorded: another entry may begin anew.
-    Whole,
+pub enum Retention {
+    /// Once the entry has acknowledged them.
+    UntilAcknowledged,
+    /// Once the whole answer is recorded, so that another entry can read it from
+    /// the start.
+    UntilRecorded,
 }
 
-/// An answer's body: what has arrived at the entry goes, the rest stays, so
-/// that a fresh link can continue at any offset that may be asked for.
+/// The body of an answer. Bytes that the entry may still request are kept, so
+/// that a new link can continue at that offset.
 #[derive(Debug)]
 pub struct Buffer {
-    keep: Keep,
+    retention: Retention,
     window: u64,
     max: usize,
-    /// Parts by the offset of their first byte, without gaps.
-    parts: BTreeMap<u64, Bytes>,
-    held: usize,
-    passed: u64,
+    /// Chunks by the offset of their first byte, without gaps.
+    chunks: BTreeMap<u64, Bytes>,
+    held_bytes: usize,
+    acknowledged: u64,
     length: u64,
     crc32c: u32,
 }
 
 impl Buffer {
-    /// An empty buffer that lets `window` bytes beyond the last progress out
-    /// and has room until it holds `max` bytes.
+    /// An empty buffer. At most `window` bytes beyond the acknowledged offset can
+    /// be read, and there is room until `max` bytes are held.
     ///
     /// ```
-    /// use agent::{Buffer, Keep};
+    /// use agent::{Buffer, Retention};
     ///
-    /// let mut buffer = Buffer::new(Keep::UntilPassed, 4, 100);
+    /// let mut buffer = Buffer::new(Retention::UntilAcknowledged, 4, 100);
     /// buffer.push("burl maple".into());
     /// assert_eq!(buffer.read(0, 16).unwrap(), "burl");
     /// assert!(buffer.read(4, 16).is_none());
-    /// buffer.pass(3);
+    /// buffer.acknowledge(3);
     /// assert_eq!(buffer.read(4, 16).unwrap(), " ma");
     /// ```
     #[must_use]
-    pub fn new(keep: Keep, window: usize, max: usize) -> Self {
+    pub fn new(retention: Retention, window: usize, max: usize) -> Self {
         Buffer {
-            keep,
+            retention,
             window: window.max(1) as u64,
             max: max.max(1),
-            parts: BTreeMap::new(),
-            held: 0,
-            passed: 0,
+            chunks: BTreeMap::new(),
+            held_bytes: 0,
+            acknowledged: 0,
             length: 0,
             crc32c: 0,
         }
     }
 
-    /// Takes the next bytes from the target.
+    /// Appends the next bytes from the target.
     pub fn push(&mut self, data: Bytes) {
         if data.is_empty() {
             return;
@@ -64,27 +65,30 @@
         let offset = self.length;
         self.crc32c = crc32c::crc32c_append(self.crc32c, &data);
         self.length += data.len() as u64;
-        self.held += data.len();
-        self.parts.insert(offset, data);
+        self.held_bytes += data.len();
+        self.chunks.insert(offset, data);
     }
 
-    /// Whether more may be taken. A buffer that drops what has passed takes
-    /// more again once the entry has read; the target waits until then.
+    /// Whether there is room for more bytes. If bytes are dropped when they are
+    /// acknowledged, room returns as the entry reads; the target waits until then.
     #[must_use]
     pub fn has_room(&self) -> bool {
-        self.held < self.max
+        self.held_bytes < self.max
     }
 
-    /// The next bytes from an offset, at most `most` and within the window.
+    /// The next bytes from an offset, at most `max` and within the window.
     #[must_use]
-    pub fn read(&self, offset: u64, most: usize) -> Option<Bytes> {
-        let limit = self.passed.saturating_add(self.window).min(self.length);
-        let wanted = limit.checked_sub(offset)?.min(most as u64);
+    pub fn read(&self, offset: u64, max: usize) -> Option<Bytes> {
+        let limit = self
+            .acknowledged
+            .saturating_add(self.window)
+            .min(self.length);
+        let wanted = limit.checked_sub(offset)?.min(max as u64);
         if wanted == 0 || !self.holds(offset) {
             return None;
         }
-        let wanted = usize::try_from(wanted).unwrap_or(most);
-        let (start, first) = self.parts.range(..=offset).next_back()?;
+        let wanted = usize::try_from(wanted).unwrap_or(max);
+        let (start, first) = self.chunks.range(..=offset).next_back()?;
         let skip = usize::try_from(offset - start).ok()?;
         let first = first.slice(skip..);
         if first.len() >= wanted {
@@ -92,61 +96,62 @@
         }
         let mut bytes = BytesMut::with_capacity(wanted);
         bytes.extend_from_slice(&first);
-        for (_, part) in self.parts.range(offset + 1..) {
+        for (_, chunk) in self.chunks.range(offset + 1..) {
             let left = wanted - bytes.len();
             if left == 0 {
                 break;
             }
-            bytes.extend_from_slice(&part[..part.len().min(left)]);
+            bytes.extend_from_slice(&chunk[..chunk.len().min(left)]);
         }
         Some(bytes.freeze())
     }
 
-    /// Whether an answer can continue at an offset.
+    /// Whether the answer can be sent from an offset on.
     #[must_use]
     pub fn holds(&self, offset: u64) -> bool {
-        let first = self.parts.keys().next().copied().unwrap_or(self.length);
+        let first = self.chunks.keys().next().copied().unwrap_or(self.length);
         (first..=self.length).contains(&offset)
     }
 
-    /// Notes that all bytes before an offset have arrived at the entry.
-    pub fn pass(&mut self, offset: u64) {
-        self.passed = self.passed.max(offset.min(self.length));
-        if self.keep == Keep::Whole {
+    /// Acknowledges that all bytes before an offset have arrived at the entry.
+    pub fn acknowledge(&mut self, offset: u64) {
+        self.acknowledged = self.acknowledged.max(offset.min(self.length));
+        if self.retention == Retention::UntilRecorded {
             return;
         }
-        while let Some(first) = self.parts.first_entry() {
-            if first.key() + first.get().len() as u64 > self.passed {
+        while let Some(first) = self.chunks.first_entry() {
+            if first.key() + first.get().len() as u64 > self.acknowledged {
                 break;
             }
-            self.held -= first.remove().len();
+            self.held_bytes -= first.remove().len();
         }
     }
 
-    /// Continues at an offset, before which all has arrived at whoever asks.
-    /// An answer that is kept whole may begin anew, for another entry.
+    /// Continues at an offset for a newly attached link; the bytes before it count
+    /// as acknowledged. An answer that is kept until it is recorded may go back to
+    /// an earlier offset, for another entry.
     pub fn attach(&mut self, offset: u64) {
-        match self.keep {
-            Keep::Whole => self.passed = offset.min(self.length),
-            Keep::UntilPassed => self.pass(offset),
+        match self.retention {
+            Retention::UntilRecorded => self.acknowledged = offset.min(self.length),
+            Retention::UntilAcknowledged => self.acknowledge(offset),
         }
     }
 
-    /// Bytes of the answer so far.
+    /// Length of the answer so far, in bytes.
     #[must_use]
     pub fn length(&self) -> u64 {
         self.length
     }
 
-    /// Checksum of the answer so far.
+    /// CRC-32C of the answer so far.
     #[must_use]
     pub fn crc32c(&self) -> u32 {
         self.crc32c
     }
 
-    /// Bytes held.
+    /// Number of bytes held.
     #[must_use]
-    pub fn held(&self) -> usize {
-        self.held
+    pub fn held_bytes(&self) -> usize {
+        self.held_bytes
     }
 }
--- a/crates/agent/src/context.rs
+++ b/crates/agent/src/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of an agent share.
+//! State shared by the tasks of an agent.
 
 use std::time::Instant;
 
@@ -22,10 +22,10 @@
     pub phase: watch::Sender<Phase>,
     pub status: watch::Sender<Status>,
     pub cache: broadcast::Sender<CacheEvents>,
-    /// Ends everything.
+    /// Stops the agent.
     pub stop: CancellationToken,
-    /// Ends the links that are up, but not the agent.
-    pub cut: watch::Sender<CancellationToken>,
+    /// Cancelled and replaced to close all open links while the agent goes on.
+    pub link_cancel: watch::Sender<CancellationToken>,
 }
 
 impl Context {
@@ -33,15 +33,15 @@
         if self.follower.leased(now) {
             Lease::Live
         } else {
-            Lease::Over
+            Lease::Expired
         }
     }
 
-    /// Notes which instance of the target answers, or that it isn't known.
-    pub fn know_instance(&self, instance: String) {
+    /// Sets the instance of the target that answers; empty if unknown.
+    pub fn set_instance(&self, instance: String) {
         self.status.send_if_modified(|status| {
             status.instance = instance;
-            // Entries aren't told.
+            // Not a change that is reported to entries.
             false
         });
     }
@@ -50,7 +50,8 @@
         self.status.borrow().health
     }
 
-    /// Whether the agent is leaving by itself or was drained by an operator.
+    /// Whether the agent is serving, or leaving because of a shutdown or a drain
+    /// by an operator.
     pub fn phase(&self) -> Phase {
         let own = *self.phase.borrow();
         if own == Phase::Leaving {
@@ -68,31 +69,31 @@
         }
     }
 
-    /// Whether the note in force offers this target for what an attempt asks.
-    pub fn offered(&self, catalogue: &Catalogue, wanted: &Wanted<'_>) -> Offered {
+    /// Whether the release note in force offers this target for the requested work.
+    pub fn offered(&self, catalogue: &Catalogue, requested: &RequestedWork<'_>) -> Offered {
         let Some(target) = catalogue.target(&self.cfg.name) else {
             return Offered::No;
         };
-        let serves = self.cfg.serves.as_str();
+        let group_or_service = self.cfg.group_or_service.as_str();
         let offered = match self.cfg.kind {
             TargetKind::Engine => {
-                let group = catalogue.group(serves);
-                target.group() == Some(serves)
-                    && wanted.group == serves
-                    && group.is_some_and(|group| group.model == wanted.model)
+                let group = catalogue.group(group_or_service);
+                target.group() == Some(group_or_service)
+                    && requested.group == group_or_service
+                    && group.is_some_and(|group| group.model == requested.model)
             }
             TargetKind::Service => {
-                target.service() == Some(serves)
-                    && wanted.service == serves
-                    && catalogue.service(serves).is_some()
+                target.service() == Some(group_or_service)
+                    && requested.service == group_or_service
+                    && catalogue.service(group_or_service).is_some()
             }
         };
         if offered { Offered::Yes } else { Offered::No }
     }
 }
 
-/// What an attempt asks for.
-pub(crate) struct Wanted<'a> {
+/// The work that an attempt requests.
+pub(crate) struct RequestedWork<'a> {
     pub group: &'a str,
     pub service: &'a str,
     pub model: &'a str,
--- a/crates/agent/src/crash.rs
+++ b/crates/agent/src/crash.rs
@@ -1,4 +1,4 @@
-//! Whether the target crashed.
+//! Detects and reports crashes of the target.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,92 +10,91 @@
 use wire::proto::{Crashed, Quarantine, command, outcome};
 
 use crate::Suspicion;
+use crate::attempt_manager::{AttemptMsg, State};
 use crate::context::Context;
-use crate::desk::{DeskMsg, State};
 use crate::engine::{Failure, TargetKind};
 
-/// Looks at the target before it is taken not to have crashed.
-const LOOKS: u32 = 10;
+/// Probes of the target before the check gives up.
+const MAX_PROBES: u32 = 10;
 
-/// Between two looks.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Delay between two probes.
+const PROBE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long a crash is reported for, until control has it.
-const REPORT: Duration = Duration::from_mins(1);
+/// How long the agent tries to report a crash to control.
+const REPORT_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// How long attempts that a crash ended wait for control to have the report.
-const REPORT_FIRST: Duration = Duration::from_secs(2);
+/// How long crashed attempts are held open for control to record the report.
+const REPORT_WAIT: Duration = Duration::from_secs(2);
 
-/// How long the agent itself takes requests for suspect after a crash: until
-/// the quarantine that control gives out has them.
-const OWN_SUSPECTS: Duration = Duration::from_secs(30);
+/// How long the agent itself treats requests as suspect after a crash, until
+/// control's quarantine contains them.
+const LOCAL_SUSPECT_TTL: Duration = Duration::from_secs(30);
 
-/// Own suspects at most.
-const MAX_OWN_SUSPECTS: usize = 4096;
+const MAX_LOCAL_SUSPECTS: usize = 4096;
 
-/// What is known of the latest crash.
+/// State of the crash check, and requests that ran during recent crashes.
 #[derive(Default)]
-pub(crate) struct Incident {
-    /// Since when it is being found out whether the target crashed.
-    looking: Option<Instant>,
+pub(crate) struct CrashTracker {
+    /// Start of the crash check that is under way.
+    checking_since: Option<Instant>,
     suspects: BTreeMap<Bytes, Instant>,
 }
 
-/// Whether the target crashed.
+/// Result of probing the target after a connection broke.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
-    /// It takes no connections.
+pub(crate) enum ProbeResult {
+    /// It accepts no connections.
     Gone,
-    /// It answers, or another instance in its place does; empty where targets
-    /// don't tell.
+    /// The instance that answers, which may have replaced the previous one;
+    /// empty for targets that don't report an instance.
     Answers(String),
-    /// It says nothing, so nothing is known.
+    /// It accepts connections and doesn't answer, so nothing is known.
     Silent,
 }
 
-impl Incident {
-    /// Begins to find out whether the target crashed, unless that is under way.
-    pub fn look(state: &mut State, now: Instant) {
-        if state.incident.looking.is_some() {
+impl CrashTracker {
+    /// Starts a crash check unless one is under way.
+    pub fn start_check(state: &mut State, now: Instant) {
+        if state.crash_tracker.checking_since.is_some() {
             return;
         }
-        state.incident.looking = Some(now);
+        state.crash_tracker.checking_since = Some(now);
         let cx = Arc::clone(&state.cx);
-        let desk = state.myself.clone();
+        let manager = state.myself.clone();
         tokio::spawn(async move {
-            let verdict = examine(&cx).await;
-            let _ = desk.send_message(DeskMsg::Examined(verdict));
+            let result = probe(&cx).await;
+            let _ = manager.send_message(AttemptMsg::CrashChecked(result));
         });
     }
 
-    /// Ends the attempts whose connection broke, and reports a crash with all
-    /// requests that the target may have been running.
-    pub fn conclude(state: &mut State, verdict: Verdict, now: Instant) {
-        let since = state.incident.looking.take().unwrap_or(now);
+    /// Ends the attempts whose connection broke. If the target crashed, reports
+    /// all requests that it may have been running.
+    pub fn conclude(state: &mut State, result: ProbeResult, now: Instant) {
+        let since = state.crash_tracker.checking_since.take().unwrap_or(now);
         let attempts = &mut state.attempts;
-        let crashed = match verdict {
-            Verdict::Gone => {
-                state.cx.know_instance(String::new());
-                attempts.pick_crashed(|known| known.started <= since)
+        let crashed = match result {
+            ProbeResult::Gone => {
+                state.cx.set_instance(String::new());
+                attempts.mark_crashed(|entry| entry.started <= since)
             }
-            Verdict::Answers(instance) if !instance.is_empty() => {
-                // What started while it wasn't known which one answers may run on
-                // this one: then it isn't said to have crashed.
+            ProbeResult::Answers(instance) if !instance.is_empty() => {
+                // An attempt that started while the instance was unknown may run
+                // on this one and doesn't count as crashed.
                 let crashed = attempts
-                    .pick_crashed(|known| !known.instance.is_empty() && known.instance != instance);
-                state.cx.know_instance(instance);
+                    .mark_crashed(|entry| !entry.instance.is_empty() && entry.instance != instance);
+                state.cx.set_instance(instance);
                 crashed
             }
-            Verdict::Answers(_) | Verdict::Silent => Vec::new(),
+            ProbeResult::Answers(_) | ProbeResult::Silent => Vec::new(),
         };
-        // What else broke merely lost its connection.
+        // All other broken attempts merely lost their connection.
         state.end_broken(now);
         if !crashed.is_empty() {
-            record(state, crashed, now);
+            report_crash(state, crashed, now);
         }
     }
 
-    /// What is known of a request with this fingerprint.
+    /// Whether a request with this fingerprint is suspect or convicted.
     pub fn suspicion(
         &self,
         fingerprint: &Bytes,
@@ -105,37 +104,37 @@
         if fingerprint.is_empty() {
             return Suspicion::None;
         }
-        let own = self.suspects.get(fingerprint);
-        let own = own.is_some_and(|at| now.saturating_duration_since(*at) < OWN_SUSPECTS);
+        let local = self.suspects.get(fingerprint);
+        let local = local.is_some_and(|at| now.saturating_duration_since(*at) < LOCAL_SUSPECT_TTL);
         if quarantine.convicted.contains(fingerprint) {
             Suspicion::Convicted
-        } else if own || quarantine.suspects.contains(fingerprint) {
+        } else if local || quarantine.suspects.contains(fingerprint) {
             Suspicion::Suspect
         } else {
             Suspicion::None
         }
     }
 
-    /// A caller that sends its request again at once reaches this target
-    /// before the quarantine does; then the agent's own memory counts.
+    /// Remembers local suspects: a caller that repeats its request at once reaches
+    /// this target before control's quarantine does.
     fn remember(&mut self, fingerprints: &[Bytes], now: Instant) {
         self.suspects
-            .retain(|_, at| now.saturating_duration_since(*at) < OWN_SUSPECTS);
+            .retain(|_, at| now.saturating_duration_since(*at) < LOCAL_SUSPECT_TTL);
         for fingerprint in fingerprints {
-            if self.suspects.len() < MAX_OWN_SUSPECTS {
+            if self.suspects.len() < MAX_LOCAL_SUSPECTS {
                 self.suspects.insert(fingerprint.clone(), now);
             }
         }
     }
 }
 
-/// Counts a crash and reports it with the fingerprints of what ran.
+/// Counts a crash and reports the fingerprints of the requests that ran.
 ///
-/// The attempts end only once control has the report, or didn't answer for
-/// [`REPORT_FIRST`]: whoever hears of the crash sends its request elsewhere, and
-/// would crash a third target if the quarantine didn't have it yet.
-fn record(state: &mut State, crashed: Vec<(Attempt, Bytes)>, now: Instant) {
-    log::warn!("the target crashed while {} attempts ran", crashed.len());
+/// The attempts end only once control has recorded the report, or after
+/// [`REPORT_WAIT`]: a client that learns of the crash retries on another target,
+/// and would crash more targets if the quarantine didn't contain its request.
+fn report_crash(state: &mut State, crashed: Vec<(Attempt, Bytes)>, now: Instant) {
+    log::warn!("target crashed while running {} attempts", crashed.len());
     state.cx.metrics.crashed(crashed.len());
     let (attempts, fingerprints): (Vec<Attempt>, BTreeSet<Bytes>) = crashed.into_iter().unzip();
     let mut fingerprints: Vec<Bytes> = fingerprints.into_iter().collect();
@@ -144,35 +143,35 @@
         state.attempts.end_crashed(&attempts, now);
         return;
     }
-    state.incident.remember(&fingerprints, now);
+    state.crash_tracker.remember(&fingerprints, now);
     let report = tokio::spawn(report(Arc::clone(&state.cx), fingerprints));
-    let desk = state.myself.clone();
+    let manager = state.myself.clone();
     tokio::spawn(async move {
-        // A report that takes longer goes on.
-        let _ = timeout(REPORT_FIRST, report).await;
-        let _ = desk.send_message(DeskMsg::Reported(attempts));
+        // The report continues in the background after the timeout.
+        let _ = timeout(REPORT_WAIT, report).await;
+        let _ = manager.send_message(AttemptMsg::CrashReported(attempts));
     });
 }
 
-/// A target that refuses connections has crashed, and so has one that breaks
-/// each of them without an answer, as a forwarder with nothing behind it does;
-/// one that answers, but as another instance, was started again since.
-async fn examine(cx: &Context) -> Verdict {
-    let mut verdict = Verdict::Gone;
-    for _ in 0..LOOKS {
-        match look(cx).await {
-            Ok(instance) => return Verdict::Answers(instance),
-            Err(Failure::NotRun(_)) => return Verdict::Gone,
-            Err(Failure::Silent(_)) => verdict = Verdict::Silent,
+/// Probes the target. It counts as gone if it refuses connections, or if it closes
+/// each one without an answer, as a TCP proxy without a running target does. One
+/// that answers as another instance has been restarted.
+async fn probe(cx: &Context) -> ProbeResult {
+    let mut result = ProbeResult::Gone;
+    for _ in 0..MAX_PROBES {
+        match probe_once(cx).await {
+            Ok(instance) => return ProbeResult::Answers(instance),
+            Err(Failure::NotRun(_)) => return ProbeResult::Gone,
+            Err(Failure::Silent(_)) => result = ProbeResult::Silent,
             Err(Failure::Broken(_) | Failure::EndedEarly(_)) => {}
         }
-        sleep(PAUSE).await;
+        sleep(PROBE_INTERVAL).await;
     }
-    verdict
+    result
 }
 
-/// The instance that answers; empty where targets don't tell.
-async fn look(cx: &Context) -> Result<String, Failure> {
+/// The instance that answers; empty for targets that don't report one.
+async fn probe_once(cx: &Context) -> Result<String, Failure> {
     match cx.target_client.kind() {
         TargetKind::Engine => Ok(cx.target_client.profile().await?.instance),
         TargetKind::Service => {
@@ -183,20 +182,20 @@
 }
 
 async fn report(cx: Arc<Context>, fingerprints: Vec<Bytes>) {
-    // Names this crash: the agent outlives several of them, and each counts.
+    // A random id of this crash, since one agent may report several.
     let crash = rand::random();
     let crashed = command::Body::Crashed(Crashed {
         target: cx.cfg.name.clone(),
         incarnation: crash,
         fingerprints,
     });
-    let outcome = cx.follower.propose(crashed, REPORT).await;
+    let outcome = cx.follower.propose(crashed, REPORT_TIMEOUT).await;
     match outcome.body {
-        Some(outcome::Body::Crashed(stands)) => log::info!(
+        Some(outcome::Body::Crashed(recorded)) => log::info!(
             "crash recorded: {} requests suspect, {} convicted",
-            stands.suspects.len(),
-            stands.convicted.len()
+            recorded.suspects.len(),
+            recorded.convicted.len()
         ),
-        _ => log::error!("the crash could not be recorded"),
+        _ => log::error!("failed to report a crash to control"),
     }
 }
--- a/crates/agent/src/ending.rs
+++ b/crates/agent/src/ending.rs
@@ -7,16 +7,16 @@
 /// How an attempt ended, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ending {
-    /// How.
+    /// How it ended.
     pub end: End,
-    /// Why, for logs and callers.
+    /// Why it ended, for logs and callers.
     pub reason: String,
-    /// Tokens that it took, as far as the target told.
+    /// Token counts, if the target reported them.
     pub usage: Option<Usage>,
 }
 
 impl Ending {
-    /// An ending with its reason.
+    /// An ending with a reason and no token counts.
     ///
     /// ```
     /// let ending = agent::Ending::new(wire::proto::End::Deadline, "out of time");
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The name under which metrics and logs count it.
+    /// Name of the ending in metrics and logs.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self.end {
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,10 +1,10 @@
-//! The process beside each target: gate, buffers, orders.
+//! The agent process that runs next to each target.
 //!
-//! An agent is the only way to its target. It announces the target, decides
-//! on each attempt ([`Gate`]), runs it through [`engine::Outlet`], holds the
-//! answer until it has arrived ([`Buffer`]), remembers what must never start
-//! ([`Tombstones`]), and reports load and health. A binary binds the sockets
-//! and starts it:
+//! All requests to a target go through its agent. The agent announces the
+//! target, admits or refuses each attempt ([`AdmissionState`]), runs it through
+//! [`engine::TargetClient`], buffers the answer until it has arrived ([`Buffer`]),
+//! remembers attempts that must never start ([`Tombstones`]), and reports load and
+//! health. A binary binds the sockets and starts it:
 //!
 //! ```no_run
 //! # async fn run(json: &[u8]) -> eyre::Result<()> {
@@ -17,17 +17,17 @@
 //! # }
 //! ```
 
+mod admission;
 mod agent;
 mod answer;
+mod attempt_manager;
 mod attempts;
 mod buffer;
 pub mod command;
 mod context;
 mod crash;
-mod desk;
 mod ending;
 pub mod engine;
-mod gate;
 mod limits;
 mod links;
 mod listeners;
@@ -41,15 +41,17 @@
 mod run;
 mod sender;
 mod settings;
+mod start_handler;
 mod status;
-mod take;
 mod timing;
 mod tombstones;
 
+pub use crate::admission::{
+    AdmissionState, Health, IncomingAttempt, Lease, Offered, Phase, Suspicion,
+};
 pub use crate::agent::Agent;
-pub use crate::buffer::{Buffer, Keep};
+pub use crate::buffer::{Buffer, Retention};
 pub use crate::ending::Ending;
-pub use crate::gate::{Arrival, Gate, Health, Lease, Offered, Phase, Suspicion};
 pub use crate::limits::Limits;
 pub use crate::listeners::Listeners;
 pub use crate::map::{MapSettings, StartMap};
--- a/crates/agent/src/links.rs
+++ b/crates/agent/src/links.rs
@@ -1,4 +1,4 @@
-//! Links that others dial.
+//! Accepts and serves links from other nodes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,60 +12,63 @@
 use wire::proto::{Attach, Bar, BarReply, Cancel, Start};
 use wire::{ClusterKey, Identity, Incoming, Link, LinkSettings, Role};
 
+use crate::attempt_manager::{AttemptMsg, Origin};
 use crate::context::Context;
-use crate::desk::{DeskMsg, Origin};
 use crate::map::Maps;
 use crate::reporter::report;
 use crate::sender::send_answer;
-use crate::take::Sending;
+use crate::start_handler::PendingSend;
 
-/// Before the next connection is accepted after that failed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Starts and attachments that wait for the desk's reply at most.
-pub(crate) const MAX_ASKED: usize = 1024;
+/// Maximum number of start and attach messages that await the manager's reply.
+pub(crate) const MAX_PENDING: usize = 1024;
 
-/// What accepting a link needs.
-pub(crate) struct Links {
+/// Accepts links from entries and other agents.
+pub(crate) struct LinkServer {
     pub cx: Arc<Context>,
-    pub desk: ActorRef<DeskMsg>,
+    pub manager: ActorRef<AttemptMsg>,
     pub maps: Maps,
     pub me: Identity,
     pub key: ClusterKey,
     pub cfg: LinkSettings,
-    /// Places for starts and attachments that wait for the desk.
-    pub asked: Arc<Semaphore>,
+    /// Bounds the start and attach messages that await the manager's reply.
+    pub pending: Arc<Semaphore>,
 }
 
-impl Links {
-    /// Accepts links until the agent ends.
+impl LinkServer {
+    /// Accepts links until the agent stops.
     pub async fn accept(self: Arc<Self>, listener: TcpListener) {
-        let places = Arc::new(Semaphore::new(self.cx.cfg.limits.links));
+        let permits = Arc::new(Semaphore::new(self.cx.cfg.limits.links));
         let stop = self.cx.stop.clone();
         while let Some(accepted) = stop.run_until_cancelled(listener.accept()).await {
             let stream = match accepted {
                 Ok((stream, _)) => stream,
                 Err(e) => {
-                    log::warn!("can't accept a link: {e}");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    log::warn!("failed to accept a link: {e}");
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
-            let Ok(place) = Arc::clone(&places).try_acquire_owned() else {
-                log::warn!("turned away a link: too many");
+            let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
+                log::warn!(
+                    "refused a link: limit of {} links reached",
+                    self.cx.cfg.limits.links
+                );
                 self.cx.metrics.link_refused();
                 continue;
             };
             let links = Arc::clone(&self);
             tokio::spawn(async move {
                 links.serve(stream).await;
-                drop(place);
+                drop(permit);
             });
         }
     }
 
     async fn serve(&self, stream: TcpStream) {
-        let cut = self.cx.cut.borrow().clone();
+        let cancel = self.cx.link_cancel.borrow().clone();
         let (link, rx) = match wire::accept(stream, &self.me, &self.key, &self.cfg).await {
             Ok(accepted) => accepted,
             Err(e) => {
@@ -76,8 +79,8 @@
         };
         self.cx.metrics.links.inc();
         match link.peer().role {
-            Role::Entry => self.serve_entry(&link, rx, &cut).await,
-            Role::Agent => self.serve_agent(rx, &cut).await,
+            Role::Entry => self.serve_entry(&link, rx, &cancel).await,
+            Role::Agent => self.serve_agent(rx, &cancel).await,
             Role::Control | Role::Unspecified => {}
         }
         link.close();
@@ -88,17 +91,17 @@
         &self,
         link: &Link,
         mut rx: mpsc::Receiver<Incoming>,
-        cut: &CancellationToken,
+        cancel: &CancellationToken,
     ) {
         let reporter = tokio::spawn(report(Arc::clone(&self.cx), link.clone()));
-        while let Some(Some(incoming)) = cut.run_until_cancelled(rx.recv()).await {
-            self.take(incoming, cut).await;
+        while let Some(Some(incoming)) = cancel.run_until_cancelled(rx.recv()).await {
+            self.handle(incoming, cancel).await;
         }
         reporter.abort();
     }
 
-    async fn serve_agent(&self, mut rx: mpsc::Receiver<Incoming>, cut: &CancellationToken) {
-        while let Some(Some(incoming)) = cut.run_until_cancelled(rx.recv()).await {
+    async fn serve_agent(&self, mut rx: mpsc::Receiver<Incoming>, cancel: &CancellationToken) {
+        while let Some(Some(incoming)) = cancel.run_until_cancelled(rx.recv()).await {
             if is_relayed(&incoming.body) {
                 self.cx.follower.relay(incoming);
             } else {
@@ -107,78 +110,78 @@
         }
     }
 
-    /// Messages that an entry has no business sending are passed over. A
-    /// reply that can't be sent means that the link is down, which the
-    /// reading side notices.
-    async fn take(&self, incoming: Incoming, cut: &CancellationToken) {
+    /// Handles a message from an entry; unexpected messages are ignored. Send
+    /// errors are ignored too: they mean that the link is down, which the
+    /// receiving side notices.
+    async fn handle(&self, incoming: Incoming, cancel: &CancellationToken) {
         if is_relayed(&incoming.body) {
             self.cx.follower.relay(incoming);
             return;
         }
         let Incoming { call, body, link } = incoming;
         match body {
-            Body::Start(start) => self.start(call, start, link, cut).await,
+            Body::Start(start) => self.start(call, start, link, cancel).await,
             Body::Attach(attach) => self.attach(call, attach, link).await,
             Body::Bar(bar) => self.bar(call, bar, &link).await,
             Body::Cancel(Cancel { attempt }) => {
                 if let Some(attempt) = Attempt::from_slice(&attempt) {
-                    let _ = self.desk.send_message(DeskMsg::Cancel(attempt));
+                    let _ = self.manager.send_message(AttemptMsg::Cancel(attempt));
                 }
             }
             Body::Progress(progress) => {
-                let _ = self.desk.send_message(DeskMsg::Progress(progress));
+                let _ = self.manager.send_message(AttemptMsg::Progress(progress));
             }
-            _ => log::debug!("passed over a message of {}", link.peer().name),
+            _ => log::debug!("ignored an unexpected message from {}", link.peer().name),
         }
     }
 
-    /// Hands a start to the desk; a task of its own passes the desk's word on,
-    /// and then the answer. Waiting here for the desk would let the link carry
-    /// no more starts than there are wake-ups of two tasks in turn.
-    async fn start(&self, call: u64, start: Start, link: Link, cut: &CancellationToken) {
-        let Some(place) = self.place(&link).await else {
+    /// Hands a start to the manager; a separate task sends the manager's reply and
+    /// then the answer. Waiting for the manager here would limit the link's start
+    /// rate to the alternating wake-ups of two tasks.
+    async fn start(&self, call: u64, start: Start, link: Link, cancel: &CancellationToken) {
+        let Some(permit) = self.acquire_permit(&link).await else {
             return;
         };
-        let from = Origin {
+        let origin = Origin {
             link: link.clone(),
-            cut: cut.clone(),
+            link_cancel: cancel.clone(),
         };
-        let (reply, taken) = oneshot::channel();
-        let msg = DeskMsg::Start(Box::new(start), from, reply.into());
-        if self.desk.send_message(msg).is_err() {
+        let (reply, outcome) = oneshot::channel();
+        let msg = AttemptMsg::Start(Box::new(start), origin, reply.into());
+        if self.manager.send_message(msg).is_err() {
             return;
         }
         tokio::spawn(async move {
-            let Ok(taken) = taken.await else { return };
-            let _ = link.reply(call, Body::StartReply(taken.reply)).await;
-            drop(place);
-            send(taken.sending, link).await;
+            let Ok(outcome) = outcome.await else { return };
+            let _ = link.reply(call, Body::StartReply(outcome.reply)).await;
+            drop(permit);
+            send_pending(outcome.sending, link).await;
         });
     }
 
     async fn attach(&self, call: u64, attach: Attach, link: Link) {
-        let Some(place) = self.place(&link).await else {
+        let Some(permit) = self.acquire_permit(&link).await else {
             return;
         };
-        let (reply, attached) = oneshot::channel();
-        let msg = DeskMsg::Attach(attach, link.clone(), reply.into());
-        if self.desk.send_message(msg).is_err() {
+        let (reply, outcome) = oneshot::channel();
+        let msg = AttemptMsg::Attach(attach, link.clone(), reply.into());
+        if self.manager.send_message(msg).is_err() {
             return;
         }
         tokio::spawn(async move {
-            let Ok(attached) = attached.await else { return };
-            let _ = link.reply(call, Body::AttachReply(attached.reply)).await;
-            drop(place);
-            send(attached.sending, link).await;
+            let Ok(outcome) = outcome.await else { return };
+            let _ = link.reply(call, Body::AttachReply(outcome.reply)).await;
+            drop(permit);
+            send_pending(outcome.sending, link).await;
         });
     }
 
-    /// A place among the messages that the desk has not replied to. Without a
-    /// bound a flood of starts would pile up before the desk.
-    async fn place(&self, link: &Link) -> Option<OwnedSemaphorePermit> {
-        let asked = Arc::clone(&self.asked);
+    /// Waits for a permit to send the manager another message. Without this bound
+    /// a flood of starts would fill the manager's mailbox.
+    async fn acquire_permit(&self, link: &Link) -> Option<OwnedSemaphorePermit> {
+        let pending = Arc::clone(&self.pending);
         tokio::select! {
-            place = asked.acquire_owned() => place.ok(),
+            permit = pending.acquire_owned() => permit.ok(),
             () = link.closed() => None,
         }
     }
@@ -187,7 +190,7 @@
         let Some(attempt) = Attempt::from_slice(&bar.attempt) else {
             return;
         };
-        let Ok(state) = call!(self.desk, |reply| DeskMsg::Bar(attempt, reply)) else {
+        let Ok(state) = call!(self.manager, |reply| AttemptMsg::Bar(attempt, reply)) else {
             return;
         };
         let reply = BarReply {
@@ -199,18 +202,18 @@
     }
 }
 
-/// Whether another node wants it passed on to control.
+/// Whether a message is relayed to control on behalf of another node.
 pub(crate) fn is_relayed(body: &Body) -> bool {
     matches!(body, Body::Renew(_) | Body::FetchNotes(_))
 }
 
-async fn send(sending: Option<Sending>, link: Link) {
-    if let Some(sending) = sending {
-        let Sending {
+async fn send_pending(pending: Option<PendingSend>, link: Link) {
+    if let Some(pending) = pending {
+        let PendingSend {
             answer,
             cursor,
             replaced,
-        } = sending;
+        } = pending;
         send_answer(answer, link, cursor, replaced).await;
     }
 }
--- a/crates/agent/src/listeners.rs
+++ b/crates/agent/src/listeners.rs
@@ -1,11 +1,11 @@
-//! The sockets of an agent.
+//! Listening sockets of an agent.
 
 use tokio::net::TcpListener;
 
-/// The sockets that an agent listens on, bound by whoever starts it.
+/// Listening sockets of an agent, bound by the process that starts it.
 #[derive(Debug)]
 pub struct Listeners {
-    /// For links of entries and of other agents.
+    /// For links from entries and other agents.
     pub links: TcpListener,
     /// For health, readiness and metrics.
     pub http: TcpListener,
--- a/crates/agent/src/metrics.rs
+++ b/crates/agent/src/metrics.rs
@@ -11,10 +11,10 @@
 
 use crate::{Ending, Refusal};
 
-/// Counts of what an agent took, refused and ended.
+/// Metrics of attempts, answers, links and the target.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Metrics {
-    taken: Counter,
+    accepted: Counter,
     refused: Family<Refused, Counter>,
     ended: Family<Ended, Counter>,
     crashes: Counter,
@@ -25,7 +25,7 @@
     pub remembered: Gauge,
     pub links: Gauge,
     pub healthy: Gauge,
-    sent_bytes: Counter<u64, AtomicU64>,
+    answer_bytes: Counter<u64, AtomicU64>,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
@@ -43,7 +43,7 @@
         let mut counter = |name: &str, help: &str, counter: &Counter| {
             registry.register(name, help, counter.clone());
         };
-        counter("agent_attempts_taken", "Attempts taken", &self.taken);
+        counter("agent_attempts_taken", "Attempts taken", &self.accepted);
         counter("agent_crashes", "Crashes of the target", &self.crashes);
         counter(
             "agent_links_refused",
@@ -68,7 +68,7 @@
         registry.register(
             "agent_answer_bytes",
             "Bytes of answers that came from the target",
-            self.sent_bytes.clone(),
+            self.answer_bytes.clone(),
         );
         let mut gauge = |name: &str, help: &str, gauge: &Gauge| {
             registry.register(name, help, gauge.clone());
@@ -92,8 +92,8 @@
         );
     }
 
-    pub fn taken(&self) {
-        self.taken.inc();
+    pub fn attempt_accepted(&self) {
+        self.accepted.inc();
     }
 
     pub fn refused(&self, refusal: Refusal) {
@@ -106,7 +106,7 @@
         self.ended.get_or_create(&Ended { end }).inc();
     }
 
-    /// Counts a crash and the attempts that ended with it.
+    /// Counts a crash and the attempts that it ended.
     pub fn crashed(&self, attempts: usize) {
         self.crashes.inc();
         let end = Ending::new(End::Crashed, "").name().to_owned();
@@ -123,6 +123,6 @@
     }
 
     pub fn received(&self, bytes: usize) {
-        self.sent_bytes.inc_by(bytes as u64);
+        self.answer_bytes.inc_by(bytes as u64);
     }
 }
--- a/crates/agent/src/monitor.rs
+++ b/crates/agent/src/monitor.rs
@@ -1,4 +1,4 @@
-//! The actor that watches the target.
+//! The actor that polls the target.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -11,120 +11,121 @@
 use crate::context::Context;
 use crate::engine::{Failure, Load, Profile, TargetKind};
 
-/// Looks in a row that a target may leave unanswered.
-const MISSES: u32 = 2;
+/// Consecutive failed polls after which the target counts as down.
+const MAX_MISSES: u32 = 2;
 
-/// Looks at the load between two at what the target is.
-const PROFILE_LOOKS: u32 = 10;
+/// Load polls between two queries of the profile.
+const POLLS_PER_PROFILE: u32 = 10;
 
-/// Asks the target for load, cache changes and what it can do.
+/// Polls the target for load, cache changes and its profile.
 pub(crate) struct Monitor;
 
-/// Look at the target now.
-pub(crate) struct Look;
+/// Poll the target now.
+pub(crate) struct Poll;
 
-/// What the monitor keeps.
-pub(crate) struct Watch {
+/// State of [`Monitor`].
+pub(crate) struct MonitorState {
     cx: Arc<Context>,
     misses: u32,
     profile: Option<Profile>,
-    /// Looks since the profile was asked for.
+    /// Polls since the profile was last read.
     profile_age: u32,
     cache_sequence: u64,
-    clock: JoinHandle<()>,
+    ticker: JoinHandle<()>,
 }
 
 impl Actor for Monitor {
-    type Msg = Look;
-    type State = Watch;
+    type Msg = Poll;
+    type State = MonitorState;
     type Arguments = Arc<Context>;
 
     async fn pre_start(
         &self,
-        myself: ActorRef<Look>,
+        myself: ActorRef<Poll>,
         cx: Arc<Context>,
-    ) -> Result<Watch, ActorProcessingErr> {
-        Ok(Watch {
+    ) -> Result<MonitorState, ActorProcessingErr> {
+        Ok(MonitorState {
             misses: 0,
             profile: None,
             profile_age: 0,
             cache_sequence: 0,
-            clock: tokio::spawn(keep_time(myself, Arc::clone(&cx))),
+            ticker: tokio::spawn(send_ticks(myself, Arc::clone(&cx))),
             cx,
         })
     }
 
     async fn handle(
         &self,
-        _myself: ActorRef<Look>,
-        _look: Look,
-        watch: &mut Watch,
+        _myself: ActorRef<Poll>,
+        _poll: Poll,
+        state: &mut MonitorState,
     ) -> Result<(), ActorProcessingErr> {
-        watch.look().await;
+        state.poll().await;
         Ok(())
     }
 
     async fn post_stop(
         &self,
-        _myself: ActorRef<Look>,
-        watch: &mut Watch,
+        _myself: ActorRef<Poll>,
+        state: &mut MonitorState,
     ) -> Result<(), ActorProcessingErr> {
-        watch.clock.abort();
+        state.ticker.abort();
         Ok(())
     }
 }
 
-async fn keep_time(monitor: ActorRef<Look>, cx: Arc<Context>) {
-    let mut ticks = tokio::time::interval(cx.cfg.timing.poll);
-    // A target that is slow to answer must not be asked several times at once.
+async fn send_ticks(monitor: ActorRef<Poll>, cx: Arc<Context>) {
+    let mut ticks = tokio::time::interval(cx.cfg.timing.poll_interval);
+    // Polls of a target that is slow to answer must not pile up.
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        if monitor.send_message(Look).is_err() {
+        if monitor.send_message(Poll).is_err() {
             return;
         }
     }
 }
 
-impl Watch {
-    async fn look(&mut self) {
-        let asked = Instant::now();
-        self.cx.target_client.evict_idle(asked);
-        match self.ask().await {
+impl MonitorState {
+    async fn poll(&mut self) {
+        let started = Instant::now();
+        self.cx.target_client.evict_idle(started);
+        match self.query_load().await {
             Ok(load) => {
                 self.misses = 0;
-                self.publish(load, Health::Up, asked);
-                self.pass_on_cache().await;
+                self.publish(load, Health::Up, started);
+                self.publish_cache_changes().await;
             }
-            Err(failure) => self.miss(&failure, asked),
+            Err(failure) => self.record_miss(&failure, started),
         }
     }
 
-    /// An engine that doesn't say what it is can't be offered either.
-    async fn ask(&mut self) -> Result<Load, Failure> {
+    /// Reads the load, and from time to time the profile. Without a profile an
+    /// engine can't be offered, so a failure to read it fails the poll.
+    async fn query_load(&mut self) -> Result<Load, Failure> {
         let load = self.cx.target_client.load().await?;
-        let unknown = self.cx.status.borrow().instance.is_empty();
-        if unknown || self.profile_age >= PROFILE_LOOKS || self.profile.is_none() {
+        let instance_unknown = self.cx.status.borrow().instance.is_empty();
+        if instance_unknown || self.profile_age >= POLLS_PER_PROFILE || self.profile.is_none() {
             let profile = match self.cx.target_client.kind() {
                 TargetKind::Engine => self.cx.target_client.profile().await?,
                 TargetKind::Service => Profile::default(),
             };
-            self.take_profile(profile);
+            self.update_profile(profile);
         }
         self.profile_age += 1;
         Ok(load)
     }
 
-    /// A target may load another model or adapter, or be another instance that
-    /// was started again between two looks.
-    fn take_profile(&mut self, profile: Profile) {
+    /// Stores a profile and announces it if it changed: a target may have loaded
+    /// another model or adapter, or may have been restarted between two polls.
+    fn update_profile(&mut self, profile: Profile) {
         self.profile_age = 0;
-        self.cx.know_instance(profile.instance.clone());
+        self.cx.set_instance(profile.instance.clone());
         if self.profile.as_ref() == Some(&profile) {
             return;
         }
-        let former = self.profile.as_ref().map(|profile| &profile.instance);
-        if former != Some(&profile.instance) {
+        let previous = self.profile.as_ref().map(|profile| &profile.instance);
+        if previous != Some(&profile.instance) {
             self.cache_sequence = 0;
             self.cx.target_client.clear_pool();
         }
@@ -132,30 +133,30 @@
         self.announce(Health::Up);
     }
 
-    /// A target that refuses connections is down at once; one that is merely
-    /// slow to answer is given another look.
-    fn miss(&mut self, failure: &Failure, asked: Instant) {
+    /// Counts a failed poll. A target that refuses connections is down at once; one
+    /// that is slow to answer is down after [`MAX_MISSES`] failed polls.
+    fn record_miss(&mut self, failure: &Failure, started: Instant) {
         self.misses += 1;
-        // What breaks on a connection to a former instance would be taken for
-        // a crash of the one that follows.
+        // A connection to a previous instance that breaks later would be taken for
+        // a crash of the present one.
         self.cx.target_client.clear_pool();
-        if self.misses < MISSES && !matches!(failure, Failure::NotRun(_)) {
+        if self.misses < MAX_MISSES && !matches!(failure, Failure::NotRun(_)) {
             return;
         }
         if self.cx.health() == Health::Up {
-            log::warn!("the target doesn't answer: {failure}");
+            log::warn!("target is down: {failure}");
         }
-        // Whatever answers next may be another instance.
+        // The next answer may come from another instance.
         self.profile = None;
-        self.publish(Load::default(), Health::Down, asked);
+        self.publish(Load::default(), Health::Down, started);
     }
 
-    fn publish(&mut self, load: Load, health: Health, taken: Instant) {
+    fn publish(&mut self, load: Load, health: Health, measured_at: Instant) {
         let before = self.cx.health();
         self.cx.status.send_if_modified(|status| {
-            let same = status.load == load && status.health == health;
-            status.taken = taken;
-            if same {
+            let unchanged = status.load == load && status.health == health;
+            status.measured_at = measured_at;
+            if unchanged {
                 return false;
             }
             status.sequence += 1;
@@ -173,8 +174,8 @@
         let profile = self.profile.clone().unwrap_or_default();
         let cfg = &self.cx.cfg;
         let (group, service) = match cfg.kind {
-            TargetKind::Engine => (cfg.serves.clone(), String::new()),
-            TargetKind::Service => (String::new(), cfg.serves.clone()),
+            TargetKind::Engine => (cfg.group_or_service.clone(), String::new()),
+            TargetKind::Service => (String::new(), cfg.group_or_service.clone()),
         };
         self.cx.follower.set_announcement(Announcement {
             target: cfg.name.clone(),
@@ -193,22 +194,22 @@
         });
     }
 
-    async fn pass_on_cache(&mut self) {
+    async fn publish_cache_changes(&mut self) {
         if self.cx.target_client.kind() != TargetKind::Engine {
             return;
         }
-        let Ok(change) = self.cx.target_client.cache(self.cache_sequence).await else {
+        let Ok(changes) = self.cx.target_client.cache(self.cache_sequence).await else {
             return;
         };
-        if change.sequence == self.cache_sequence {
+        if changes.sequence == self.cache_sequence {
             return;
         }
-        self.cache_sequence = change.sequence;
-        // Fails only while no entry is attached.
+        self.cache_sequence = changes.sequence;
+        // Fails only while no entry is connected.
         let _ = self.cx.cache.send(CacheEvents {
-            sequence: change.sequence,
-            stored: change.stored,
-            evicted: change.evicted,
+            sequence: changes.sequence,
+            stored: changes.stored,
+            evicted: changes.evicted,
         });
     }
 }
--- a/crates/agent/src/refusal.rs
+++ b/crates/agent/src/refusal.rs
@@ -1,32 +1,33 @@
-//! Why an attempt is not taken.
+//! Why an attempt is refused.
 
 use wire::proto;
 
-/// Why an attempt is not taken; nothing of it ran or ever will.
+/// Why an attempt is refused; no part of it has run or ever will.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Refusal {
-    /// It is meant for another incarnation of this agent.
+    /// It is addressed to another incarnation of this agent.
     Incarnation,
-    /// Entry and agent go by different release notes.
+    /// Different release notes are in force at the entry and the agent.
     Note,
-    /// Neither entry nor agent holds a live lease.
+    /// Neither the entry nor the agent holds a valid lease.
     Lease,
     /// The target is leaving.
     Leaving,
-    /// The note in force doesn't offer the target for this work.
+    /// The release note in force doesn't offer the target for this work.
     NotOffered,
-    /// The target runs as much as it may.
+    /// The agent has reached one of its limits.
     Full,
     /// The attempt was barred before.
     Barred,
     /// The target doesn't answer.
     Unhealthy,
-    /// The request crashes targets, or may and another such one runs here.
+    /// The request is convicted of crashing targets, or it is suspect and another
+    /// suspect request is running.
     Suspect,
 }
 
 impl Refusal {
-    /// The name under which metrics and logs count it.
+    /// Name of the refusal in metrics and logs.
     ///
     /// ```
     /// assert_eq!(agent::Refusal::NotOffered.name(), "not_offered");
--- a/crates/agent/src/reporter.rs
+++ b/crates/agent/src/reporter.rs
@@ -1,4 +1,4 @@
-//! Tells one entry of load, cache and leaving.
+//! Reports load, cache changes and leaving to one entry.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,11 +12,11 @@
 use crate::Phase;
 use crate::context::Context;
 
-/// A report is repeated after this time, though nothing changed.
-const REPEAT: Duration = Duration::from_secs(1);
+/// Interval at which the load is reported even if it hasn't changed.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Sends reports until the link is down. A link that is slow gets the newest
-/// one once it has room, and none in between.
+/// Sends reports until the link is down. A slow link gets only the newest load
+/// report once it has room.
 pub(crate) async fn report(cx: Arc<Context>, link: Link) {
     let mut status = cx.status.subscribe();
     let mut phase = cx.phase.subscribe();
@@ -40,10 +40,11 @@
                 }
                 Body::LoadReport(status.borrow_and_update().report(Instant::now()))
             }
-            () = sleep(REPEAT) => Body::LoadReport(status.borrow().report(Instant::now())),
+            () = sleep(REPORT_INTERVAL) => Body::LoadReport(status.borrow().report(Instant::now())),
             events = cache.recv() => match events {
                 Ok(events) => Body::CacheEvents(events),
-                // The entry sees the gap in the sequence and forgets.
+                // The entry detects the gap in the sequence and resets its view of
+                // the cache.
                 Err(RecvError::Lagged(_)) => continue,
                 Err(RecvError::Closed) => return,
             },
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -5,91 +5,98 @@
 use tokio::time::sleep;
 use wire::proto::End;
 
-use crate::answer::{Answer, Stage};
+use crate::answer::{Answer, WriteState};
 use crate::context::Context;
 use crate::engine::{Call, Failure, TargetClient, TargetKind};
-use crate::{Ending, Keep};
+use crate::{Ending, Retention};
 
-/// How the run of an attempt came to its end.
-pub(crate) enum Stopped {
-    /// As it says.
+/// How the run of an attempt ended.
+pub(crate) enum RunOutcome {
+    /// It ended in this way.
     Ended(Ending),
-    /// The connection broke after the call was written; whether the target
-    /// crashed has still to be found out.
-    Broke(String),
+    /// The connection broke after the request was written; it isn't known yet
+    /// whether the target crashed.
+    ConnectionLost(String),
 }
 
-impl Stopped {
-    /// The name under which logs have it.
+impl RunOutcome {
+    /// Name of the outcome in logs.
     pub fn name(&self) -> &'static str {
         match self {
-            Stopped::Ended(ending) => ending.name(),
-            Stopped::Broke(_) => "broken",
+            RunOutcome::Ended(ending) => ending.name(),
+            RunOutcome::ConnectionLost(_) => "broken",
         }
     }
 }
 
-/// Runs a call and fills its answer, until it ended, is cancelled or `within`
-/// is over.
+/// Runs a call and streams the response into its answer, until the call ends, is
+/// cancelled or times out.
 pub(crate) async fn run(
     cx: &Context,
     call: &Call,
     answer: &Answer,
-    keep: Keep,
-    within: Duration,
-) -> Stopped {
-    let stopped = tokio::select! {
+    retention: Retention,
+    timeout: Duration,
+) -> RunOutcome {
+    let outcome = tokio::select! {
         biased;
         () = answer.cancel.cancelled() => {
-            stop(&cx.target_client, call).await;
+            cancel_call(&cx.target_client, call).await;
             Ending::new(End::Cancelled, "cancelled")
         }
-        () = sleep(within) => {
-            stop(&cx.target_client, call).await;
+        () = sleep(timeout) => {
+            cancel_call(&cx.target_client, call).await;
             Ending::new(End::Deadline, "out of time")
         }
-        ended = fill(cx, call, answer, keep) => match ended {
+        ended = receive(cx, call, answer, retention) => match ended {
             Ok(ending) => ending,
-            Err(Failure::Broken(reason)) => return Stopped::Broke(reason),
+            Err(Failure::Broken(reason)) => return RunOutcome::ConnectionLost(reason),
             Err(failure) => failure.into(),
         },
     };
-    Stopped::Ended(proven(stopped, answer.stage()))
+    RunOutcome::Ended(not_run_if_unwritten(outcome, answer.write_state()))
 }
 
-/// Whatever ended an attempt before a byte was written, it has not run.
-fn proven(ending: Ending, stage: Stage) -> Ending {
-    match stage {
-        Stage::Unwritten => Ending {
+/// An attempt that ended before anything was written has not run, whatever ended
+/// it.
+fn not_run_if_unwritten(ending: Ending, write_state: WriteState) -> Ending {
+    match write_state {
+        WriteState::Unwritten => Ending {
             end: End::NotRun,
             ..ending
         },
-        Stage::Written => ending,
+        WriteState::Written => ending,
     }
 }
 
-async fn fill(cx: &Context, call: &Call, answer: &Answer, keep: Keep) -> Result<Ending, Failure> {
+async fn receive(
+    cx: &Context,
+    call: &Call,
+    answer: &Answer,
+    retention: Retention,
+) -> Result<Ending, Failure> {
     let mut reply = cx.target_client.call(call, || answer.set_written()).await?;
     answer.set_head(reply.status(), reply.headers());
     while let Some(data) = reply.next().await? {
         cx.metrics.received(data.len());
         answer.push(data);
-        if keep == Keep::Whole && !answer.has_room() {
-            // It can't be kept whole, so it couldn't be recorded either.
+        if retention == Retention::UntilRecorded && !answer.has_room() {
+            // The answer can't be kept in full, so it couldn't be recorded.
             return Ok(Ending::new(End::Lost, "the answer is too large to keep"));
         }
-        answer.await_room().await;
+        answer.wait_for_room().await;
     }
     let mut ending = Ending::new(End::Whole, "");
     ending.usage = reply.usage();
     Ok(ending)
 }
 
-/// An engine goes on generating for nobody unless it is told to stop.
-async fn stop(client: &TargetClient, call: &Call) {
+/// Tells an engine to stop a request, because it would go on generating after the
+/// connection is closed. Services need no cancellation.
+async fn cancel_call(client: &TargetClient, call: &Call) {
     if client.kind() == TargetKind::Engine
         && let Err(e) = client.cancel(&call.request).await
     {
-        log::debug!(request = call.request.as_str(); "can't be cancelled: {e}");
+        log::debug!(request = call.request.as_str(); "failed to cancel a request: {e}");
     }
 }
--- a/crates/agent/src/sender.rs
+++ b/crates/agent/src/sender.rs
@@ -1,4 +1,4 @@
-//! Sends one answer on one link.
+//! Sends an answer on a link.
 
 use std::sync::Arc;
 
@@ -7,8 +7,8 @@
 
 use crate::answer::{Answer, Cursor, Next};
 
-/// Sends an answer from `cursor` on until it ended, the link is down or
-/// another link took over.
+/// Sends an answer from `cursor` on, until it has ended, the link is down or
+/// another link has taken over.
 pub(crate) async fn send_answer(
     answer: Arc<Answer>,
     link: Link,
@@ -26,14 +26,15 @@
                 }
             }
             Next::Last(frame) => {
-                // A link that is down is told by `Answer::is_attached`.
+                // A send error is ignored: `Answer::is_attached` detects that the
+                // link is down.
                 let _ = link.send(frame).await;
                 return;
             }
             Next::Wait => tokio::select! {
                 () = replaced.cancelled() => return,
                 () = link.closed() => return,
-                () = answer.await_readable() => {}
+                () = answer.wait_readable() => {}
             },
         }
     }
--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -9,34 +9,34 @@
 use crate::engine::TargetKind;
 use crate::{Limits, MapSettings, Timing};
 
-/// Settings of an agent, checked.
+/// Validated settings of an agent.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Name of the target, which is the agent's too.
+    /// Name of the target and of its agent.
     pub name: String,
     /// Availability zone.
     pub zone: String,
-    /// Where it accepts links.
+    /// Address on which links are accepted.
     pub listen: SocketAddr,
-    /// Where others dial it, if that differs.
+    /// Address that other nodes dial, if it differs from `listen`.
     pub advertise: Option<SocketAddr>,
-    /// Where it serves health and metrics.
+    /// Address of the health and metrics endpoints.
     pub http: SocketAddr,
     /// Link addresses of all control replicas.
     pub controls: Vec<SocketAddr>,
     /// File that holds the cluster key.
     pub cluster_key_file: PathBuf,
-    /// Name of the group or service that the target serves.
-    pub serves: String,
-    /// What kind of target it is.
+    /// Name of the group or service to which the target belongs.
+    pub group_or_service: String,
+    /// Kind of the target.
     pub kind: TargetKind,
-    /// Where the target listens.
-    pub target: SocketAddr,
-    /// Times.
+    /// Address of the target.
+    pub target_address: SocketAddr,
+    /// Intervals, timeouts and retention times.
     pub timing: Timing,
-    /// Bounds.
+    /// Limits.
     pub limits: Limits,
-    /// Expert maps.
+    /// Settings of expert maps.
     pub maps: MapSettings,
     effective: Value,
 }
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     ///
-    /// All findings at once, each with its place.
+    /// All findings at once, each with its location in the document.
     ///
     /// ```
     /// let settings = agent::Settings::from_slice(
@@ -57,7 +57,7 @@
     ///         "group": "blank-advisor", "engine": {"address": "127.0.0.1:8000"}
     ///     }"#,
     /// )?;
-    /// assert_eq!(settings.serves, "blank-advisor");
+    /// assert_eq!(settings.group_or_service, "blank-advisor");
     /// # Ok::<(), cfg::Findings>(())
     /// ```
     pub fn from_slice(json: &[u8]) -> Result<Self, Findings> {
@@ -72,17 +72,17 @@
             r.finding("controls", "must name at least one control replica");
         }
         let key: Option<PathBuf> = r.required("cluster_key_file");
-        let serves = read_serves(&mut r);
+        let target = read_target(&mut r);
         let timing = Timing::read(&mut r.section("timing"));
         let limits = Limits::read(&mut r.section("limits"));
         let maps = MapSettings::read(&mut r.section("maps"));
-        if limits.window > limits.answer {
+        if limits.window_bytes > limits.answer_bytes {
             r.finding("limits", "window_bytes must not exceed answer_bytes");
         }
         let effective = r.effective();
         r.finish()?;
         let settings = || {
-            let (serves, kind, target) = serves?;
+            let (group_or_service, kind, target_address) = target?;
             Some(Settings {
                 name: name?,
                 zone: zone?,
@@ -91,27 +91,27 @@
                 http: http?,
                 controls: controls?,
                 cluster_key_file: key?,
-                serves,
+                group_or_service,
                 kind,
-                target,
+                target_address,
                 timing,
                 limits,
                 maps,
                 effective,
             })
         };
-        // Whatever is missing was a finding, so there is nothing else to tell.
+        // Not reached: every missing setting has been reported as a finding.
         settings().ok_or_else(|| cfg::Finding::new("", "settings are incomplete").into())
     }
 
-    /// What is in force, defaults included.
+    /// The effective settings, including defaults.
     #[must_use]
     pub fn effective(&self) -> Value {
         self.effective.clone()
     }
 }
 
-fn read_serves(r: &mut Reader) -> Option<(String, TargetKind, SocketAddr)> {
+fn read_target(r: &mut Reader) -> Option<(String, TargetKind, SocketAddr)> {
     let (key, section, kind) = match (r.has("group"), r.has("service")) {
         (true, false) => ("group", "engine", TargetKind::Engine),
         (false, true) => ("service", "target", TargetKind::Service),
@@ -120,7 +120,7 @@
             return None;
         }
     };
-    let serves = r.required(key);
+    let group_or_service = r.required(key);
     let address = r.section(section).required("address");
-    Some((serves?, kind, address?))
+    Some((group_or_service?, kind, address?))
 }
--- a/crates/agent/src/take.rs
+++ b/crates/agent/src/start_handler.rs
@@ -1,4 +1,4 @@
-//! Takes attempts, or refuses them.
+//! Handles start and attach messages.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -12,38 +12,45 @@
 use wire::proto::{Attach, AttachReply, AttemptState, End, Start, StartReply};
 
 use crate::answer::{Answer, Cursor, HeadSent};
-use crate::attempts::Known;
-use crate::context::Wanted;
-use crate::desk::{DeskMsg, Origin, State, keep};
+use crate::attempt_manager::{AttemptMsg, Origin, State, retention};
+use crate::attempts::AttemptEntry;
+use crate::context::RequestedWork;
 use crate::engine::{Call, Retry, TargetKind};
 use crate::run::run;
-use crate::{Arrival, Ending, Gate, Keep, Lease, Refusal, Suspicion, Tombstone};
+use crate::{
+    AdmissionState, Ending, IncomingAttempt, Lease, Refusal, Retention, Suspicion, Tombstone,
+};
 
-/// The reply to a start, and the answer to send after it.
-pub(crate) struct Taken {
+/// The reply to a start message, and the answer to send after it.
+pub(crate) struct StartOutcome {
     pub reply: StartReply,
-    pub sending: Option<Sending>,
+    pub sending: Option<PendingSend>,
 }
 
-/// The reply to an attachment, and the answer to send after it.
-pub(crate) struct Attached {
+/// The reply to an attach message, and the answer to send after it.
+pub(crate) struct AttachOutcome {
     pub reply: AttachReply,
-    pub sending: Option<Sending>,
+    pub sending: Option<PendingSend>,
 }
 
-/// An answer that a link is to be sent.
-pub(crate) struct Sending {
+/// An answer that is to be sent on a link.
+pub(crate) struct PendingSend {
     pub answer: Arc<Answer>,
     pub cursor: Cursor,
     pub replaced: CancellationToken,
 }
 
-pub(crate) fn start(state: &mut State, start: Start, from: &Origin, now: Instant) -> Taken {
-    let taken = match Attempt::from_slice(&start.attempt) {
-        Some(attempt) => take(state, attempt, &start, from, now),
+pub(crate) fn start(
+    state: &mut State,
+    start: Start,
+    origin: &Origin,
+    now: Instant,
+) -> StartOutcome {
+    let result = match Attempt::from_slice(&start.attempt) {
+        Some(attempt) => accept(state, attempt, &start, origin, now),
         None => Err(Refusal::NotOffered),
     };
-    let (refusal, sending) = match taken {
+    let (refusal, sending) = match result {
         Ok(sending) => (None, sending),
         Err(refusal) => {
             state.cx.metrics.refused(refusal);
@@ -59,67 +66,78 @@
         note: state.cx.follower.catalogue().number(),
         incarnation: state.cx.incarnation,
     };
-    Taken { reply, sending }
+    StartOutcome { reply, sending }
 }
 
-fn take(
+fn accept(
     state: &mut State,
     attempt: Attempt,
     start: &Start,
-    from: &Origin,
+    origin: &Origin,
     now: Instant,
-) -> Result<Option<Sending>, Refusal> {
-    let link = &from.link;
+) -> Result<Option<PendingSend>, Refusal> {
+    let link = &origin.link;
     match state.attempts.tombstone(attempt) {
         Some(Tombstone::Barred) => return Err(Refusal::Barred),
-        // It did run, so it must not be refused: that would mean "not run".
+        // It did run, so it must not be refused: a refusal means "not run".
         Some(Tombstone::Forgotten) => return Ok(forgotten(attempt, link)),
         None => {}
     }
-    // An entry that lost the reply starts the same attempt again: it goes on.
-    if let Some(known) = state.attempts.get(attempt) {
-        return Ok(begin(&known.answer, link, 0));
+    // An entry that lost the reply starts the same attempt again; the running
+    // attempt continues.
+    if let Some(entry) = state.attempts.get(attempt) {
+        return Ok(attach_link(&entry.answer, link, 0));
     }
-    let suspicion = admit(state, start, from, now)?;
+    let suspicion = admit(state, start, origin, now)?;
     let limits = &state.cx.cfg.limits;
-    let keep = keep(start);
-    let most = limits.held_of(keep);
-    let answer = Arc::new(Answer::new(attempt, keep, limits.window, most));
-    let known = Known::new(
+    let retention = retention(start);
+    let max_held = limits.held_limit(retention);
+    let answer = Arc::new(Answer::new(
+        attempt,
+        retention,
+        limits.window_bytes,
+        max_held,
+    ));
+    let entry = AttemptEntry::new(
         Arc::clone(&answer),
         start.fingerprint.clone(),
-        keep,
+        retention,
         suspicion,
         state.cx.status.borrow().instance.clone(),
         now,
     );
-    state.attempts.insert(attempt, known);
-    state.cx.metrics.taken();
-    let sending = begin(&answer, link, 0);
-    launch(state, attempt, start, answer);
+    state.attempts.insert(attempt, entry);
+    state.cx.metrics.attempt_accepted();
+    let sending = attach_link(&answer, link, 0);
+    spawn_run(state, attempt, start, answer);
     Ok(sending)
 }
 
-fn admit(state: &State, start: &Start, from: &Origin, now: Instant) -> Result<Suspicion, Refusal> {
-    // What is read right after a standstill may be a start that was given up
-    // long ago; neither lease says anything about it.
-    if state.is_stale(from, now) {
+fn admit(
+    state: &State,
+    start: &Start,
+    origin: &Origin,
+    now: Instant,
+) -> Result<Suspicion, Refusal> {
+    // A start that is read right after a stall may have been abandoned long ago,
+    // whatever the leases say.
+    if state.is_stale(origin, now) {
         return Err(Refusal::Lease);
     }
     let cx = &state.cx;
     let catalogue = cx.follower.catalogue();
     let quarantine = cx.follower.quarantine();
     let suspicion = state
-        .incident
+        .crash_tracker
         .suspicion(&start.fingerprint, &quarantine, now);
-    let gate = Gate {
+    let admission = AdmissionState {
         incarnation: cx.incarnation,
         note: catalogue.number(),
         lease: cx.lease(now),
         phase: cx.phase(),
         offered: cx.offered(
             &catalogue,
-            &Wanted {
+            &RequestedWork {
                 group: &start.group,
                 service: &start.service,
                 model: &start.model,
@@ -127,41 +145,43 @@
         ),
         health: cx.health(),
         running: state.attempts.running(),
-        limit: cx.cfg.limits.concurrent,
+        limit: cx.cfg.limits.concurrent_attempts,
         suspects: state.attempts.suspects(),
     };
     let lease = if start.entry_leased {
         Lease::Live
     } else {
-        Lease::Over
+        Lease::Expired
     };
-    let admitted = gate.admit(&Arrival {
+    let admitted = admission.admit(&IncomingAttempt {
         incarnation: start.incarnation,
         note: start.note,
         lease,
         suspicion,
     });
-    if admitted == Err(Refusal::Note) && start.note > gate.note {
+    if admitted == Err(Refusal::Note) && start.note > admission.note {
         let follower = cx.follower.clone();
         tokio::spawn(async move { follower.refresh().await });
     }
     admitted?;
-    if !state.attempts.has_room(keep(start)) || state.attempts.held() >= cx.cfg.limits.buffers {
+    if !state.attempts.has_room(retention(start))
+        || state.attempts.held_bytes() >= cx.cfg.limits.total_bytes
+    {
         return Err(Refusal::Full);
     }
     Ok(suspicion)
 }
 
-/// Tells of an attempt that ran and whose answer is no longer held.
-fn forgotten(attempt: Attempt, link: &Link) -> Option<Sending> {
-    let answer = Arc::new(Answer::new(attempt, Keep::UntilPassed, 1, 1));
+/// Sends the end of an attempt that ran and whose answer is no longer held.
+fn forgotten(attempt: Attempt, link: &Link) -> Option<PendingSend> {
+    let answer = Arc::new(Answer::new(attempt, Retention::UntilAcknowledged, 1, 1));
     answer.end(Ending::new(End::Lost, "the answer is no longer held"));
-    begin(&answer, link, 0)
+    attach_link(&answer, link, 0)
 }
 
-fn begin(answer: &Arc<Answer>, link: &Link, offset: u64) -> Option<Sending> {
+fn attach_link(answer: &Arc<Answer>, link: &Link, offset: u64) -> Option<PendingSend> {
     let replaced = answer.attach(link, offset)?;
-    Some(Sending {
+    Some(PendingSend {
         answer: Arc::clone(answer),
         cursor: Cursor {
             head: HeadSent::No,
@@ -171,29 +191,29 @@
     })
 }
 
-pub(crate) fn attach(state: &State, attach: &Attach, link: &Link) -> Attached {
+pub(crate) fn attach(state: &State, attach: &Attach, link: &Link) -> AttachOutcome {
     let attempt = Attempt::from_slice(&attach.attempt);
-    let known = attempt.and_then(|attempt| state.attempts.get(attempt));
-    let sending = known.and_then(|known| begin(&known.answer, link, attach.offset));
-    let stands = attempt.map(|attempt| state.attempts.state(attempt));
-    // Known, but the bytes from that offset on are gone.
-    let gone = known.is_some() && sending.is_none();
-    let stands = if gone {
+    let entry = attempt.and_then(|attempt| state.attempts.get(attempt));
+    let sending = entry.and_then(|entry| attach_link(&entry.answer, link, attach.offset));
+    let attempt_state = attempt.map(|attempt| state.attempts.state(attempt));
+    // The attempt is known, but the bytes from that offset on are gone.
+    let gone = entry.is_some() && sending.is_none();
+    let attempt_state = if gone {
         Some(AttemptState::Forgotten)
     } else {
-        stands
+        attempt_state
     };
-    Attached {
+    AttachOutcome {
         reply: AttachReply {
             attempt: attach.attempt.clone(),
-            state: stands.unwrap_or_default().into(),
+            state: attempt_state.unwrap_or_default().into(),
         },
         sending,
     }
 }
 
-/// Runs the attempt in a task of its own, which tells the desk of its end.
-fn launch(state: &State, attempt: Attempt, start: &Start, answer: Arc<Answer>) {
+/// Runs the attempt in its own task, which reports the outcome to the manager.
+fn spawn_run(state: &State, attempt: Attempt, start: &Start, answer: Arc<Answer>) {
     let span = tracing::info_span!(
         "agent",
         request = %text(&start.request),
@@ -208,38 +228,38 @@
         start,
         trace::context(&engine, &start.traceparent),
     );
-    let within = within(state, start);
-    let keep = keep(start);
+    let timeout = run_timeout(state, start);
+    let retention = retention(start);
     let cx = Arc::clone(&state.cx);
-    let desk = state.myself.clone();
+    let manager = state.myself.clone();
     let request = text(&start.request);
     let run = async move {
-        let stopped = run(&cx, &call, &answer, keep, within)
+        let outcome = run(&cx, &call, &answer, retention, timeout)
             .instrument(engine)
             .await;
         let (request, target) = (request.as_str(), cx.cfg.name.as_str());
-        log::debug!(request = request, target = target; "attempt ended: {}", stopped.name());
-        // The desk is gone only when the whole agent is.
-        let _ = desk.send_message(DeskMsg::Stopped(attempt, stopped));
+        log::debug!(request = request, target = target; "attempt ended: {}", outcome.name());
+        // The manager is gone only when the whole agent is.
+        let _ = manager.send_message(AttemptMsg::RunEnded(attempt, outcome));
     };
     tokio::spawn(run.instrument(span));
 }
 
-/// A non-repeatable call isn't stopped at its caller's deadline: it may have
-/// run, and its answer is kept for when the caller asks again.
-fn within(state: &State, start: &Start) -> Duration {
-    let longest = state.cx.cfg.timing.longest;
+/// Time limit of a run. A non-repeatable call isn't stopped at its caller's
+/// deadline: it may have run, and its answer is kept for a later request.
+fn run_timeout(state: &State, start: &Start) -> Duration {
+    let max = state.cx.cfg.timing.max_run_time;
     if start.keep || start.deadline_ms == 0 {
-        return longest;
+        return max;
     }
-    longest.min(Duration::from_millis(start.deadline_ms.into()))
+    max.min(Duration::from_millis(start.deadline_ms.into()))
 }
 
 fn call(state: &State, attempt: Attempt, start: &Start, traceparent: String) -> Call {
     let mut request = text(&start.request);
     if state.cx.target_client.kind() == TargetKind::Engine {
-        // Two attempts of one request may meet on one engine; cancelling the
-        // former must not stop the latter.
+        // Two attempts at one request may run on the same engine; cancelling the
+        // first must not stop the second.
         request = format!("{request}-{attempt}");
     }
     let headers = start.headers.iter();
@@ -263,7 +283,7 @@
     }
 }
 
-/// A request id as text: as it is if it is printable, else in hexadecimal.
+/// A request id as text: unchanged if it is printable, otherwise hexadecimal.
 fn text(id: &Bytes) -> String {
     let printable = id.iter().all(u8::is_ascii_graphic);
     if printable {
--- a/crates/agent/src/status.rs
+++ b/crates/agent/src/status.rs
@@ -1,4 +1,4 @@
-//! What an agent tells entries of its target.
+//! Load and health of the target, as reported to entries.
 
 use std::time::Instant;
 
@@ -7,15 +7,15 @@
 use crate::Health;
 use crate::engine::Load;
 
-/// The target's load and health when it was last looked at.
+/// The target's load and health at the last poll.
 #[derive(Clone, Debug)]
 pub(crate) struct Status {
-    /// Grows with each look.
+    /// Grows with each change.
     pub sequence: u64,
     pub load: Load,
     pub health: Health,
-    pub taken: Instant,
-    /// The engine's instance, as far as it tells.
+    pub measured_at: Instant,
+    /// Instance of the engine; empty if it is unknown.
     pub instance: String,
 }
 
@@ -25,14 +25,14 @@
             sequence: 0,
             load: Load::default(),
             health: Health::Down,
-            taken: now,
+            measured_at: now,
             instance: String::new(),
         }
     }
 
-    /// The report as it stands `now`, with the age of its figures.
+    /// The load report at `now`, with the age of its figures.
     pub fn report(&self, now: Instant) -> proto::LoadReport {
-        let age = now.saturating_duration_since(self.taken).as_millis();
+        let age = now.saturating_duration_since(self.measured_at).as_millis();
         let ranks = self.load.ranks.iter().map(|load| proto::RankLoad {
             rank: load.rank,
             running: load.running,
--- a/crates/agent/src/tombstones.rs
+++ b/crates/agent/src/tombstones.rs
@@ -1,4 +1,4 @@
-//! Attempts that must never start any more.
+//! Remembers attempts that must never start.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -14,22 +14,21 @@
     Forgotten,
 }
 
-/// Attempts that must never start any more, bounded in number and time.
+/// Attempts that must never start, bounded in number and time.
 ///
-/// A start that was held up on its way must not run what was barred, or was
-/// run before. None is dropped before its time to make room for another:
-/// when there is no room, the caller has to do without what it wanted to
-/// enter, and so nothing can be run twice.
+/// A start message that is delayed must not run an attempt that was barred or has
+/// already run. No tombstone is dropped early to make room for another: when the
+/// record is full, an insertion fails, so that nothing can run twice.
 #[derive(Debug)]
 pub struct Tombstones {
     limit: usize,
-    keep: Duration,
+    retention: Duration,
     entries: BTreeMap<Attempt, Tombstone>,
     order: VecDeque<(Instant, Attempt)>,
 }
 
 impl Tombstones {
-    /// An empty record of at most `limit` attempts, each held for `keep`.
+    /// An empty record of at most `limit` attempts, each kept for `retention`.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -44,17 +43,17 @@
     /// assert_eq!(tombstones.get(Attempt(1)), Some(Tombstone::Barred));
     /// ```
     #[must_use]
-    pub fn new(limit: usize, keep: Duration) -> Self {
+    pub fn new(limit: usize, retention: Duration) -> Self {
         Tombstones {
             limit,
-            keep,
+            retention,
             entries: BTreeMap::new(),
             order: VecDeque::new(),
         }
     }
 
-    /// Enters an attempt, and says whether it is in the record now. The first
-    /// entry of an attempt stays.
+    /// Adds an attempt and returns whether it is in the record now. The first
+    /// tombstone of an attempt stays.
     pub fn insert(&mut self, attempt: Attempt, tombstone: Tombstone, now: Instant) -> bool {
         self.expire(now);
         if self.entries.contains_key(&attempt) {
@@ -68,13 +67,13 @@
         true
     }
 
-    /// What stands for an attempt.
+    /// The tombstone of an attempt.
     #[must_use]
     pub fn get(&self, attempt: Attempt) -> Option<Tombstone> {
         self.entries.get(&attempt).copied()
     }
 
-    /// Whether there is no room.
+    /// Whether the record is full.
     #[must_use]
     pub fn is_full(&self) -> bool {
         self.entries.len() >= self.limit
@@ -86,16 +85,16 @@
         self.entries.len()
     }
 
-    /// Whether there is none.
+    /// Whether the record is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Drops what has been held for long enough.
+    /// Drops tombstones that have been kept for the retention time.
     pub fn expire(&mut self, now: Instant) {
         while let Some((entered, attempt)) = self.order.front() {
-            if now.saturating_duration_since(*entered) < self.keep {
+            if now.saturating_duration_since(*entered) < self.retention {
                 break;
             }
             self.entries.remove(attempt);
--- a/crates/agent/tests/buffer.rs
+++ b/crates/agent/tests/buffer.rs
@@ -1,6 +1,6 @@
 //! Answer buffers under any order of reads, progress and attachments.
 
-use agent::{Buffer, Keep};
+use agent::{Buffer, Retention};
 use bytes::Bytes;
 use quickcheck::{Gen, QuickCheck};
 
@@ -8,9 +8,9 @@
 fn read_after_attach() {
     // An entry dies after it has read all of a reservation's answer. Another
     // one attaches from the beginning and must find every byte.
-    let mut buffer = Buffer::new(Keep::Whole, 8, 100);
+    let mut buffer = Buffer::new(Retention::UntilRecorded, 8, 100);
     buffer.push("reserved lot 4711".into());
-    buffer.pass(17);
+    buffer.acknowledge(17);
     buffer.attach(0);
     assert_eq!(buffer.read(0, 64).unwrap(), "reserved");
 }
@@ -19,10 +19,10 @@
 fn read_dropped_bytes() {
     // A link asks for bytes that another one has already passed on. They are
     // gone; giving others in their place would damage the answer.
-    let mut buffer = Buffer::new(Keep::UntilPassed, 8, 100);
+    let mut buffer = Buffer::new(Retention::UntilAcknowledged, 8, 100);
     buffer.push("abcd".into());
     buffer.push("efgh".into());
-    buffer.pass(6);
+    buffer.acknowledge(6);
     assert!(!buffer.holds(3));
     assert!(buffer.read(3, 8).is_none());
     assert_eq!(buffer.read(4, 8).unwrap(), "efgh");
@@ -32,12 +32,12 @@
 fn push_slow_reader() {
     // The caller reads slowly. The window holds what is sent, and the target
     // waits once the buffer is full, so memory stays bounded.
-    let mut buffer = Buffer::new(Keep::UntilPassed, 4, 8);
+    let mut buffer = Buffer::new(Retention::UntilAcknowledged, 4, 8);
     buffer.push("abcdefgh".into());
     assert!(!buffer.has_room());
     assert_eq!(buffer.read(0, 64).unwrap(), "abcd");
     assert!(buffer.read(4, 64).is_none());
-    buffer.pass(8);
+    buffer.acknowledge(8);
     assert!(buffer.has_room());
 }
 
@@ -45,9 +45,9 @@
 fn pass_beyond_length() {
     // A progress that claims more than was sent must not open the window for
     // bytes that nobody has read.
-    let mut buffer = Buffer::new(Keep::UntilPassed, 4, 100);
+    let mut buffer = Buffer::new(Retention::UntilAcknowledged, 4, 100);
     buffer.push("abcd".into());
-    buffer.pass(u64::MAX);
+    buffer.acknowledge(u64::MAX);
     buffer.push("efghijkl".into());
     assert_eq!(buffer.read(4, 64).unwrap(), "efgh");
     assert!(buffer.read(u64::MAX, 64).is_none());
@@ -56,7 +56,7 @@
 /// Reads all through any parts, chunk sizes and re-attachments.
 fn all_read(parts: Vec<Vec<u8>>, window: u8, cuts: Vec<u8>) -> bool {
     let whole = parts.concat();
-    let mut buffer = Buffer::new(Keep::UntilPassed, window.into(), 1 << 20);
+    let mut buffer = Buffer::new(Retention::UntilAcknowledged, window.into(), 1 << 20);
     for part in parts {
         buffer.push(Bytes::from(part));
     }
@@ -68,10 +68,10 @@
             return false;
         };
         got.extend_from_slice(&bytes);
-        buffer.pass(got.len() as u64);
+        buffer.acknowledge(got.len() as u64);
         buffer.attach(got.len() as u64);
     }
-    got == whole && buffer.crc32c() == crc32c::crc32c(&whole) && buffer.held() == 0
+    got == whole && buffer.crc32c() == crc32c::crc32c(&whole) && buffer.held_bytes() == 0
 }
 
 #[test]
--- a/crates/agent/tests/gate.rs
+++ b/crates/agent/tests/gate.rs
@@ -1,14 +1,15 @@
-//! Each refusal of the gate, and no other.
+//! Each refusal of the admission, and no other.
 
 use std::time::{Duration, Instant};
 
 use agent::{
-    Arrival, Gate, Health, Lease, Offered, Phase, Refusal, Suspicion, Tombstone, Tombstones,
+    AdmissionState, Health, IncomingAttempt, Lease, Offered, Phase, Refusal, Suspicion, Tombstone,
+    Tombstones,
 };
 use ledger::Attempt;
 
-fn gate() -> Gate {
-    Gate {
+fn admission() -> AdmissionState {
+    AdmissionState {
         incarnation: 7,
         note: 3,
         lease: Lease::Live,
@@ -21,62 +22,80 @@
     }
 }
 
-fn arrival() -> Arrival {
-    Arrival {
+fn arrival() -> IncomingAttempt {
+    IncomingAttempt {
         incarnation: 7,
         note: 3,
-        lease: Lease::Over,
+        lease: Lease::Expired,
         suspicion: Suspicion::None,
     }
 }
 
 #[test]
 fn admit_each_refusal() {
-    let gate = gate();
+    let admission = admission();
     let arrival = arrival();
     let cases = [
         (
-            Gate {
+            AdmissionState {
                 incarnation: 8,
-                ..gate
+                ..admission
             },
             Refusal::Incarnation,
         ),
-        (Gate { note: 4, ..gate }, Refusal::Note),
-        (Gate { note: 2, ..gate }, Refusal::Note),
         (
-            Gate {
-                lease: Lease::Over,
-                ..gate
+            AdmissionState {
+                note: 4,
+                ..admission
+            },
+            Refusal::Note,
+        ),
+        (
+            AdmissionState {
+                note: 2,
+                ..admission
+            },
+            Refusal::Note,
+        ),
+        (
+            AdmissionState {
+                lease: Lease::Expired,
+                ..admission
             },
             Refusal::Lease,
         ),
         (
-            Gate {
+            AdmissionState {
                 phase: Phase::Leaving,
-                ..gate
+                ..admission
             },
             Refusal::Leaving,
         ),
         (
-            Gate {
+            AdmissionState {
                 offered: Offered::No,
-                ..gate
+                ..admission
             },
             Refusal::NotOffered,
         ),
         (
-            Gate {
+            AdmissionState {
                 health: Health::Down,
-                ..gate
+                ..admission
             },
             Refusal::Unhealthy,
         ),
-        (Gate { running: 2, ..gate }, Refusal::Full),
+        (
+            AdmissionState {
+                running: 2,
+                ..admission
+            },
+            Refusal::Full,
+        ),
     ];
-    assert_eq!(gate.admit(&arrival), Ok(()));
-    for (gate, refusal) in cases {
-        assert_eq!(gate.admit(&arrival), Err(refusal));
+    assert_eq!(admission.admit(&arrival), Ok(()));
+    for (admission, refusal) in cases {
+        assert_eq!(admission.admit(&arrival), Err(refusal));
     }
 }
 
@@ -84,38 +103,38 @@
 fn admit_one_lease() {
     // The entry is cut off from control, or the agent is. One live lease is
     // enough to know that equal numbers mean the newest note.
-    let gate = Gate {
-        lease: Lease::Over,
-        ..gate()
+    let admission = AdmissionState {
+        lease: Lease::Expired,
+        ..admission()
     };
-    assert_eq!(gate.admit(&arrival()), Err(Refusal::Lease));
-    let leased = Arrival {
+    assert_eq!(admission.admit(&arrival()), Err(Refusal::Lease));
+    let leased = IncomingAttempt {
         lease: Lease::Live,
         ..arrival()
     };
-    assert_eq!(gate.admit(&leased), Ok(()));
+    assert_eq!(admission.admit(&leased), Ok(()));
 }
 
 #[test]
 fn admit_second_suspect() {
     // Two requests are suspect of a crash. Together they would leave open
     // again which one it was, and a bystander could be convicted.
-    let suspect = Arrival {
+    let suspect = IncomingAttempt {
         suspicion: Suspicion::Suspect,
         ..arrival()
     };
-    assert_eq!(gate().admit(&suspect), Ok(()));
-    let busy = Gate {
+    assert_eq!(admission().admit(&suspect), Ok(()));
+    let busy = AdmissionState {
         suspects: 1,
-        ..gate()
+        ..admission()
     };
     assert_eq!(busy.admit(&suspect), Err(Refusal::Suspect));
     assert_eq!(busy.admit(&arrival()), Ok(()));
-    let convicted = Arrival {
+    let convicted = IncomingAttempt {
         suspicion: Suspicion::Convicted,
         ..arrival()
     };
-    assert_eq!(gate().admit(&convicted), Err(Refusal::Suspect));
+    assert_eq!(admission().admit(&convicted), Err(Refusal::Suspect));
 }
 
 #[test]
