--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -19,7 +19,7 @@
 use crate::context::Context;
 use crate::engine::{TargetClient, TargetKind};
 use crate::links::{LinkServer, MAX_PENDING};
-use crate::map::{MapContext, Maps, Offers};
+use crate::map::{GroupSource, MapContext, MapHandle};
 use crate::metrics::Metrics;
 use crate::monitor::Monitor;
 use crate::status::Status;
@@ -68,7 +68,7 @@
         let commands = crate::command::start(Arc::clone(&map_cx)).await?;
         let maps = match cx.cfg.kind {
             TargetKind::Engine => crate::map::start(&map_cx, &commands, &me, &key, &link).await?,
-            TargetKind::Service => Maps::none(),
+            TargetKind::Service => MapHandle::disabled(),
         };
         let accept = Arc::new(LinkServer {
             cx: Arc::clone(&cx),
@@ -207,7 +207,7 @@
         poll: cx.cfg.timing.poll_interval,
         follower: cx.follower.clone(),
         target_client: cx.target_client.clone(),
-        offers: Offers::Note,
+        group_source: GroupSource::ReleaseNote,
         stop: cx.stop.clone(),
     }
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -54,7 +54,7 @@
 pub use crate::ending::Ending;
 pub use crate::limits::Limits;
 pub use crate::listeners::Listeners;
-pub use crate::map::{MapSettings, StartMap};
+pub use crate::map::{InitialMap, MapSettings};
 pub use crate::map_agent::{MapAgent, MapAgentSettings};
 pub use crate::rank_agent::{RankAgentSettings, run_rank_agent};
 pub use crate::refusal::Refusal;
--- a/crates/agent/src/links.rs
+++ b/crates/agent/src/links.rs
@@ -14,7 +14,7 @@
 
 use crate::attempt_manager::{AttemptMsg, Origin};
 use crate::context::Context;
-use crate::map::Maps;
+use crate::map::MapHandle;
 use crate::reporter::report;
 use crate::sender::send_answer;
 use crate::start_handler::PendingSend;
@@ -29,7 +29,7 @@
 pub(crate) struct LinkServer {
     pub cx: Arc<Context>,
     pub manager: ActorRef<AttemptMsg>,
-    pub maps: Maps,
+    pub maps: MapHandle,
     pub me: Identity,
     pub key: ClusterKey,
     pub cfg: LinkSettings,
@@ -105,7 +105,7 @@
             if is_relayed(&incoming.body) {
                 self.cx.follower.relay(incoming);
             } else {
-                self.maps.take(incoming);
+                self.maps.deliver(incoming);
             }
         }
     }
--- a/crates/agent/src/map/control_call.rs
+++ b/crates/agent/src/map/control_call.rs
@@ -1,14 +1,14 @@
 //! Kinds of calls to control.
 
-/// A kind of call to control, of which one at a time is on its way.
+/// A kind of call to control; at most one of each kind is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ControlCall {
     /// Opens a coordinator.
     Open,
-    /// Has a decision committed.
+    /// Proposes a decision.
     Decide,
-    /// Reads what stands.
-    Ask,
-    /// Opens a number so that the engine can join.
-    Join,
+    /// Reads the current decisions.
+    ReadStanding,
+    /// Opens a fencing number so that the engine can join.
+    OpenToJoin,
 }
--- a/crates/agent/src/map/engine_calls.rs
+++ b/crates/agent/src/map/engine_calls.rs
@@ -1,4 +1,4 @@
-//! What the map actor asks of the engine.
+//! Calls of the map actor to the engine.
 
 use std::sync::Arc;
 
@@ -10,23 +10,24 @@
 use crate::map::map_context::MapContext;
 use crate::map::msg::MapMsg;
 
-/// Gives an order and reports the state that it left, which is read back.
-pub(crate) async fn order(
+/// Sends a command and reports the resulting state of the engine, which is read
+/// back.
+pub(crate) async fn run_order(
     cx: Arc<MapContext>,
     commands: CommandQueue,
     serial: u64,
     order: EngineOrder,
     inbox: ActorRef<MapMsg>,
 ) {
-    let state = match given(&commands, order).await {
-        Some(()) => cx.target_client.map().await.ok().as_ref().map(state),
+    let state = match send_command(&commands, order).await {
+        Some(()) => cx.target_client.map().await.ok().as_ref().map(engine_state),
         None => None,
     };
     let _ = inbox.send_message(MapMsg::Engine { serial, state });
 }
 
-/// Whether the order is known to have been answered.
-async fn given(commands: &CommandQueue, order: EngineOrder) -> Option<()> {
+/// Sends the command. Returns `Some` if it was answered.
+async fn send_command(commands: &CommandQueue, order: EngineOrder) -> Option<()> {
     let (fencing, order) = match order {
         EngineOrder::Read => return Some(()),
         EngineOrder::Stage {
@@ -76,7 +77,7 @@
     })
 }
 
-fn state(map: &MapState) -> EngineState {
+fn engine_state(map: &MapState) -> EngineState {
     EngineState {
         step: map.step,
         version: map.version,
--- a/crates/agent/src/map/loads.rs
+++ b/crates/agent/src/map/loads.rs
@@ -1,4 +1,4 @@
-//! What the agents of a group tell its coordinator of their engines.
+//! Reports of engine counts and formations to the coordinator.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -12,8 +12,8 @@
 use crate::map::state::State;
 
 impl State {
-    /// Asks all agents in which formation their engines step.
-    pub fn ask_formation(&self) {
+    /// Requests the formation of each engine from all agents.
+    pub fn request_formations(&self) {
         if self.coordinator.is_none() {
             return;
         }
@@ -27,13 +27,14 @@
         }
     }
 
-    /// Asks for this agent's counts or formation, or answers that.
-    pub fn group_load(&mut self, from: &str, load: GroupLoad) {
+    /// Handles a request for this agent's counts or formation, or the answer to
+    /// one.
+    pub fn on_group_load(&mut self, from: &str, load: GroupLoad) {
         if load.group != self.cx.group {
             return;
         }
         if load.is_answer {
-            self.group_load_answer(from, load);
+            self.on_group_load_answer(from, load);
             return;
         }
         let (cx, inbox, to) = (Arc::clone(&self.cx), self.inbox.clone(), from.to_owned());
@@ -49,15 +50,15 @@
         });
     }
 
-    fn group_load_answer(&mut self, from: &str, load: GroupLoad) {
+    fn on_group_load_answer(&mut self, from: &str, load: GroupLoad) {
         if !load.about_formation {
-            if let Some(chooser) = &mut self.chooser {
-                chooser.take(load.ranks);
+            if let Some(planner) = &mut self.planner {
+                planner.add_windows(load.ranks);
             }
-            self.counted_by_all(Instant::now());
+            self.plan_if_complete(Instant::now());
             return;
         }
-        let group = self.cx.offered();
+        let group = self.cx.group_info();
         let all = 0..group.map_or(0, |group| group.ranks);
         let ranks = match load.formation {
             0 => all.collect(),
@@ -67,11 +68,11 @@
             number: load.formation,
             ranks,
         };
-        self.formations.take(from, formation);
+        self.formations.update(from, formation);
     }
 
-    /// Between two formations there is nothing to tell.
-    pub fn formed(&self, to: &str, map: MapState) {
+    /// Reports the formation of this agent's engine, unless it is between two.
+    pub fn send_formation(&self, to: &str, map: MapState) {
         if map.formation == Some(0) {
             return;
         }
@@ -86,10 +87,11 @@
         self.send(to, Body::GroupLoad(load));
     }
 
-    /// Without the counts of all no switch begins, as none may while an engine
-    /// would join on its start map after a restart.
-    pub fn counted(&mut self, to: &str, counts: ExpertCounts, map: &MapState) {
-        let ranks = self.windows.next(counts);
+    /// Reports the counts of this agent's engine. An engine that doesn't wait for
+    /// `Join` after a restart reports none: it would join on its initial map, and
+    /// without the counts of all ranks no switch begins.
+    pub fn send_counts(&mut self, to: &str, counts: ExpertCounts, map: &MapState) {
+        let ranks = self.windows.next_window(counts);
         if !ranks.is_empty() && map.waits {
             let load = GroupLoad {
                 group: self.cx.group.clone(),
--- a/crates/agent/src/map/switcher.rs
+++ b/crates/agent/src/map/map_actor.rs
@@ -1,4 +1,4 @@
-//! The actor that switches expert maps.
+//! The map actor, which switches expert maps.
 
 use std::sync::Arc;
 
@@ -11,63 +11,63 @@
 use crate::map::peers::Peers;
 use crate::map::state::State;
 
-/// Runs participant and coordinator over links, control and engine.
-pub(crate) struct Switcher;
+/// Connects participant and coordinator to links, control and the engine.
+pub(crate) struct MapActor;
 
-/// What the actor is started with.
-pub(crate) struct Start {
+/// Arguments of [`MapActor`].
+pub(crate) struct MapActorArgs {
     pub cx: Arc<MapContext>,
     pub commands: CommandQueue,
     pub peers: Peers,
 }
 
-/// The actor's state, and the clock that wakes it.
-pub(crate) struct Running {
+/// State of [`MapActor`], and the task that sends its ticks.
+pub(crate) struct MapActorState {
     state: State,
-    clock: JoinHandle<()>,
+    ticker: JoinHandle<()>,
 }
 
-impl Actor for Switcher {
+impl Actor for MapActor {
     type Msg = MapMsg;
-    type State = Running;
-    type Arguments = Start;
+    type State = MapActorState;
+    type Arguments = MapActorArgs;
 
     async fn pre_start(
         &self,
         myself: ActorRef<MapMsg>,
-        start: Start,
-    ) -> Result<Running, ActorProcessingErr> {
-        let clock = tokio::spawn(keep_time(myself.clone(), Arc::clone(&start.cx)));
-        let state = State::new(start, myself);
-        Ok(Running { state, clock })
+        args: MapActorArgs,
+    ) -> Result<MapActorState, ActorProcessingErr> {
+        let ticker = tokio::spawn(send_ticks(myself.clone(), Arc::clone(&args.cx)));
+        let state = State::new(args, myself);
+        Ok(MapActorState { state, ticker })
     }
 
     async fn handle(
         &self,
         _myself: ActorRef<MapMsg>,
         msg: MapMsg,
-        running: &mut Running,
+        actor: &mut MapActorState,
     ) -> Result<(), ActorProcessingErr> {
-        running.state.take(msg);
+        actor.state.handle(msg);
         Ok(())
     }
 
     async fn post_stop(
         &self,
         _myself: ActorRef<MapMsg>,
-        running: &mut Running,
+        actor: &mut MapActorState,
     ) -> Result<(), ActorProcessingErr> {
-        running.clock.abort();
+        actor.ticker.abort();
         Ok(())
     }
 }
 
-async fn keep_time(switcher: ActorRef<MapMsg>, cx: Arc<MapContext>) {
+async fn send_ticks(actor: ActorRef<MapMsg>, cx: Arc<MapContext>) {
     let mut ticks = tokio::time::interval(cx.poll);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        if switcher.send_message(MapMsg::Tick).is_err() {
+        if actor.send_message(MapMsg::Tick).is_err() {
             return;
         }
     }
--- a/crates/agent/src/map/map_context.rs
+++ b/crates/agent/src/map/map_context.rs
@@ -1,4 +1,4 @@
-//! What the map actor needs of its agent.
+//! Context of the map actor and the command queue.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::engine::TargetClient;
 use crate::map::MapSettings;
 
-/// What the map actor needs of its agent.
+/// The part of an agent that the map actor and the command queue use.
 pub(crate) struct MapContext {
     /// Name of the agent.
     pub name: String,
@@ -18,30 +18,32 @@
     pub group: String,
     pub incarnation: u64,
     pub cfg: MapSettings,
-    /// Between two looks at what is due.
+    /// Interval of ticks.
     pub poll: Duration,
     pub follower: Follower,
     pub target_client: TargetClient,
-    pub offers: Offers,
-    /// Ends everything.
+    pub group_source: GroupSource,
+    /// Stops the agent.
     pub stop: CancellationToken,
 }
 
-/// Where the dimensions of the group are known from.
-pub(crate) enum Offers {
+/// Source of the dimensions of the group.
+pub(crate) enum GroupSource {
     /// The release note in force.
-    Note,
-    /// Whoever started the agent.
-    Told(Arc<Mutex<Option<Group>>>),
+    ReleaseNote,
+    /// Set by the process that started the agent.
+    Shared(Arc<Mutex<Option<Group>>>),
 }
 
 impl MapContext {
-    /// The group, if it is known.
-    pub fn offered(&self) -> Option<Group> {
-        match &self.offers {
-            Offers::Note => self.follower.catalogue().group(&self.group).cloned(),
-            // The lock is held for a copy only.
-            Offers::Told(group) => group.lock().unwrap_or_else(PoisonError::into_inner).clone(),
+    /// The group with its dimensions, if it is known.
+    pub fn group_info(&self) -> Option<Group> {
+        match &self.group_source {
+            GroupSource::ReleaseNote => self.follower.catalogue().group(&self.group).cloned(),
+            // The lock is held only while the value is copied.
+            GroupSource::Shared(group) => {
+                group.lock().unwrap_or_else(PoisonError::into_inner).clone()
+            }
         }
     }
 }
--- a/crates/agent/src/map/maps.rs
+++ b/crates/agent/src/map/map_handle.rs
@@ -1,4 +1,4 @@
-//! The way to the map actor.
+//! Handle of the map actor.
 
 use std::sync::Arc;
 
@@ -6,50 +6,50 @@
 use wire::{ClusterKey, Identity, Incoming, LinkSettings};
 
 use crate::command::CommandQueue;
+use crate::map::map_actor::{MapActor, MapActorArgs};
 use crate::map::map_context::MapContext;
 use crate::map::msg::MapMsg;
 use crate::map::peers::Peers;
-use crate::map::switcher::{Start, Switcher};
 
-/// Takes the messages of the other agents of the group.
+/// Delivers messages from other agents to the map actor, if there is one.
 #[derive(Clone, Debug)]
-pub(crate) struct Maps {
+pub(crate) struct MapHandle {
     actor: Option<ActorRef<MapMsg>>,
 }
 
-impl Maps {
-    /// Before a plain service there is nothing to do.
-    pub fn none() -> Self {
-        Maps { actor: None }
+impl MapHandle {
+    /// The handle of an agent without expert maps, next to a plain service.
+    pub fn disabled() -> Self {
+        MapHandle { actor: None }
     }
 
-    /// Takes one message.
-    pub fn take(&self, incoming: Incoming) {
+    /// Delivers one message.
+    pub fn deliver(&self, incoming: Incoming) {
         if let Some(actor) = &self.actor {
             let _ = actor.send_message(MapMsg::Incoming(Box::new(incoming)));
         }
     }
 }
 
-/// Starts the actor.
+/// Starts the map actor; it stops with the agent.
 pub(crate) async fn start(
     cx: &Arc<MapContext>,
     commands: &CommandQueue,
     me: &Identity,
     key: &ClusterKey,
     link: &LinkSettings,
-) -> eyre::Result<Maps> {
+) -> eyre::Result<MapHandle> {
     let peers = Peers::new(me.clone(), key.clone(), link.clone(), cx.stop.clone());
-    let start = Start {
+    let args = MapActorArgs {
         cx: Arc::clone(cx),
         commands: commands.clone(),
         peers,
     };
-    let (actor, _) = Actor::spawn(None, Switcher, start).await?;
-    let (stop, ended) = (cx.stop.clone(), actor.clone());
+    let (actor, _) = Actor::spawn(None, MapActor, args).await?;
+    let (stop, stopping) = (cx.stop.clone(), actor.clone());
     tokio::spawn(async move {
         stop.cancelled().await;
-        ended.stop(None);
+        stopping.stop(None);
     });
-    Ok(Maps { actor: Some(actor) })
+    Ok(MapHandle { actor: Some(actor) })
 }
--- a/crates/agent/src/map/members.rs
+++ b/crates/agent/src/map/members.rs
@@ -5,19 +5,19 @@
 
 use wire::proto::{MemberView, Role};
 
-/// The agents of one group that are known to live.
+/// The live agents of one group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Members {
-    /// Where each accepts links.
+    /// Link address of each agent.
     pub addresses: BTreeMap<String, SocketAddr>,
-    /// Where the engine of each answers, if others may give it orders.
+    /// Engine address of each agent whose engine accepts commands from others.
     pub engines: BTreeMap<String, SocketAddr>,
-    /// The agent that each rank is with.
+    /// The agent of each rank.
     ranks: BTreeMap<u32, String>,
 }
 
 impl Members {
-    /// As a member view tells.
+    /// The members of a group in a member view.
     pub fn new(view: &MemberView, group: &str) -> Self {
         let mut members = Members::default();
         let agents = view.nodes.iter().filter(|node| node.role() == Role::Agent);
@@ -45,19 +45,19 @@
         self.addresses.keys().next().map(String::as_str)
     }
 
-    /// Whether the agent of each rank is known, in a group of so many.
+    /// Whether the agent of each rank is known, in a group of `ranks` ranks.
     pub fn has_all(&self, ranks: u32) -> bool {
         ranks > 0 && (0..ranks).all(|rank| self.ranks.contains_key(&rank))
     }
 
-    /// Number of the agent that a rank is with.
+    /// Host number of a rank: the index of its agent by name.
     pub fn host(&self, rank: u32) -> Option<u16> {
         let agent = self.ranks.get(&rank)?;
         let number = self.addresses.keys().position(|name| name == agent)?;
         u16::try_from(number).ok()
     }
 
-    /// Name of that agent.
+    /// Name of the agent of a rank.
     pub fn agent(&self, rank: u32) -> Option<String> {
         self.ranks.get(&rank).cloned()
     }
--- a/crates/agent/src/map/mod.rs
+++ b/crates/agent/src/map/mod.rs
@@ -1,33 +1,32 @@
 //! Expert-map switches between the agents of one group.
 //!
-//! Each agent takes its own engine through the switches of its group
-//! ([`expert::Participant`]). The live agent with the lowest name also
-//! coordinates: it gathers what the engines count, plans, and drives the
-//! switch ([`expert::Coordinator`]). That two agents may both believe to be
-//! that one, as their member views differ for a while, is harmless: the
-//! durable state takes decisions under the current fencing number alone.
+//! Each agent switches its own engine ([`expert::Participant`]). The live agent
+//! with the lowest name also coordinates the group: it collects the counts of the
+//! engines, plans, and drives the switch ([`expert::Coordinator`]). While member
+//! views differ, two agents may both coordinate; this is harmless, because the
+//! durable state accepts decisions only under the current fencing number.
 
-mod chooser;
 mod control_call;
 mod control_calls;
 mod engine_calls;
 mod formations;
 mod loads;
+mod map_actor;
 mod map_context;
-mod maps;
+mod map_handle;
+mod map_planner;
 mod members;
 mod msg;
-mod party;
+mod participants;
 mod peers;
 mod planning;
+mod rank_releaser;
 mod settings;
-mod stand_in;
 mod state;
-mod switcher;
 mod translate;
 mod waiting;
-mod windows;
+mod window_counter;
 
-pub(crate) use map_context::{MapContext, Offers};
-pub(crate) use maps::{Maps, start};
-pub use settings::{MapSettings, StartMap};
+pub(crate) use map_context::{GroupSource, MapContext};
+pub(crate) use map_handle::{MapHandle, start};
+pub use settings::{InitialMap, MapSettings};
--- a/crates/agent/src/map/msg.rs
+++ b/crates/agent/src/map/msg.rs
@@ -1,4 +1,4 @@
-//! What the map actor is told.
+//! Messages to the map actor.
 
 use expert::{DecideOutcome, EngineState, Standing};
 use wire::Incoming;
@@ -6,38 +6,37 @@
 
 use crate::engine::{ExpertCounts, MapState};
 
-/// What the map actor is told. A call that failed is told as `None`, so that
-/// it can be made again.
+/// A message to the map actor. The result of a failed call is `None`, and the call
+/// can be made again.
 #[derive(Debug)]
 pub(crate) enum MapMsg {
-    /// A message of another agent.
+    /// A message from another agent.
     Incoming(Box<Incoming>),
-    /// A rank was let go in the place of the agent of that name.
-    LetGo(String),
-    /// A message of this agent to itself.
-    Own(Box<Body>),
-    /// Look what is due.
+    /// The rank of the agent with this name was released in the agent's place.
+    RankReleased(String),
+    /// A message from this agent to itself.
+    Local(Box<Body>),
+    /// Check what is due.
     Tick,
-    /// What the order of this number left the engine in.
+    /// State of the engine after the command with this number.
     Engine {
         serial: u64,
         state: Option<EngineState>,
     },
-    /// What the durable state holds.
+    /// The decisions in the durable state.
     Standing(Option<Standing>),
-    /// The coordinator was opened.
+    /// A coordinator was opened, or that failed.
     Opened(Option<Standing>),
-    /// A number was opened so that the engine can join in this formation.
+    /// A fencing number was opened so that the engine can join this formation.
     JoinOpened {
         formation: u64,
         standing: Option<Standing>,
     },
-    /// The formation in which this agent's engine steps, for the coordinator
-    /// `to`.
+    /// Formation of this agent's engine, to be sent to the coordinator `to`.
     Formed { to: String, map: MapState },
-    /// A decision was answered.
+    /// Control answered a decision, or that failed.
     Decided(Option<DecideOutcome>),
-    /// What this agent's engine has counted, for the coordinator `to`.
+    /// Counts of this agent's engine, to be sent to the coordinator `to`.
     Counted {
         to: String,
         counts: ExpertCounts,
--- a/crates/agent/src/map/peers.rs
+++ b/crates/agent/src/map/peers.rs
@@ -17,13 +17,13 @@
     me: Identity,
     key: ClusterKey,
     cfg: LinkSettings,
-    /// Ends the links that were dialled.
+    /// Closes the links that were dialed.
     stop: CancellationToken,
-    links: Arc<Mutex<BTreeMap<String, Slot>>>,
+    links: Arc<Mutex<BTreeMap<String, LinkState>>>,
 }
 
-enum Slot {
-    Dialling,
+enum LinkState {
+    Dialing,
     Up(Link),
 }
 
@@ -38,14 +38,14 @@
         }
     }
 
-    /// Answers go out on the link that a peer last wrote on.
-    pub fn heard(&self, link: &Link) {
+    /// Records the link on which a peer last sent a message; answers use it.
+    pub fn record_link(&self, link: &Link) {
         let mut links = self.links();
-        links.insert(link.peer().name.clone(), Slot::Up(link.clone()));
+        links.insert(link.peer().name.clone(), LinkState::Up(link.clone()));
     }
 
-    /// Sends a message to `name`, if a link is up; otherwise one is dialled,
-    /// and the message is lost as it would be on the way.
+    /// Sends a message to `name` if a link is up. Otherwise dials one, and the
+    /// message may be lost.
     pub fn send(
         &self,
         name: &str,
@@ -55,17 +55,17 @@
     ) {
         let mut links = self.links();
         match links.get(name) {
-            Some(Slot::Up(link)) if !link.is_closed() => {
+            Some(LinkState::Up(link)) if !link.is_closed() => {
                 let link = link.clone();
                 tokio::spawn(async move {
-                    // The switch protocol sends again what was lost.
+                    // The switch protocol resends lost messages.
                     let _ = link.send(body).await;
                 });
             }
-            Some(Slot::Dialling) => {}
+            Some(LinkState::Dialing) => {}
             _ => {
                 let Some(address) = address else { return };
-                links.insert(name.to_owned(), Slot::Dialling);
+                links.insert(name.to_owned(), LinkState::Dialing);
                 let peers = self.clone();
                 let dial = peers.dial(name.to_owned(), address, body, inbox.clone());
                 tokio::spawn(self.stop.clone().run_until_cancelled_owned(dial));
@@ -74,16 +74,17 @@
     }
 
     async fn dial(self, name: String, address: SocketAddr, body: Body, inbox: ActorRef<MapMsg>) {
-        let dialled = wire::dial(address, &self.me, &self.key, &self.cfg).await;
-        let (link, mut rx) = match dialled {
-            Ok(dialled) => dialled,
+        let dialed = wire::dial(address, &self.me, &self.key, &self.cfg).await;
+        let (link, mut rx) = match dialed {
+            Ok(dialed) => dialed,
             Err(e) => {
-                log::warn!("can't dial agent {name}: {e}");
+                log::warn!("failed to dial agent {name}: {e}");
                 self.links().remove(&name);
                 return;
             }
         };
-        self.links().insert(name.clone(), Slot::Up(link.clone()));
+        self.links()
+            .insert(name.clone(), LinkState::Up(link.clone()));
         let _ = link.send(body).await;
         while let Some(incoming) = rx.recv().await {
             let msg = MapMsg::Incoming(Box::new(incoming));
@@ -93,7 +94,7 @@
         }
     }
 
-    fn links(&self) -> std::sync::MutexGuard<'_, BTreeMap<String, Slot>> {
+    fn links(&self) -> std::sync::MutexGuard<'_, BTreeMap<String, LinkState>> {
         self.links.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/agent/src/map/planning.rs
+++ b/crates/agent/src/map/planning.rs
@@ -1,4 +1,4 @@
-//! When a coordinator begins a switch, and to which map.
+//! Decides when a coordinator begins a switch, and to which map.
 
 use std::time::{Duration, Instant};
 
@@ -6,49 +6,49 @@
 use wire::proto::GroupLoad;
 use wire::proto::frame::Body;
 
-use crate::map::StartMap;
-use crate::map::chooser::{self, Chooser};
+use crate::map::InitialMap;
+use crate::map::map_planner::{self, MapPlanner};
 use crate::map::state::State;
 
 impl State {
-    /// Puts experts that only lost ranks held where they can be used, at once:
-    /// until then the group computes without them.
+    /// Begins a switch that restores experts held only by lost ranks. It doesn't
+    /// wait for a window, because until then the group computes without them.
     pub fn repair(&mut self, now: Instant) {
-        let (Some(coordinator), Some(chooser)) = (&self.coordinator, &mut self.chooser) else {
+        let (Some(coordinator), Some(planner)) = (&self.coordinator, &mut self.planner) else {
             return;
         };
         if !coordinator.is_idle() {
             return;
         }
-        if let Some(plan) = chooser.repair(self.present.as_ref(), &self.cx.cfg) {
+        if let Some(plan) = planner.repair(self.committed_map.as_ref(), &self.cx.cfg) {
             let (repairs, group) = (plan.repairs, &self.cx.group);
-            log::warn!("places {repairs} experts of {group} that lost ranks held");
-            self.begin(&plan, now);
+            log::warn!("restoring {repairs} experts of group {group} that only lost ranks held");
+            self.begin_switch(&plan, now);
         }
     }
 
-    fn begin(&mut self, plan: &Plan, now: Instant) {
+    fn begin_switch(&mut self, plan: &Plan, now: Instant) {
         log::info!(
             group = self.cx.group.as_str(), loads = plan.loads,
             before_us:display = micros(plan.before), after_us:display = micros(plan.after),
             even_us:display = micros(plan.even);
-            "switches the expert map"
+            "switching the expert map"
         );
-        let loading = chooser::loading(plan, &self.cx.cfg);
+        let load_time = map_planner::load_time(plan, &self.cx.cfg);
         if let Some(coordinator) = &mut self.coordinator {
-            let outputs = coordinator.begin(plan.map.to_bytes(), loading, now);
-            self.coordinate(outputs);
+            let outputs = coordinator.begin(plan.map.to_bytes(), load_time, now);
+            self.handle_coordinator_outputs(outputs);
         }
     }
 
-    /// Asks all ranks what they have counted since they were asked last.
-    pub fn ask_counts(&mut self, now: Instant) {
+    /// Requests from all ranks the counts since the last request.
+    pub fn request_counts(&mut self, now: Instant) {
         self.window_ends = now + self.cx.cfg.window;
         let Some(coordinator) = &self.coordinator else {
             return;
         };
-        self.asked_idle = coordinator.is_idle();
-        self.begins &= !self.asked_idle;
+        self.idle_when_requested = coordinator.is_idle();
+        self.awaits_first_counts &= !self.idle_when_requested;
         for name in self.members.names() {
             let load = GroupLoad {
                 group: self.cx.group.clone(),
@@ -58,53 +58,56 @@
         }
     }
 
-    /// Learns from the counts once all ranks have told theirs, and begins a
-    /// switch if one pays.
-    pub fn counted_by_all(&mut self, now: Instant) {
-        let complete = self.chooser.as_ref().is_some_and(Chooser::is_complete);
+    /// Evaluates the counts once all ranks have reported, and begins a switch if
+    /// it pays off.
+    pub fn plan_if_complete(&mut self, now: Instant) {
+        let complete = self.planner.as_ref().is_some_and(MapPlanner::is_complete);
         let (true, Some(coordinator), Some(group)) =
-            (complete, &self.coordinator, self.cx.offered())
+            (complete, &self.coordinator, self.cx.group_info())
         else {
             return;
         };
         let idle = coordinator.is_idle();
-        self.heed_start_map();
-        let pass = self.usual_pass(now);
-        let Some(chooser) = &mut self.chooser else {
+        self.reset_to_initial_map();
+        let step_time = self.step_time(now);
+        let Some(planner) = &mut self.planner else {
             return;
         };
-        chooser.observe(self.present.as_ref(), self.cx.cfg.start);
+        planner.observe(self.committed_map.as_ref(), self.cx.cfg.initial_map);
         if !idle {
             return;
         }
         if let Some(coordinator) = &mut self.coordinator {
-            coordinator.set_step_time(pass);
+            coordinator.set_step_time(step_time);
         }
-        let plan = chooser.plan(self.present.as_ref(), &group, &self.cx.cfg);
+        let plan = planner.plan(self.committed_map.as_ref(), &group, &self.cx.cfg);
         let need = self.cx.cfg.need;
-        let is_needed = |plan: &Plan| need.is_none_or(|need| need.is_met(plan, pass));
+        let is_needed = |plan: &Plan| need.is_none_or(|need| need.is_met(plan, step_time));
         if let Some(plan) = plan.filter(is_needed) {
-            self.begin(&plan, now);
+            self.begin_switch(&plan, now);
         }
     }
 
-    /// Usual time of a pass since the ranks were counted before.
-    fn usual_pass(&mut self, now: Instant) -> Option<Duration> {
-        let step = self.chooser.as_ref()?.step()?;
+    /// Typical duration of a step since the previous counts.
+    fn step_time(&mut self, now: Instant) -> Option<Duration> {
+        let step = self.planner.as_ref()?.step()?;
         self.steps.observe(step, now)
     }
 
-    /// Engines that start each formation on their start map are on it again,
-    /// whatever was committed before.
-    fn heed_start_map(&mut self) {
-        let version = self.chooser.as_ref().and_then(Chooser::version);
-        if self.cx.cfg.start == StartMap::Bare && version == Some(0) && self.asked_idle {
-            self.present = None;
+    /// Drops the committed map if the engines of a new formation have started on
+    /// their initial map again.
+    fn reset_to_initial_map(&mut self) {
+        let version = self.planner.as_ref().and_then(MapPlanner::version);
+        if self.cx.cfg.initial_map == InitialMap::Unreplicated
+            && version == Some(0)
+            && self.idle_when_requested
+        {
+            self.committed_map = None;
         }
     }
 }
 
-/// Seconds as whole microseconds, for a log line.
+/// Seconds as whole microseconds.
 fn micros(seconds: f64) -> u128 {
     Duration::try_from_secs_f64(seconds).map_or(0, |time| time.as_micros())
 }
--- a/crates/agent/src/map/settings.rs
+++ b/crates/agent/src/map/settings.rs
@@ -5,35 +5,35 @@
 use cfg::Reader;
 use expert::{MoveCost, SwitchNeed, SwitchTiming};
 
-/// When expert maps are planned, and how they are switched.
+/// Settings of the planning and switching of expert maps.
 #[derive(Clone, Debug)]
 pub struct MapSettings {
-    /// Length of a window: loads are counted and a map is planned once in each.
+    /// Length of a window; loads are counted and a map is planned once per window.
     pub window: Duration,
-    /// Between two looks at which ranks step together.
-    pub formation: Duration,
-    /// Windows over which a move is expected to go on paying.
-    pub horizon: u32,
-    /// What loading experts costs.
+    /// Interval at which the formation is polled.
+    pub formation_interval: Duration,
+    /// Number of windows over which a move is expected to pay off.
+    pub horizon_windows: u32,
+    /// Cost of loading experts.
     pub cost: MoveCost,
     /// Times of a switch.
     pub timing: SwitchTiming,
-    /// Experts new to one rank in one layer that a switch may bring at most.
-    pub most_new: usize,
-    /// The map that engines start with.
-    pub start: StartMap,
-    /// When a switch is worth its price beside what moves cost; always, if
-    /// none is given.
+    /// Maximum number of experts per rank and layer that one switch may add.
+    pub max_new_experts: usize,
+    /// The map with which engines start.
+    pub initial_map: InitialMap,
+    /// Condition for a switch in addition to the cost of its moves; `None` for no
+    /// condition.
     pub need: Option<SwitchNeed>,
 }
 
-/// The map that engines start with.
+/// The map with which engines start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StartMap {
-    /// Experts in order, spare slots with further copies.
-    Copies,
-    /// Experts in turn, spare slots empty; each formation starts with it.
-    Bare,
+pub enum InitialMap {
+    /// Experts in order; spare slots hold further copies.
+    Replicated,
+    /// Experts dealt round-robin, spare slots empty; each formation starts with it.
+    Unreplicated,
 }
 
 impl MapSettings {
@@ -47,8 +47,8 @@
         let store = r.within("store_bytes_per_s", 1000 * MIB, 1..=1 << 50);
         MapSettings {
             window,
-            formation: time(r, "formation_ms", Duration::from_secs(2)),
-            horizon: r.within("horizon_windows", 12, 1..=10_000),
+            formation_interval: time(r, "formation_ms", Duration::from_secs(2)),
+            horizon_windows: r.within("horizon_windows", 12, 1..=10_000),
             cost: MoveCost {
                 expert_bytes: r.within("expert_bytes", 42 * MIB, 1..=1 << 40),
                 store_bytes_per_s: precise(store),
@@ -64,8 +64,8 @@
                 lead_steps: r.within("lead_steps", defaults.lead_steps, 1..=1_000_000),
                 lead_time: defaults.lead_time,
             },
-            most_new: usize::MAX,
-            start: StartMap::Copies,
+            max_new_experts: usize::MAX,
+            initial_map: InitialMap::Replicated,
             need: None,
         }
     }
--- a/crates/agent/src/map/state.rs
+++ b/crates/agent/src/map/state.rs
@@ -1,4 +1,4 @@
-//! Participant and coordinator of one agent, and what they want done.
+//! State of the map actor.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -14,21 +14,22 @@
 use wire::proto::frame::Body;
 
 use crate::command::CommandQueue;
-use crate::map::chooser::Chooser;
 use crate::map::control_call::ControlCall;
 use crate::map::formations::Formations;
+use crate::map::map_actor::MapActorArgs;
 use crate::map::map_context::MapContext;
+use crate::map::map_planner::MapPlanner;
 use crate::map::members::Members;
 use crate::map::msg::MapMsg;
-use crate::map::party::Party;
+use crate::map::participants::Participants;
 use crate::map::peers::Peers;
-use crate::map::stand_in::{StandIn, let_go};
-use crate::map::switcher::Start;
+use crate::map::rank_releaser::{RankReleaser, release_rank};
 use crate::map::translate::{self, Received};
-use crate::map::windows::Windows;
+use crate::map::window_counter::WindowCounter;
 use crate::map::{control_calls, engine_calls};
 
-/// Participant and coordinator of one agent, and what they want done.
+/// State of the map actor: drives the participant and, while this agent
+/// coordinates, the coordinator.
 pub(crate) struct State {
     pub cx: Arc<MapContext>,
     commands: CommandQueue,
@@ -38,108 +39,108 @@
     pub coordinator: Option<Coordinator>,
     pub members: Members,
     pub formations: Formations,
-    pub party: Party,
+    pub participants: Participants,
     formation_due: Instant,
-    pub chooser: Option<Chooser>,
-    /// The newest committed map, as the coordinator knows it; `None` before
-    /// the first.
-    pub present: Option<Map>,
-    pub windows: Windows,
+    pub planner: Option<MapPlanner>,
+    /// The newest committed map that the coordinator knows; `None` before the
+    /// first.
+    pub committed_map: Option<Map>,
+    pub windows: WindowCounter,
     pub window_ends: Instant,
-    /// Number of the last order to the engine.
+    /// Number of the last command to the engine.
     serial: u64,
-    stand_in: StandIn,
-    /// When it is logged again what the coordinator waits for.
-    pub log_at: Instant,
-    /// How long steps take.
+    rank_releaser: RankReleaser,
+    /// When to log next what the coordinator waits for.
+    pub next_waiting_log: Instant,
+    /// Measures the duration of steps.
     pub steps: StepClock,
-    /// The coordinator has not asked for counts yet since it began.
-    pub begins: bool,
-    /// No switch was under way when the ranks were last asked for their counts,
-    /// so that they counted on the map that is in use.
-    pub asked_idle: bool,
-    /// Calls to control that are on their way.
+    /// The coordinator hasn't requested counts yet since it started.
+    pub awaits_first_counts: bool,
+    /// No switch was under way when counts were last requested, so they were
+    /// taken on the map in use.
+    pub idle_when_requested: bool,
+    /// Calls to control that are in flight.
     calls: BTreeSet<ControlCall>,
 }
 
 impl State {
-    pub fn new(start: Start, inbox: ActorRef<MapMsg>) -> Self {
+    pub fn new(args: MapActorArgs, inbox: ActorRef<MapMsg>) -> Self {
         let now = Instant::now();
-        let maps = &start.cx.cfg;
+        let maps = &args.cx.cfg;
         State {
             participant: Participant::new(maps.timing, now),
             window_ends: now + maps.window,
-            cx: start.cx,
-            commands: start.commands,
-            peers: start.peers,
+            cx: args.cx,
+            commands: args.commands,
+            peers: args.peers,
             inbox,
             coordinator: None,
             members: Members::default(),
             formations: Formations::default(),
-            party: Party::default(),
+            participants: Participants::default(),
             formation_due: now,
-            chooser: None,
-            present: None,
-            windows: Windows::default(),
+            planner: None,
+            committed_map: None,
+            windows: WindowCounter::default(),
             serial: 0,
-            begins: false,
-            asked_idle: false,
+            awaits_first_counts: false,
+            idle_when_requested: false,
             steps: StepClock::default(),
-            log_at: now,
-            stand_in: StandIn::default(),
+            next_waiting_log: now,
+            rank_releaser: RankReleaser::default(),
             calls: BTreeSet::new(),
         }
     }
 
-    pub fn take(&mut self, msg: MapMsg) {
+    pub fn handle(&mut self, msg: MapMsg) {
         let now = Instant::now();
         match msg {
             MapMsg::Incoming(incoming) => {
                 let Incoming { body, link, .. } = *incoming;
-                self.peers.heard(&link);
+                self.peers.record_link(&link);
                 let from = link.peer().name.clone();
                 self.receive(&from, body, now);
             }
-            MapMsg::Own(body) => {
+            MapMsg::Local(body) => {
                 let me = self.cx.name.clone();
                 self.receive(&me, *body, now);
             }
             MapMsg::Tick => self.tick(now),
-            // The answer to an order that was given up is not the next one's.
+            // A late answer to an abandoned command is ignored.
             MapMsg::Engine { serial, .. } if serial != self.serial => {}
             MapMsg::Engine { state, .. } => {
                 let outputs = self.participant.on_engine(state, now);
-                self.participate(outputs);
+                self.handle_participant_outputs(outputs);
             }
             MapMsg::Standing(standing) => {
-                self.calls.remove(&ControlCall::Ask);
+                self.calls.remove(&ControlCall::ReadStanding);
                 if let Some(standing) = standing {
                     let outputs = self.participant.on_standing(&standing, now);
-                    self.participate(outputs);
+                    self.handle_participant_outputs(outputs);
                 }
             }
-            MapMsg::Opened(standing) => self.opened(standing, now),
-            MapMsg::Decided(outcome) => self.decided(outcome, now),
+            MapMsg::Opened(standing) => self.on_opened(standing, now),
+            MapMsg::Decided(outcome) => self.on_decided(outcome, now),
             MapMsg::JoinOpened {
                 formation,
                 standing,
             } => {
-                self.calls.remove(&ControlCall::Join);
+                self.calls.remove(&ControlCall::OpenToJoin);
                 if let Some(standing) = standing {
                     let outputs = self.participant.on_opened(formation, &standing, now);
-                    self.participate(outputs);
+                    self.handle_participant_outputs(outputs);
                 }
             }
-            MapMsg::LetGo(name) => self.let_go(&name, now),
-            MapMsg::Formed { to, map } => self.formed(&to, map),
-            MapMsg::Counted { to, counts, map } => self.counted(&to, counts, &map),
+            MapMsg::RankReleased(name) => self.rank_released(&name, now),
+            MapMsg::Formed { to, map } => self.send_formation(&to, map),
+            MapMsg::Counted { to, counts, map } => self.send_counts(&to, counts, &map),
         }
     }
 
     fn receive(&mut self, from: &str, body: Body, now: Instant) {
         let body = match body {
             Body::GroupLoad(load) => {
-                self.group_load(from, load);
+                self.on_group_load(from, load);
                 return;
             }
             body => body,
@@ -147,47 +148,47 @@
         match translate::from_body(&self.cx.group, body) {
             Some(Received::Participant(message)) => {
                 let outputs = self.participant.on_message(from, message, now);
-                self.participate(outputs);
+                self.handle_participant_outputs(outputs);
             }
             Some(Received::Coordinator(message)) => {
                 if let Some(coordinator) = &mut self.coordinator {
                     let outputs = coordinator.on_message(from, message, now);
-                    self.coordinate(outputs);
+                    self.handle_coordinator_outputs(outputs);
                 }
             }
-            None => log::debug!("passed over a message of {from}"),
+            None => log::debug!("ignored an unexpected message from {from}"),
         }
     }
 
     fn tick(&mut self, now: Instant) {
         let outputs = self.participant.tick(now);
-        self.participate(outputs);
-        self.elect(now);
+        self.handle_participant_outputs(outputs);
+        self.update_coordinator(now);
         if let Some(coordinator) = &mut self.coordinator {
             let outputs = coordinator.tick(now);
-            self.coordinate(outputs);
+            self.handle_coordinator_outputs(outputs);
         }
-        self.let_ranks_go(now);
+        self.release_ranks(now);
         self.log_waiting(now);
         if now >= self.formation_due {
-            self.formation_due = now + self.cx.cfg.formation;
-            self.ask_formation();
+            self.formation_due = now + self.cx.cfg.formation_interval;
+            self.request_formations();
         }
         self.repair(now);
-        if now >= self.window_ends || self.begins_to_count() {
-            self.ask_counts(now);
+        if now >= self.window_ends || self.first_counts_due() {
+            self.request_counts(now);
         }
     }
 
-    /// Whether a coordinator that has just begun can ask for its first counts.
-    /// Were they asked for at the end of the window only, a group that has
-    /// formed anew would run on its start map for up to that much longer.
-    fn begins_to_count(&self) -> bool {
-        self.begins && self.coordinator.as_ref().is_some_and(Coordinator::is_idle)
+    /// Whether a coordinator that has just started can request its first counts.
+    /// If it waited for the end of the window, a newly formed group would run on
+    /// its initial map for up to one window longer.
+    fn first_counts_due(&self) -> bool {
+        self.awaits_first_counts && self.coordinator.as_ref().is_some_and(Coordinator::is_idle)
     }
 
-    /// Lets ranks go whose agents stand still or have gone.
-    fn let_ranks_go(&mut self, now: Instant) {
+    /// Releases held ranks whose agents are unresponsive or gone.
+    fn release_ranks(&mut self, now: Instant) {
         let Some(coordinator) = &self.coordinator else {
             return;
         };
@@ -198,97 +199,97 @@
         }
         let fencing = coordinator.fencing();
         let live = &self.members.addresses;
-        for (name, address) in self.stand_in.due(telling, &waiting, live, now) {
-            let release = self.stand_in.release(fencing);
+        for (name, address) in self.rank_releaser.due(telling, &waiting, live, now) {
+            let decided = self.rank_releaser.decided_switches(fencing);
             let (cx, inbox) = (Arc::clone(&self.cx), self.inbox.clone());
             tokio::spawn(async move {
-                if let_go(cx, address, release).await {
-                    let _ = inbox.send_message(MapMsg::LetGo(name));
+                if release_rank(cx, address, decided).await {
+                    let _ = inbox.send_message(MapMsg::RankReleased(name));
                 }
             });
         }
     }
 
-    /// A rank was let go in its agent's place, under the highest number that
-    /// there is for this coordinator. The next switch needs a higher one, which
-    /// the agent has to learn of.
-    fn let_go(&mut self, name: &str, now: Instant) {
-        log::info!(agent = name; "coordinates anew after a rank was let go");
-        self.begin_coordination(now);
+    /// Restarts the coordinator after it released a rank in place of the rank's
+    /// agent. The release used the highest serial under this coordinator's fencing
+    /// number, so the agent's commands for the next switch need a higher number.
+    fn rank_released(&mut self, name: &str, now: Instant) {
+        log::info!(agent = name; "restarting the coordinator after releasing a rank in place of its agent");
+        self.restart_coordinator(now);
     }
 
-    /// Takes up or gives up the coordinator's part.
-    fn elect(&mut self, now: Instant) {
+    /// Starts, keeps or stops the coordinator according to the member view.
+    fn update_coordinator(&mut self, now: Instant) {
         let view = self.cx.follower.view();
-        let group = self.cx.offered();
+        let group = self.cx.group_info();
         let ranks = group.as_ref().map_or(0, |group| group.ranks);
         let members = Members::new(&view, &self.cx.group);
-        // A leader that has just been elected hears of all nodes within the
-        // time of a lease only. Nobody is missing once each rank has its agent.
+        // A newly elected leader knows all nodes only after the lease time. If
+        // every rank has an agent, no one is missing.
         if !view.settled && !members.has_all(ranks) {
             return;
         }
-        self.stand_in.know(&members.engines);
+        self.rank_releaser.add_engines(&members.engines);
         if members.lowest() != Some(&self.cx.name) {
             self.coordinator = None;
-            self.chooser = None;
+            self.planner = None;
             return;
         }
         let deposed = self
             .coordinator
             .as_ref()
             .is_none_or(Coordinator::is_deposed);
-        self.formations.keep(&members.addresses);
-        let party = Party::new(&members, self.formations.newest(), ranks);
+        self.formations.retain_agents(&members.addresses);
+        let participants = Participants::new(&members, self.formations.newest(), ranks);
         self.members = members;
         if self.coordinator.is_none() {
             self.formation_due = now;
         }
-        if deposed || party != self.party {
-            log::info!("coordinates the expert maps of {}", self.cx.group);
-            self.party = party;
-            self.begin_coordination(now);
-            self.choose_for(group.as_ref());
+        if deposed || participants != self.participants {
+            log::info!("coordinating the expert maps of group {}", self.cx.group);
+            self.participants = participants;
+            self.restart_coordinator(now);
+            self.update_planner(group.as_ref());
         }
     }
 
-    /// Begins the coordinator's part anew, under a new number.
-    fn begin_coordination(&mut self, now: Instant) {
-        self.begins = true;
-        let agents = self.party.agents.clone();
-        let (formation, timing) = (self.party.formation, self.cx.cfg.timing);
+    /// Starts a new coordinator, which gets a new fencing number.
+    fn restart_coordinator(&mut self, now: Instant) {
+        self.awaits_first_counts = true;
+        let agents = self.participants.agents.clone();
+        let (formation, timing) = (self.participants.formation, self.cx.cfg.timing);
         self.coordinator = Some(Coordinator::new(agents, formation, timing, now));
     }
 
-    /// Takes the chooser to the ranks that step now. Without all of them
-    /// there is none, and no switch begins.
-    fn choose_for(&mut self, group: Option<&Group>) {
-        let chooser = self.chooser.take();
-        let Some((group, ranks)) = group.zip(self.party.ranks.clone()) else {
+    /// Adapts the planner to the ranks of the present formation. If the placement
+    /// is unknown, there is no planner and no switch begins.
+    fn update_planner(&mut self, group: Option<&Group>) {
+        let planner = self.planner.take();
+        let Some((group, ranks)) = group.zip(self.participants.ranks.clone()) else {
             return;
         };
-        self.chooser = match chooser.filter(|chooser| chooser.is_for(group)) {
-            Some(mut chooser) => {
-                chooser.set_party(ranks);
-                Some(chooser)
+        self.planner = match planner.filter(|planner| planner.is_for(group)) {
+            Some(mut planner) => {
+                planner.set_placement(ranks);
+                Some(planner)
             }
-            None => Chooser::new(group, ranks),
+            None => MapPlanner::new(group, ranks),
         };
     }
 
-    fn opened(&mut self, standing: Option<Standing>, now: Instant) {
+    fn on_opened(&mut self, standing: Option<Standing>, now: Instant) {
         self.calls.remove(&ControlCall::Open);
         let (Some(standing), Some(coordinator)) = (standing, &mut self.coordinator) else {
             return;
         };
         let outputs = coordinator.on_opened(&standing, now);
-        self.stand_in.opened(&standing);
+        self.rank_releaser.opened(&standing);
         let newest = standing.committed.first();
-        self.present = newest.and_then(|decision| Map::from_bytes(decision.map.clone()).ok());
-        self.coordinate(outputs);
+        self.committed_map = newest.and_then(|decision| Map::from_bytes(decision.map.clone()).ok());
+        self.handle_coordinator_outputs(outputs);
     }
 
-    fn decided(&mut self, outcome: Option<DecideOutcome>, now: Instant) {
+    fn on_decided(&mut self, outcome: Option<DecideOutcome>, now: Instant) {
         self.calls.remove(&ControlCall::Decide);
         let (Some(outcome), Some(coordinator)) = (outcome, &mut self.coordinator) else {
             return;
@@ -297,16 +298,16 @@
             && decision.verdict == Verdict::Commit
             && let Ok(map) = Map::from_bytes(decision.map.clone())
         {
-            self.present = Some(map);
+            self.committed_map = Some(map);
         }
         if let DecideOutcome::Accepted(decision) = &outcome {
-            self.stand_in.decided(decision);
+            self.rank_releaser.decided(decision);
         }
         let outputs = coordinator.on_decided(outcome, now);
-        self.coordinate(outputs);
+        self.handle_coordinator_outputs(outputs);
     }
 
-    pub fn coordinate(&mut self, outputs: Vec<CoordinatorOutput>) {
+    pub fn handle_coordinator_outputs(&mut self, outputs: Vec<CoordinatorOutput>) {
         for output in outputs {
             match output {
                 CoordinatorOutput::Open if self.calls.contains(&ControlCall::Open) => {}
@@ -320,7 +321,7 @@
                     log::info!(
                         group = self.cx.group.as_str(), version = decision.version,
                         step = decision.barrier_step, fencing = decision.fencing;
-                        "asks for the decision to {:?} the expert map", decision.verdict
+                        "requesting the decision to {:?} the expert map", decision.verdict
                     );
                     self.calls.insert(ControlCall::Decide);
                     let (cx, inbox) = (Arc::clone(&self.cx), self.inbox.clone());
@@ -330,32 +331,35 @@
                     let body = translate::to_participant(&self.cx.group, message);
                     self.send(&to, body);
                 }
-                CoordinatorOutput::Deposed => log::info!("another agent coordinates"),
+                CoordinatorOutput::Deposed => {
+                    log::info!("deposed as map coordinator; another agent coordinates");
+                }
             }
         }
     }
 
-    fn participate(&mut self, outputs: Vec<ParticipantOutput>) {
+    fn handle_participant_outputs(&mut self, outputs: Vec<ParticipantOutput>) {
         for output in outputs {
             match output {
-                ParticipantOutput::Open { .. } if self.calls.contains(&ControlCall::Join) => {}
+                ParticipantOutput::Open { .. } if self.calls.contains(&ControlCall::OpenToJoin) => {
+                }
                 ParticipantOutput::Open { formation } => {
-                    self.calls.insert(ControlCall::Join);
+                    self.calls.insert(ControlCall::OpenToJoin);
                     let (cx, inbox) = (Arc::clone(&self.cx), self.inbox.clone());
                     tokio::spawn(control_calls::open_to_join(cx, formation, inbox));
                 }
-                ParticipantOutput::Ask if self.calls.contains(&ControlCall::Ask) => {}
+                ParticipantOutput::Ask if self.calls.contains(&ControlCall::ReadStanding) => {}
                 ParticipantOutput::Ask => {
-                    self.calls.insert(ControlCall::Ask);
+                    self.calls.insert(ControlCall::ReadStanding);
                     let (cx, inbox) = (Arc::clone(&self.cx), self.inbox.clone());
-                    tokio::spawn(control_calls::ask(cx, inbox));
+                    tokio::spawn(control_calls::read_standing(cx, inbox));
                 }
                 ParticipantOutput::Order(order) => {
                     self.serial += 1;
                     let (cx, inbox) = (Arc::clone(&self.cx), self.inbox.clone());
                     let commands = self.commands.clone();
-                    let order = engine_calls::order(cx, commands, self.serial, order, inbox);
-                    tokio::spawn(order);
+                    let command = engine_calls::run_order(cx, commands, self.serial, order, inbox);
+                    tokio::spawn(command);
                 }
                 ParticipantOutput::Send { to, message } => {
                     let body = translate::to_coordinator(&self.cx.group, message);
@@ -367,7 +371,7 @@
 
     pub fn send(&self, to: &str, body: Body) {
         if to == self.cx.name {
-            let _ = self.inbox.send_message(MapMsg::Own(Box::new(body)));
+            let _ = self.inbox.send_message(MapMsg::Local(Box::new(body)));
             return;
         }
         let address = self.members.addresses.get(to).copied();
--- a/crates/agent/src/map/translate.rs
+++ b/crates/agent/src/map/translate.rs
@@ -1,4 +1,4 @@
-//! The messages between agents and control, and the expert crate's own types.
+//! Conversions between protocol messages and the types of the expert crate.
 
 use expert::{
     CoordinatorMessage, DecideOutcome, Decision, ParticipantMessage, Refusal, Standing, Verdict,
@@ -9,7 +9,7 @@
     StageMap, Staged,
 };
 
-/// A coordinator's message as it is sent.
+/// Encodes a coordinator's message.
 pub(crate) fn to_participant(group: &str, message: CoordinatorMessage) -> Body {
     let group = group.to_owned();
     match message {
@@ -50,7 +50,7 @@
     }
 }
 
-/// A participant's answer as it is sent.
+/// Encodes a participant's answer.
 pub(crate) fn to_coordinator(group: &str, message: ParticipantMessage) -> Body {
     let group = group.to_owned();
     match message {
@@ -85,13 +85,13 @@
     }
 }
 
-/// What was received, for one of the two state machines.
+/// A received message, for one of the two state machines.
 pub(crate) enum Received {
     Participant(CoordinatorMessage),
     Coordinator(ParticipantMessage),
 }
 
-/// A message of a switch in `group`; `None` for anything else.
+/// Decodes a message about a switch in `group`; `None` for any other message.
 pub(crate) fn from_body(group: &str, body: Body) -> Option<Received> {
     let received = match body {
         Body::StageMap(m) if m.group == group => Received::Participant(CoordinatorMessage::Stage {
@@ -142,7 +142,7 @@
     Some(received)
 }
 
-/// What control holds for the group.
+/// Decodes the decisions that control holds for a group.
 pub(crate) fn standing(outcome: CoordinatorOutcome) -> Standing {
     Standing {
         fencing: outcome.fencing,
@@ -152,7 +152,7 @@
     }
 }
 
-/// A decision as it is proposed.
+/// Encodes a decision for a proposal.
 pub(crate) fn decide(group: &str, decision: Decision) -> DecideMap {
     DecideMap {
         group: group.to_owned(),
@@ -164,8 +164,8 @@
     }
 }
 
-/// Control's answer to a decision. Why it was refused isn't told: whatever
-/// the reason, this coordinator has to open again.
+/// Decodes control's answer to a decision. The answer has no reason for a refusal;
+/// in any case the coordinator must open again.
 pub(crate) fn decided(answer: MapDecision) -> DecideOutcome {
     if answer.accepted {
         return DecideOutcome::Accepted(decision(answer));
--- a/crates/agent/src/map/waiting.rs
+++ b/crates/agent/src/map/waiting.rs
@@ -1,32 +1,31 @@
-//! What a switch waits for, as the log tells.
+//! Logs what a switch waits for.
 
 use std::time::{Duration, Instant};
 
-use crate::map::chooser::Chooser;
+use crate::map::map_planner::MapPlanner;
 use crate::map::state::State;
 
-/// Between two lines about what a switch waits for: a switch that goes well is
-/// over by then.
-const LOG_WAITING: Duration = Duration::from_secs(1);
+/// Interval of the log lines; longer than a switch without problems takes.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 impl State {
-    /// Says from time to time what a switch waits for.
+    /// Logs from time to time what a switch waits for.
     pub fn log_waiting(&mut self, now: Instant) {
-        if now < self.log_at {
+        if now < self.next_waiting_log {
             return;
         }
-        self.log_at = now + LOG_WAITING;
+        self.next_waiting_log = now + LOG_INTERVAL;
         let Some(coordinator) = &self.coordinator else {
             return;
         };
         let (phase, waiting) = coordinator.standing();
-        let counted = self.chooser.as_ref().map_or(0, Chooser::counted);
-        let known = self.party.ranks.is_some();
-        if phase != "idle" || !known || self.chooser.is_none() {
+        let counted = self.planner.as_ref().map_or(0, MapPlanner::counted);
+        let known = self.participants.ranks.is_some();
+        if phase != "idle" || !known || self.planner.is_none() {
             log::info!(
                 group = self.cx.group.as_str(), phase = phase, waiting:? = waiting,
-                formation = self.party.formation, ranks_known = known, counted = counted;
-                "expert map waits"
+                formation = self.participants.formation, ranks_known = known, counted = counted;
+                "expert map switch is waiting"
             );
         }
     }
--- a/crates/agent/src/map/windows.rs
+++ b/crates/agent/src/map/window_counter.rs
@@ -1,4 +1,4 @@
-//! What an engine counted in a window.
+//! Expert counts of one window.
 
 use std::collections::BTreeMap;
 
@@ -6,18 +6,18 @@
 
 use crate::engine::ExpertCounts;
 
-/// Turns an engine's growing counts into those of a window.
+/// Turns an engine's cumulative counts into counts per window.
 #[derive(Debug, Default)]
-pub(crate) struct Windows {
-    before: BTreeMap<u32, Vec<u64>>,
+pub(crate) struct WindowCounter {
+    previous: BTreeMap<u32, Vec<u64>>,
 }
 
-impl Windows {
-    /// What was counted since the last call. At the first it is nothing, or on
-    /// the start map all that was counted so far: most ranks that are on it
-    /// were started just now, and a map for what was asked since the start is
-    /// better than none.
-    pub fn next(&mut self, counts: ExpertCounts) -> Vec<RankWindow> {
+impl WindowCounter {
+    /// The counts since the last call. The first call returns nothing for a rank,
+    /// unless the rank is on its initial map: then it returns all counts so far,
+    /// because most such ranks have just started, and a map for the load since the
+    /// start is better than none.
+    pub fn next_window(&mut self, counts: ExpertCounts) -> Vec<RankWindow> {
         let mut windows = Vec::new();
         for rank in counts.ranks {
             let tokens: Vec<u64> = rank.tokens.into_iter().flatten().collect();
@@ -31,10 +31,10 @@
             };
             let nothing = Vec::new();
             let fresh = counts.map_version == 0;
-            let before = self.before.get(&rank.rank);
+            let before = self.previous.get(&rank.rank);
             let before = before.or(fresh.then_some(&nothing));
             windows.extend(before.map(window));
-            self.before.insert(rank.rank, tokens);
+            self.previous.insert(rank.rank, tokens);
         }
         windows
     }
@@ -49,7 +49,8 @@
     (ratio * 1_000.0) as u32
 }
 
-/// An engine that restarted counts from zero again.
+/// Counts since `before`. A count that went down was reset by a restart of the
+/// engine and is taken in full.
 fn difference(tokens: &[u64], before: &[u64]) -> Vec<u32> {
     let since = |(now, before): (&u64, &u64)| now.checked_sub(*before).unwrap_or(*now);
     let before = before.iter().chain(std::iter::repeat(&0));
--- a/crates/agent/src/map_agent.rs
+++ b/crates/agent/src/map_agent.rs
@@ -1,4 +1,4 @@
-//! An agent that only takes its rank through switches of the expert map.
+//! An agent that only switches expert maps.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,45 +12,45 @@
 use wire::{ClusterKey, Identity, LinkSettings};
 
 use crate::engine::{ArmingDialect, ClientSettings, TargetClient};
-use crate::map::{MapContext, MapSettings, Maps, Offers};
+use crate::map::{GroupSource, MapContext, MapHandle, MapSettings};
 
 /// Settings of an agent that only switches maps.
 #[derive(Clone)]
 pub struct MapAgentSettings {
-    /// Who the agent is on links.
+    /// Identity of the agent on links.
     pub me: Identity,
     /// Name of the group.
     pub group: String,
     /// Number of the rank.
     pub rank: u32,
-    /// Where its engine answers.
+    /// Address of the engine.
     pub engine: SocketAddr,
-    /// How it is spoken to.
+    /// Wire format of the engine's commands.
     pub dialect: ArmingDialect,
-    /// The way to control, under the same identity: a second one would pass for
-    /// another process of that name.
+    /// Connection to control under the same identity; a second one would be taken
+    /// for another process of that name.
     pub follower: Follower,
-    /// Between two looks at what is due.
+    /// Interval of ticks.
     pub poll: Duration,
     /// The cluster key.
     pub key: ClusterKey,
-    /// Times of links.
+    /// Settings of links.
     pub link: LinkSettings,
-    /// Times towards the engine.
+    /// Timeouts of requests to the engine.
     pub client: ClientSettings,
-    /// When maps are planned, and how they are switched.
+    /// Settings of planning and switching.
     pub maps: MapSettings,
 }
 
-/// An agent that only takes its rank through switches of the expert map:
-/// requests go to the engine without it. It ends when it is dropped.
+/// An agent that only switches the expert map of its rank; requests reach the
+/// engine without it. Dropping it stops it.
 pub struct MapAgent {
     group: Arc<Mutex<Option<Group>>>,
     _stop: DropGuard,
 }
 
 impl MapAgent {
-    /// Starts it.
+    /// Starts the agent.
     ///
     /// # Errors
     ///
@@ -73,7 +73,7 @@
             poll: cfg.poll,
             follower: cfg.follower.clone(),
             target_client: TargetClient::arming(cfg.engine, cfg.dialect, cfg.client),
-            offers: Offers::Told(Arc::clone(&group)),
+            group_source: GroupSource::Shared(Arc::clone(&group)),
             stop: stop.clone(),
         });
         let commands = crate::command::start(Arc::clone(&cx)).await?;
@@ -86,7 +86,7 @@
         })
     }
 
-    /// Tells the dimensions of the group; until then none is planned for.
+    /// Sets the dimensions of the group; until then no map is planned.
     pub fn set_group(&self, group: Group) {
         let mut known = self.group.lock().unwrap_or_else(PoisonError::into_inner);
         *known = Some(group);
@@ -98,14 +98,14 @@
     me: Identity,
     key: ClusterKey,
     cfg: LinkSettings,
-    maps: Maps,
+    maps: MapHandle,
     follower: Follower,
 ) {
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                log::warn!("accepting a link failed: {e}");
+                log::warn!("failed to accept a link: {e}");
                 tokio::time::sleep(cfg.beat).await;
                 continue;
             }
@@ -121,7 +121,7 @@
                 if crate::links::is_relayed(&incoming.body) {
                     follower.relay(incoming);
                 } else {
-                    maps.take(incoming);
+                    maps.deliver(incoming);
                 }
             }
             link.close();
--- a/crates/agent/src/rank_agent.rs
+++ b/crates/agent/src/rank_agent.rs
@@ -1,4 +1,4 @@
-//! Keeps an agent for the rank that an engine is, whichever that is.
+//! Runs a map agent for whichever rank an engine has.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -15,105 +15,105 @@
 use wire::{ClusterKey, Identity, LinkSettings, Role};
 
 use crate::engine::{ArmingDialect, ArmingState, ClientSettings, TargetClient};
-use crate::{MapAgent, MapAgentSettings, MapSettings, StartMap};
+use crate::{InitialMap, MapAgent, MapAgentSettings, MapSettings};
 
-/// Between two renewals of the lease, a third of it.
-const RENEW: Duration = Duration::from_millis(200);
-/// Between two looks at what is due in a switch: a tenth of the time that a
-/// switch takes.
-const POLL: Duration = Duration::from_millis(25);
-/// Between two tries while engine or control don't answer yet.
-const AGAIN: Duration = Duration::from_millis(150);
-/// Between two looks at which rank the engine is, and how fast.
-const LOOK: Duration = Duration::from_millis(200);
-/// Wait for control's answer.
-const ANSWER: Duration = Duration::from_secs(2);
-/// Length of a window: popularity changes every few seconds, and a map that
-/// comes later than a fraction of that is of little use.
+/// Interval of lease renewals: a third of the lease time.
+const RENEW_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval of ticks during a switch: a tenth of the time that a switch takes.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Delay between two tries while the engine or control doesn't answer yet.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Interval at which the rank and the speed of the engine are polled.
+const ENGINE_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Timeout of queries to control.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Length of a window. Expert popularity changes every few seconds, and a map is
+/// useful only if it arrives within a fraction of that time.
 const WINDOW: Duration = Duration::from_millis(250);
-/// Windows in three seconds, about as long as popularity stays.
-const HORIZON: u32 = 12;
-/// Time in which a group forms anew.
-const FORMATION: Duration = Duration::from_millis(300);
-/// Passes between the newest that is known to be begun and the switch: about
-/// 0.2 s, in which holding, arming and the decision take place, so that the
-/// group need not wait.
-const LEAD: u64 = 3;
-/// Time of these passes at most: to hold, to arm and to decide takes as long
-/// however slow passes are.
+/// Number of windows in three seconds, which is about how long popularity lasts.
+const HORIZON_WINDOWS: u32 = 12;
+/// Interval at which the formation is polled: about the time in which a group
+/// re-forms.
+const FORMATION_INTERVAL: Duration = Duration::from_millis(300);
+/// Steps between the newest step known to have begun and the switch: about 0.2 s.
+/// Holding, arming and the decision happen in this time, so that the group doesn't
+/// wait for them.
+const LEAD_STEPS: u64 = 3;
+/// Upper bound on the time of these steps, since holding, arming and the decision
+/// take no longer when steps are slow.
 const LEAD_TIME: Duration = Duration::from_millis(200);
-/// Times of a switch. An order reaches an engine within a few milliseconds and
-/// copying experts takes up to a second; an attempt that takes longer is given
-/// up, since the popularity that it was planned for is over soon.
-const SWITCH: SwitchTiming = SwitchTiming {
+/// Timing of a switch. A command reaches an engine within a few milliseconds, and
+/// copying experts takes up to a second. A switch that takes longer is abandoned,
+/// because the popularity for which it was planned will soon be outdated.
+const SWITCH_TIMING: SwitchTiming = SwitchTiming {
     resend: Duration::from_millis(100),
     attempt: Duration::from_millis(1_500),
     order: Duration::from_millis(2_500),
     ghost: Duration::from_millis(200),
-    lead_steps: LEAD,
+    lead_steps: LEAD_STEPS,
     lead_time: LEAD_TIME,
 };
-/// Part of the shortest pause that streams may make below which passes are
-/// fast enough: the rest is for prompts that are read in between, and for the
-/// time until a switch takes effect.
-const FAST_PASS: f64 = 0.55;
-/// Part of that pause at which passes are about to be too slow.
-const SLOW_PASS: f64 = 0.75;
-/// Part of the experts' work that a switch must save, about what is lost while
+/// Steps are fast enough below this fraction of the shortest allowed gap between
+/// tokens. The rest of the gap is left for prompts that are processed in between,
+/// and for the time until a switch takes effect.
+const FAST_STEP_RATIO: f64 = 0.55;
+/// Fraction of that gap from which steps are about to become too slow.
+const SLOW_STEP_RATIO: f64 = 0.75;
+/// Fraction of the experts' work that a switch must save: about what is lost while
 /// experts are copied.
-const LEAST_GAIN: f64 = 0.08;
-/// Pause that streams may make where no route tells one.
-const USUAL_PAUSE: Duration = Duration::from_millis(120);
-/// Times towards the engine on the same host.
-const CLIENT: ClientSettings = ClientSettings {
+const MIN_GAIN: f64 = 0.08;
+/// Allowed gap between tokens if no route sets one.
+const DEFAULT_MAX_GAP: Duration = Duration::from_millis(120);
+/// Timeouts of requests to the engine on the same host.
+const CLIENT_SETTINGS: ClientSettings = ClientSettings {
     connect: Duration::from_millis(200),
     head: Duration::from_millis(400),
     progress: Duration::from_secs(1),
     question: Duration::from_millis(500),
 };
 
-/// Settings of a rank agent.
+/// Settings of [`run_rank_agent`].
 #[derive(Clone)]
 pub struct RankAgentSettings {
     /// Name of the agent.
     pub name: String,
     /// Availability zone.
     pub zone: String,
-    /// Where the engine answers.
+    /// Address of the engine.
     pub engine: SocketAddr,
-    /// How it is spoken to.
+    /// Wire format of the engine's commands.
     pub dialect: ArmingDialect,
-    /// The service that it belongs to.
+    /// Service to which the engine belongs.
     pub service: String,
-    /// Where links of other agents are accepted.
+    /// Address on which links of other agents are accepted.
     pub links: SocketAddr,
-    /// Links of a few control replicas.
+    /// Link addresses of a few control replicas.
     pub controls: Vec<SocketAddr>,
     /// The cluster key.
     pub key: ClusterKey,
-    /// Times of links.
+    /// Settings of links.
     pub link: LinkSettings,
-    /// Reads a route table.
+    /// Decodes a route table.
     pub decode: Decode,
-    /// Share of a pass that copying experts costs.
+    /// Fraction by which copying experts slows down a step.
     pub slowdown: f64,
 }
 
-/// Keeps an agent for the rank that an engine is. The agent begins anew each
-/// time the engine joins another group or becomes another rank.
+/// Runs a map agent for the rank of an engine. The agent is restarted each time
+/// the engine joins another group or becomes another rank.
 ///
 /// # Errors
 ///
-/// An address can't be listened on.
+/// Fails when the link address can't be bound.
 pub async fn run_rank_agent(cfg: RankAgentSettings) -> eyre::Result<()> {
-    let client = TargetClient::arming(cfg.engine, cfg.dialect, CLIENT);
+    let client = TargetClient::arming(cfg.engine, cfg.dialect, CLIENT_SETTINGS);
     let me = Identity::new(Role::Agent, cfg.name.clone(), rand::random());
-    let follower = follow(&cfg, &me);
-    let (experts, pause) = known_service(&cfg, &follower).await;
+    let follower = spawn_follower(&cfg, &me);
+    let (experts, max_gap) = wait_for_service(&cfg, &follower).await;
     loop {
-        let state = known_state(&client).await;
+        let state = wait_for_state(&client).await;
         let bound = TcpListener::bind(cfg.links).await;
-        let listener = bound.wrap_err_with(|| format!("can't listen on {}", cfg.links))?;
+        let listener = bound.wrap_err_with(|| format!("cannot listen on {}", cfg.links))?;
         let settings = MapAgentSettings {
             me: me.clone(),
             group: state.group.clone(),
@@ -121,68 +121,68 @@
             engine: cfg.engine,
             dialect: cfg.dialect,
             follower: follower.clone(),
-            poll: POLL,
+            poll: POLL_INTERVAL,
             key: cfg.key.clone(),
             link: cfg.link.clone(),
-            client: CLIENT,
-            maps: maps(experts, pause, cfg.slowdown),
+            client: CLIENT_SETTINGS,
+            maps: map_settings(experts, max_gap, cfg.slowdown),
         };
         let agent = MapAgent::start(settings, listener).await?;
-        agent.set_group(group(&state, experts));
-        log::info!(group = state.group.as_str(), rank = state.rank; "agent serves its rank");
+        agent.set_group(group_info(&state, experts));
+        log::info!(group = state.group.as_str(), rank = state.rank; "serving a rank");
         watch_engine(&client, &state, cfg.engine, &follower).await;
-        log::info!("the engine is a rank elsewhere now");
+        log::info!("the engine changed its group or rank; restarting the map agent");
     }
 }
 
-fn follow(cfg: &RankAgentSettings, me: &Identity) -> Follower {
+fn spawn_follower(cfg: &RankAgentSettings, me: &Identity) -> Follower {
     let info = NodeInfo {
         role: Role::Agent.into(),
         name: me.name.clone(),
         incarnation: me.incarnation,
         zone: cfg.zone.clone(),
         link_address: cfg.links.to_string(),
-        // Whoever coordinates may have to tell the engine an outcome in this
-        // agent's place.
+        // A coordinator may have to send the engine an outcome in place of this
+        // agent.
         caller_address: cfg.engine.to_string(),
         ..NodeInfo::default()
     };
-    let following = FollowerSettings {
+    let settings = FollowerSettings {
         controls: cfg.controls.clone(),
-        renew: RENEW,
+        renew: RENEW_INTERVAL,
         key: cfg.key.clone(),
         link: cfg.link.clone(),
     };
-    Follower::spawn_from_seeds(me.clone(), info, following)
+    Follower::spawn_from_seeds(me.clone(), info, settings)
 }
 
-/// Waits until the engine tells its rank.
-async fn known_state(client: &TargetClient) -> ArmingState {
+/// Waits until the engine reports its rank.
+async fn wait_for_state(client: &TargetClient) -> ArmingState {
     loop {
         match client.arming_state().await {
             Ok(state) => return state,
-            Err(e) => log::debug!("the engine doesn't tell its rank: {e}"),
+            Err(e) => log::debug!("failed to read the rank of the engine: {e}"),
         }
-        sleep(AGAIN).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
-/// Reports how fast the engine is, until it belongs to another group or is
-/// another rank.
+/// Reports the speed of the engine until it belongs to another group or is another
+/// rank.
 async fn watch_engine(
     client: &TargetClient,
     known: &ArmingState,
     engine: SocketAddr,
     follower: &Follower,
 ) {
-    let place = |state: &ArmingState| (state.group.clone(), state.rank, state.ranks);
+    let identity = |state: &ArmingState| (state.group.clone(), state.rank, state.ranks);
     let mut reports = SpeedReports::default();
     loop {
-        sleep(LOOK).await;
+        sleep(ENGINE_POLL_INTERVAL).await;
         let Ok(state) = client.arming_state().await else {
             continue;
         };
-        if place(&state) != place(known) {
+        if identity(&state) != identity(known) {
             return;
         }
         if reports.is_due(state.slowdown, Instant::now()) {
@@ -190,27 +190,27 @@
                 address: engine,
                 slowdown: state.slowdown,
             };
-            if follower.report_speed(speed, LOOK).await {
+            if follower.report_speed(speed, ENGINE_POLL_INTERVAL).await {
                 reports.confirmed(state.slowdown, Instant::now());
             }
         }
     }
 }
 
-/// Waits until the route table tells the experts of the service, and the
-/// shortest pause that its streams may make.
-async fn known_service(cfg: &RankAgentSettings, follower: &Follower) -> (Experts, Duration) {
+/// Waits until the route table has the experts of the service. Returns them with
+/// the shortest allowed gap between tokens.
+async fn wait_for_service(cfg: &RankAgentSettings, follower: &Follower) -> (Experts, Duration) {
     loop {
-        let asked = query::Body::RouteTable(RouteTableQuery {});
-        if let Ok(reply) = follower.query(asked, ANSWER).await
-            && let Some(query_reply::Body::RouteTable(told)) = reply.body
-            && let Ok(table) = (cfg.decode)(&told.source)
+        let query = query::Body::RouteTable(RouteTableQuery {});
+        if let Ok(reply) = follower.query(query, CONTROL_TIMEOUT).await
+            && let Some(query_reply::Body::RouteTable(route_table)) = reply.body
+            && let Ok(table) = (cfg.decode)(&route_table.source)
             && let Some(experts) = experts(&table, &cfg.service)
         {
-            let pause = table.shortest_pause(&cfg.service);
-            return (experts, pause.unwrap_or(USUAL_PAUSE));
+            let max_gap = table.shortest_pause(&cfg.service);
+            return (experts, max_gap.unwrap_or(DEFAULT_MAX_GAP));
         }
-        sleep(AGAIN).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
@@ -218,11 +218,11 @@
     table.service(service)?.engine?.experts
 }
 
-fn maps(experts: Experts, pause: Duration, slowdown: f64) -> MapSettings {
+fn map_settings(experts: Experts, max_gap: Duration, slowdown: f64) -> MapSettings {
     MapSettings {
         window: WINDOW,
-        formation: FORMATION,
-        horizon: HORIZON,
+        formation_interval: FORMATION_INTERVAL,
+        horizon_windows: HORIZON_WINDOWS,
         cost: MoveCost {
             expert_bytes: experts.bytes,
             store_bytes_per_s: experts.bytes_per_second,
@@ -230,18 +230,18 @@
             store_price: 0.0,
             plan_bytes: u64::MAX,
         },
-        timing: SWITCH,
-        most_new: usize::try_from(experts.most_new).unwrap_or(usize::MAX),
-        start: StartMap::Bare,
+        timing: SWITCH_TIMING,
+        max_new_experts: usize::try_from(experts.most_new).unwrap_or(usize::MAX),
+        initial_map: InitialMap::Unreplicated,
         need: Some(SwitchNeed {
-            step: pause.mul_f64(FAST_PASS),
-            soon: pause.mul_f64(SLOW_PASS),
-            gain: LEAST_GAIN,
+            step: max_gap.mul_f64(FAST_STEP_RATIO),
+            soon: max_gap.mul_f64(SLOW_STEP_RATIO),
+            gain: MIN_GAIN,
         }),
     }
 }
 
-fn group(state: &ArmingState, experts: Experts) -> Group {
+fn group_info(state: &ArmingState, experts: Experts) -> Group {
     let even = experts.experts.div_ceil(state.ranks.max(1));
     Group {
         name: state.group.clone(),
