--- a/crates/agent/benches/streams.rs
+++ b/crates/agent/benches/streams.rs
@@ -1,7 +1,7 @@
-//! Memory for each open stream, and frames a second, of one agent.
+//! Memory per open stream and event rate of one agent.
 //!
-//! The agent has this process for itself; engine, control and entry run in a
-//! second one, which this one starts from its own executable.
+//! Only the agent runs in this process. Engine, control and entry run in a second
+//! process, which is started from the same executable.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -13,15 +13,15 @@
 use agent::{Agent, Listeners, Settings};
 use fake::{Engine, EngineSettings, Fault};
 use serde_json::json;
-use support::{Caller, Control, id, until};
+use support::{FakeControl, TestEntry, id, wait_until};
 use tokio::net::TcpListener;
 use tokio::runtime::Runtime;
 use wire::proto::Start;
 
-const OPEN: [u128; 4] = [250, 500, 1_000, 2_000];
+const OPEN_STREAMS: [u128; 4] = [250, 500, 1_000, 2_000];
 const STREAMS: u128 = 64;
-const TOKENS: u64 = 10_000;
-const AT_ONCE: u128 = 50;
+const TOKENS_PER_STREAM: u64 = 10_000;
+const START_BATCH: u128 = 50;
 
 fn main() {
     let mut args = std::env::args();
@@ -37,7 +37,7 @@
 
     println!("open streams, held by the engine | resident KiB | KiB for each");
     let before = resident_kib();
-    for open in OPEN {
+    for open in OPEN_STREAMS {
         peer.ask(&format!("open {open}"));
         let more = resident_kib().saturating_sub(before);
         let each = f64::from(more) / as_f64(open);
@@ -50,7 +50,7 @@
     let mut figures = frames.split(' ');
     let frames: f64 = figures.next().unwrap().parse().unwrap();
     let seconds: f64 = figures.next().unwrap().parse().unwrap();
-    println!("{STREAMS} streams of {TOKENS} tokens, as fast as they go:");
+    println!("{STREAMS} streams of {TOKENS_PER_STREAM} tokens, as fast as they go:");
     println!("  {:.0} events/s in {seconds:.2} s", frames / seconds);
     println!(
         "  {:.0} events for each second of one core of the agent",
@@ -60,7 +60,7 @@
     let _ = peer.child.wait();
 }
 
-/// The second process, as the agent's process sees it.
+/// The second process, as seen from the agent's process.
 struct Peer {
     child: Child,
     tx: ChildStdin,
@@ -117,7 +117,7 @@
         http: TcpListener::bind(settings.http).await.unwrap(),
     };
     let agent = Agent::start(settings, listeners).await.unwrap();
-    until("the agent is ready", async || {
+    wait_until("the agent is ready", async || {
         let page = support::page(agent.http_address(), "/readyz").await;
         page.starts_with("HTTP/1.1 200")
     })
@@ -126,7 +126,7 @@
 }
 
 async fn peer() {
-    let control = Control::start().await;
+    let control = FakeControl::start().await;
     let cfg = EngineSettings {
         step: Duration::ZERO,
         limit: 10_000,
@@ -139,7 +139,7 @@
     let (address, number) = told.split_once(' ').unwrap();
     let address = address.parse().unwrap();
     let incarnation = number.parse().unwrap();
-    let caller = Caller::dial(address).await;
+    let entry = TestEntry::dial(address).await;
     let mut opened = 0;
     while let Some(Ok(line)) = lines.next() {
         match line.split_once(' ') {
@@ -147,51 +147,55 @@
                 engine.fault(Fault::Stall);
                 let count: u128 = count.parse().unwrap();
                 for attempt in opened..count {
-                    caller.begin(chat(incarnation, attempt, TOKENS)).await;
-                    // More at once than the engine's listen queue holds would
-                    // be turned away.
-                    if attempt % AT_ONCE == 0 {
-                        run_all(&engine, attempt + 1).await;
+                    entry
+                        .start_accepted(chat(incarnation, attempt, TOKENS_PER_STREAM))
+                        .await;
+                    // More connections at once than fit into the engine's listen
+                    // queue would be refused.
+                    if attempt % START_BATCH == 0 {
+                        wait_running(&engine, attempt + 1).await;
                     }
                 }
                 opened = count;
-                run_all(&engine, count).await;
+                wait_running(&engine, count).await;
                 println!("open");
             }
             None if line == "close" => {
                 for attempt in 0..opened {
-                    caller.cancel(&id(attempt)).await;
+                    entry.cancel(&id(attempt)).await;
                 }
-                until("all ended", async || all_ended(&caller, opened)).await;
+                wait_until("all ended", async || all_ended(&entry, opened)).await;
                 engine.clear();
-                until("none runs", async || engine.running() == 0).await;
+                wait_until("none runs", async || engine.running() == 0).await;
                 println!("closed");
             }
-            None if line == "stream" => println!("{}", stream(&caller, incarnation).await),
+            None if line == "stream" => println!("{}", stream(&entry, incarnation).await),
             _ => return,
         }
     }
 }
 
-async fn run_all(engine: &Engine, count: u128) {
-    until("all run", async || u128::from(engine.running()) == count).await;
+async fn wait_running(engine: &Engine, count: u128) {
+    wait_until("all run", async || u128::from(engine.running()) == count).await;
 }
 
-fn all_ended(caller: &Caller, opened: u128) -> bool {
-    (0..opened).all(|attempt| caller.with(&id(attempt), |taken| taken.end.is_some()))
+fn all_ended(entry: &TestEntry, opened: u128) -> bool {
+    (0..opened).all(|attempt| entry.with_answer(&id(attempt), |answer| answer.end.is_some()))
 }
 
-/// Runs all streams at once: events that came, and seconds.
-async fn stream(caller: &Caller, incarnation: u64) -> String {
+/// Runs all streams at once and returns the number of events and the seconds.
+async fn stream(entry: &TestEntry, incarnation: u64) -> String {
     let began = std::time::Instant::now();
     let attempts = (1 << 32)..(1 << 32) + STREAMS;
     for attempt in attempts.clone() {
-        caller.begin(chat(incarnation, attempt, TOKENS)).await;
+        entry
+            .start_accepted(chat(incarnation, attempt, TOKENS_PER_STREAM))
+            .await;
     }
     for attempt in attempts {
-        caller.whole(&id(attempt)).await;
+        entry.wait_complete(&id(attempt)).await;
     }
-    let events = STREAMS * u128::from(TOKENS + 2);
+    let events = STREAMS * u128::from(TOKENS_PER_STREAM + 2);
     format!("{events} {}", began.elapsed().as_secs_f64())
 }
 
@@ -222,9 +226,9 @@
     kib.parse().unwrap()
 }
 
-/// Processor time of this process so far, in user and kernel.
+/// User and kernel CPU time of this process so far, in seconds.
 fn cpu_seconds() -> f64 {
-    const TICKS_A_SECOND: f64 = 100.0;
+    const TICKS_PER_SECOND: f64 = 100.0;
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap();
     let fields: Vec<&str> = stat
         .rsplit(')')
@@ -233,5 +237,5 @@
         .split_whitespace()
         .collect();
     let ticks = |at: usize| fields[at].parse::<f64>().unwrap();
-    (ticks(11) + ticks(12)) / TICKS_A_SECOND
+    (ticks(11) + ticks(12)) / TICKS_PER_SECOND
 }
--- a/crates/agent/tests/buffer.rs
+++ b/crates/agent/tests/buffer.rs
@@ -6,8 +6,8 @@
 
 #[test]
 fn read_after_attach() {
-    // An entry dies after it has read all of a reservation's answer. Another
-    // one attaches from the beginning and must find every byte.
+    // An entry dies after it has read the whole answer to a reservation. Another
+    // entry attaches at the beginning and must get every byte.
     let mut buffer = Buffer::new(Retention::UntilRecorded, 8, 100);
     buffer.push("reserved lot 4711".into());
     buffer.acknowledge(17);
@@ -17,8 +17,8 @@
 
 #[test]
 fn read_dropped_bytes() {
-    // A link asks for bytes that another one has already passed on. They are
-    // gone; giving others in their place would damage the answer.
+    // A link requests bytes that were acknowledged on another link and dropped. No
+    // other bytes may be returned in their place.
     let mut buffer = Buffer::new(Retention::UntilAcknowledged, 8, 100);
     buffer.push("abcd".into());
     buffer.push("efgh".into());
@@ -30,8 +30,8 @@
 
 #[test]
 fn push_slow_reader() {
-    // The caller reads slowly. The window holds what is sent, and the target
-    // waits once the buffer is full, so memory stays bounded.
+    // The caller reads slowly. The window bounds what is sent, and the target waits
+    // once the buffer is full, so that memory stays bounded.
     let mut buffer = Buffer::new(Retention::UntilAcknowledged, 4, 8);
     buffer.push("abcdefgh".into());
     assert!(!buffer.has_room());
@@ -42,9 +42,9 @@
 }
 
 #[test]
-fn pass_beyond_length() {
-    // A progress that claims more than was sent must not open the window for
-    // bytes that nobody has read.
+fn acknowledge_beyond_length() {
+    // A progress message that acknowledges more than was sent must not open the
+    // window for bytes that haven't been read.
     let mut buffer = Buffer::new(Retention::UntilAcknowledged, 4, 100);
     buffer.push("abcd".into());
     buffer.acknowledge(u64::MAX);
@@ -53,18 +53,19 @@
     assert!(buffer.read(u64::MAX, 64).is_none());
 }
 
-/// Reads all through any parts, chunk sizes and re-attachments.
-fn all_read(parts: Vec<Vec<u8>>, window: u8, cuts: Vec<u8>) -> bool {
-    let whole = parts.concat();
+/// Whether a buffer returns all bytes in order, with the given chunks, read sizes
+/// and re-attachments.
+fn reads_all(chunks: Vec<Vec<u8>>, window: u8, sizes: Vec<u8>) -> bool {
+    let whole = chunks.concat();
     let mut buffer = Buffer::new(Retention::UntilAcknowledged, window.into(), 1 << 20);
-    for part in parts {
-        buffer.push(Bytes::from(part));
+    for chunk in chunks {
+        buffer.push(Bytes::from(chunk));
     }
     let mut got: Vec<u8> = Vec::new();
-    let mut cuts = cuts.into_iter().cycle();
+    let mut sizes = sizes.into_iter().cycle();
     while got.len() < whole.len() {
-        let most = usize::from(cuts.next().unwrap_or(9)).max(1);
-        let Some(bytes) = buffer.read(got.len() as u64, most) else {
+        let max = usize::from(sizes.next().unwrap_or(9)).max(1);
+        let Some(bytes) = buffer.read(got.len() as u64, max) else {
             return false;
         };
         got.extend_from_slice(&bytes);
@@ -75,10 +76,10 @@
 }
 
 #[test]
-fn read_any_parts() {
-    // Parts and chunks are cut anywhere; each byte is read once, in order.
+fn read_arbitrary_chunks() {
+    // With any chunks and read sizes, each byte is read once and in order.
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(40, 5))
         .tests(2_000)
-        .quickcheck(all_read as fn(Vec<Vec<u8>>, u8, Vec<u8>) -> bool);
+        .quickcheck(reads_all as fn(Vec<Vec<u8>>, u8, Vec<u8>) -> bool);
 }
--- a/crates/agent/tests/crashes.rs
+++ b/crates/agent/tests/crashes.rs
@@ -1,10 +1,10 @@
-//! Crashes of the target, and the requests that cause them.
+//! Crashes of the target and the requests that cause them.
 
 mod support;
 
 use fake::{Engine, EngineSettings, Fault};
 use serde_json::json;
-use support::{Bench, Relay, id, until};
+use support::{Fixture, TcpProxy, id, wait_until};
 use wire::Broken;
 use wire::proto::{End, Refusal, Start};
 
@@ -20,141 +20,147 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn crash_reported_once() {
-    // One request crashes the engine while others run beside it. All of them
-    // end as crashed and are reported together, once; were a bystander to be
-    // reported again on its own, it would be taken for the cause.
+    // One request crashes the engine while others run. All of them must end as
+    // crashed and be reported together, once. If an unrelated request were reported
+    // again on its own, it would be taken for the cause.
     let engine = engine().await;
     engine.fault(Fault::CrashOn("poison".into()));
-    let bench = Bench::engine(&engine, json!({})).await;
-    let caller = bench.caller().await;
+    let fixture = Fixture::engine(&engine, json!({})).await;
+    let entry = fixture.connect_entry().await;
     for attempt in 1..=5 {
-        caller.begin(bench.chat(attempt, 100_000)).await;
+        entry.start_accepted(fixture.chat(attempt, 100_000)).await;
     }
-    until("they run", async || engine.running() == 5).await;
+    wait_until("they run", async || engine.running() == 5).await;
     let body = r#"{"model":"burl-notes","stream":true,"max_tokens":50,"user":"poison"}"#;
     let poison = Start {
         body: body.into(),
-        ..bench.chat(6, 50)
+        ..fixture.chat(6, 50)
     };
-    caller.begin(poison).await;
+    entry.start_accepted(poison).await;
     for attempt in 1..=6 {
-        let (_, end) = caller.ended(&id(attempt)).await;
+        let (_, end) = entry.wait_ended(&id(attempt)).await;
         assert_eq!(ending(end), End::Crashed);
-        // Whoever hears of the crash finds its request suspect already.
-        assert_eq!(bench.control.crashes().len(), 1);
+        // The crash is reported before any attempt ends.
+        assert_eq!(fixture.control.crashes().len(), 1);
     }
-    let crashes = bench.control.crashes();
+    let crashes = fixture.control.crashes();
     assert_eq!(crashes.len(), 1);
     assert_eq!(crashes[0].len(), 6);
     engine.restart().await.unwrap();
-    let next = caller.begin_at_last(|attempt| bench.chat(attempt, 4)).await;
-    caller.whole(&next).await;
-    assert_eq!(bench.control.crashes().len(), 1);
+    let next = entry
+        .start_until_accepted(|attempt| fixture.chat(attempt, 4))
+        .await;
+    entry.wait_complete(&next).await;
+    assert_eq!(fixture.control.crashes().len(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn crash_and_quick_restart() {
-    // A supervisor restarts the engine so fast that it never refuses a
-    // connection. It is another instance all the same, and that is a crash.
+    // A supervisor restarts the engine so fast that it never refuses a connection.
+    // The new instance id still shows the crash.
     let engine = engine().await;
-    let relay = Relay::before(engine.address()).await;
-    let bench = Bench::relayed(&relay).await;
-    let caller = bench.caller().await;
-    caller.begin(bench.chat(1, 100_000)).await;
-    until("it runs", async || engine.running() == 1).await;
+    let proxy = TcpProxy::start(engine.address()).await;
+    let fixture = Fixture::engine_via_proxy(&proxy).await;
+    let entry = fixture.connect_entry().await;
+    entry.start_accepted(fixture.chat(1, 100_000)).await;
+    wait_until("it runs", async || engine.running() == 1).await;
     engine.restart().await.unwrap();
-    let (_, end) = caller.ended(&id(1)).await;
+    let (_, end) = entry.wait_ended(&id(1)).await;
     assert_eq!(ending(end), End::Crashed);
-    until("it is reported", async || {
-        bench.control.crashes().len() == 1
+    wait_until("it is reported", async || {
+        fixture.control.crashes().len() == 1
     })
     .await;
 
-    // Another instance came after. A connection of it that merely breaks is
-    // no crash.
-    let next = caller
-        .begin_at_last(|attempt| bench.chat(attempt, 100_000))
+    // A connection to the new instance that merely breaks is not a crash.
+    let next = entry
+        .start_until_accepted(|attempt| fixture.chat(attempt, 100_000))
         .await;
-    until("some of it came", async || caller.length(&next) > 0).await;
+    wait_until("some of it came", async || entry.received_len(&next) > 0).await;
     engine.fault(Fault::Cut(1));
-    let (_, end) = caller.ended(&next).await;
+    let (_, end) = entry.wait_ended(&next).await;
     assert_eq!(ending(end), End::Lost);
-    assert_eq!(bench.control.crashes().len(), 1);
+    assert_eq!(fixture.control.crashes().len(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn suspects_run_alone() {
-    // After a crash its requests are sent again at once, before control's
-    // quarantine has come round. Only one of them may run at a time, so that
-    // a second crash shows which one it is.
+    // After a crash its requests are retried at once, before control's quarantine
+    // arrives. Only one of them may run at a time, so that a second crash shows
+    // which one is the cause.
     let engine = engine().await;
-    let bench = Bench::engine(&engine, json!({})).await;
-    let caller = bench.caller().await;
-    caller.begin(bench.chat(1, 100_000)).await;
-    caller.begin(bench.chat(2, 100_000)).await;
-    until("they run", async || engine.running() == 2).await;
+    let fixture = Fixture::engine(&engine, json!({})).await;
+    let entry = fixture.connect_entry().await;
+    entry.start_accepted(fixture.chat(1, 100_000)).await;
+    entry.start_accepted(fixture.chat(2, 100_000)).await;
+    wait_until("they run", async || engine.running() == 2).await;
     engine.restart().await.unwrap();
-    let _ = caller.ended(&id(1)).await;
-    let _ = caller.ended(&id(2)).await;
+    let _ = entry.wait_ended(&id(1)).await;
+    let _ = entry.wait_ended(&id(2)).await;
     let again = |attempt, former| Start {
-        fingerprint: bench.chat(former, 1).fingerprint,
-        ..bench.chat(attempt, 100_000)
+        fingerprint: fixture.chat(former, 1).fingerprint,
+        ..fixture.chat(attempt, 100_000)
     };
-    let alone = caller.begin_at_last(|attempt| again(attempt, 1)).await;
-    assert_eq!(caller.refused(again(12, 2)).await, Refusal::Suspect);
-    caller.begin(bench.chat(13, 4)).await;
-    caller.whole(&id(13)).await;
-    caller.cancel(&alone).await;
-    let _ = caller.ended(&alone).await;
-    caller.begin(again(14, 2)).await;
+    let alone = entry
+        .start_until_accepted(|attempt| again(attempt, 1))
+        .await;
+    assert_eq!(entry.start_refused(again(12, 2)).await, Refusal::Suspect);
+    entry.start_accepted(fixture.chat(13, 4)).await;
+    entry.wait_complete(&id(13)).await;
+    entry.cancel(&alone).await;
+    let _ = entry.wait_ended(&alone).await;
+    entry.start_accepted(again(14, 2)).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn convicted_never_runs() {
-    // Control has convicted a request. Its caller sends it again, and the
-    // engine must not see it.
+    // Control has convicted a request. The caller sends it again, and it must not
+    // reach the engine.
     let engine = engine().await;
-    let bench = Bench::engine(&engine, json!({})).await;
-    let caller = bench.caller().await;
-    bench
+    let fixture = Fixture::engine(&engine, json!({})).await;
+    let entry = fixture.connect_entry().await;
+    fixture
         .control
-        .quarantine(Vec::new(), vec![bench.chat(1, 4).fingerprint]);
+        .set_quarantine(Vec::new(), vec![fixture.chat(1, 4).fingerprint]);
     let mut attempt = 0x100;
-    until("the quarantine has come", async || {
+    wait_until("the quarantine has arrived", async || {
         attempt += 0x100;
         let start = Start {
-            fingerprint: bench.chat(1, 4).fingerprint,
-            ..bench.chat(attempt, 4)
+            fingerprint: fixture.chat(1, 4).fingerprint,
+            ..fixture.chat(attempt, 4)
         };
-        caller.start(start).await.refusal() == Refusal::Suspect
+        entry.start(start).await.refusal() == Refusal::Suspect
     })
     .await;
     let seen = engine.seen().len();
-    assert_eq!(caller.refused(bench.chat(1, 4)).await, Refusal::Suspect);
+    assert_eq!(
+        entry.start_refused(fixture.chat(1, 4)).await,
+        Refusal::Suspect
+    );
     assert_eq!(engine.seen().len(), seen);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn crash_behind_silent_connection() {
-    // The target crashes while one connection to it is silent and seems to
-    // stand. The attempt on it ended with the crash like the others; reported
-    // later on its own, it would be taken for the cause of a second crash.
+    // The target crashes while one connection to it is silent and appears open. The
+    // attempt on it must be part of the crash report: if it were reported later on
+    // its own, it would be taken for the cause of a second crash.
     let engine = engine().await;
-    let relay = Relay::before(engine.address()).await;
-    let bench = Bench::relayed(&relay).await;
-    let caller = bench.caller().await;
-    relay.set_deaf(true);
-    caller.begin(bench.chat(1, 100_000)).await;
-    until("it runs", async || engine.running() == 1).await;
-    relay.set_deaf(false);
-    caller.begin(bench.chat(2, 100_000)).await;
-    until("they run", async || engine.running() == 2).await;
+    let proxy = TcpProxy::start(engine.address()).await;
+    let fixture = Fixture::engine_via_proxy(&proxy).await;
+    let entry = fixture.connect_entry().await;
+    proxy.set_hold_open(true);
+    entry.start_accepted(fixture.chat(1, 100_000)).await;
+    wait_until("it runs", async || engine.running() == 1).await;
+    proxy.set_hold_open(false);
+    entry.start_accepted(fixture.chat(2, 100_000)).await;
+    wait_until("they run", async || engine.running() == 2).await;
     engine.restart().await.unwrap();
     for attempt in 1..=2 {
-        let (_, end) = caller.ended(&id(attempt)).await;
+        let (_, end) = entry.wait_ended(&id(attempt)).await;
         assert_eq!(ending(end), End::Crashed);
     }
-    let crashes = bench.control.crashes();
+    let crashes = fixture.control.crashes();
     assert_eq!(crashes.len(), 1);
     assert_eq!(crashes[0].len(), 2);
 }
--- a/crates/agent/tests/gate.rs
+++ b/crates/agent/tests/gate.rs
@@ -1,4 +1,4 @@
-//! Each refusal of the admission, and no other.
+//! Each reason for which admission refuses an attempt.
 
 use std::time::{Duration, Instant};
 
@@ -100,9 +100,9 @@
 }
 
 #[test]
-fn admit_one_lease() {
-    // The entry is cut off from control, or the agent is. One live lease is
-    // enough to know that equal numbers mean the newest note.
+fn admit_with_one_lease() {
+    // The entry or the agent is cut off from control. One valid lease is enough to
+    // know that equal numbers mean the newest release note.
     let admission = AdmissionState {
         lease: Lease::Expired,
         ..admission()
@@ -117,8 +117,9 @@
 
 #[test]
 fn admit_second_suspect() {
-    // Two requests are suspect of a crash. Together they would leave open
-    // again which one it was, and a bystander could be convicted.
+    // Two requests are suspected of a crash. If they ran together and the target
+    // crashed again, the cause would stay unknown, and the wrong one could be
+    // convicted.
     let suspect = IncomingAttempt {
         suspicion: Suspicion::Suspect,
         ..arrival()
@@ -139,8 +140,8 @@
 
 #[test]
 fn insert_when_full() {
-    // So many attempts were barred that there is no room. An old bar must not
-    // go to make room, or the attempt that it bars could start.
+    // The record is full. An old tombstone must not be dropped to make room, or the
+    // attempt that it bars could start.
     let start = Instant::now();
     let mut tombstones = Tombstones::new(2, Duration::from_secs(10));
     assert!(tombstones.insert(Attempt(1), Tombstone::Barred, start));
--- a/crates/agent/tests/kept.rs
+++ b/crates/agent/tests/kept.rs
@@ -1,4 +1,4 @@
-//! Connections to the target that are kept between two calls.
+//! Reuse of idle connections to the target.
 
 mod support;
 
@@ -10,23 +10,23 @@
 use agent::engine::{Call, ClientSettings, Failure, Reply, Retry, TargetClient, TargetKind};
 use fake::{Engine, EngineSettings, Fault};
 use serde_json::json;
-use support::{Bench, id, until};
+use support::{Fixture, id, wait_until};
 use wire::Broken;
 use wire::proto::{End, Start};
 
-const LONG: Duration = Duration::from_mins(1);
+const LONG_TIMEOUT: Duration = Duration::from_mins(1);
 
 fn cfg() -> ClientSettings {
     ClientSettings {
-        connect: LONG,
-        head: LONG,
-        progress: LONG,
-        question: LONG,
+        connect: LONG_TIMEOUT,
+        head: LONG_TIMEOUT,
+        progress: LONG_TIMEOUT,
+        question: LONG_TIMEOUT,
     }
 }
 
 fn client(address: SocketAddr) -> TargetClient {
-    TargetClient::new(address, TargetKind::Service, cfg()).with_keep_alive(2, LONG)
+    TargetClient::new(address, TargetKind::Service, cfg()).with_keep_alive(2, LONG_TIMEOUT)
 }
 
 fn call(path: &str, retry: Retry) -> Call {
@@ -38,14 +38,14 @@
     }
 }
 
-/// A target that does each thing when the test says so; the test waits for it
-/// without giving way to any task of its own.
+/// A target controlled step by step by the test, which waits for it without
+/// yielding to the tasks of the agent.
 struct Target {
     listener: TcpListener,
 }
 
-/// One connection as the target sees it.
-struct Peer(BufReader<TcpStream>);
+/// The target's side of a connection.
+struct TargetConnection(BufReader<TcpStream>);
 
 impl Target {
     fn start() -> Self {
@@ -58,13 +58,13 @@
         self.listener.local_addr().unwrap()
     }
 
-    fn accept(&self) -> Peer {
-        Peer(BufReader::new(self.listener.accept().unwrap().0))
+    fn accept(&self) -> TargetConnection {
+        TargetConnection(BufReader::new(self.listener.accept().unwrap().0))
     }
 }
 
-impl Peer {
-    /// Reads a request without a body; its path.
+impl TargetConnection {
+    /// Reads a request without a body and returns its path.
     fn read(&mut self) -> String {
         let mut head = String::new();
         while !head.ends_with("\r\n\r\n") {
@@ -79,21 +79,21 @@
 
     fn answer(&mut self) {
         let path = self.read();
-        self.write(&whole(&path));
+        self.write(&http_response(&path));
     }
 
-    /// Whether the agent has ended the connection without another request.
-    fn ends(&mut self) -> bool {
+    /// Whether the agent has closed the connection without another request.
+    fn is_closed(&mut self) -> bool {
         matches!(self.0.read(&mut [0]), Ok(0))
     }
 }
 
-fn whole(body: &str) -> String {
+fn http_response(body: &str) -> String {
     let length = body.len();
     format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{body}")
 }
 
-/// Runs what the target does on a thread of its own.
+/// Runs the actions of the target on a separate thread.
 fn on_thread<T: Send + 'static>(work: impl FnOnce() -> T + Send + 'static) -> Receiver<T> {
     let (tx, rx) = channel();
     std::thread::spawn(move || {
@@ -115,28 +115,28 @@
     read(client.call(&call(path, Retry::Allowed), || {}).await).await
 }
 
-/// An outlet that has one connection kept, and the target's end of it.
-async fn after_first_call() -> (Target, TargetClient, Peer) {
+/// A client with one idle connection, and the target's side of it.
+async fn client_with_idle_connection() -> (Target, TargetClient, TargetConnection) {
     let target = Target::start();
     let client = client(target.address());
     let served = on_thread(move || {
-        let mut peer = target.accept();
-        peer.answer();
-        (target, peer)
+        let mut conn = target.accept();
+        conn.answer();
+        (target, conn)
     });
     assert_eq!(get(&client, "/first").await, "/first");
-    let (target, peer) = served.recv().unwrap();
+    let (target, conn) = served.recv().unwrap();
     assert_eq!(client.counts().kept.get(), 1);
-    (target, client, peer)
+    (target, client, conn)
 }
 
 #[tokio::test]
-async fn call_over_kept() {
-    let (_target, client, mut peer) = after_first_call().await;
+async fn call_reuses_connection() {
+    let (_target, client, mut conn) = client_with_idle_connection().await;
     let served = on_thread(move || {
-        peer.answer();
-        peer.answer();
-        peer
+        conn.answer();
+        conn.answer();
+        conn
     });
     assert_eq!(get(&client, "/second").await, "/second");
     assert_eq!(get(&client, "/third").await, "/third");
@@ -147,10 +147,10 @@
 
 #[tokio::test]
 async fn call_not_repeatable() {
-    // A reservation that is written to a connection which had already ended
-    // can neither be called run nor not run, and its lot is blocked for
-    // nothing. It has a connection that nobody used before.
-    let (target, client, mut former) = after_first_call().await;
+    // If a reservation were written to a connection that has already ended, it
+    // would be unknown whether it ran, and its lot would be blocked needlessly.
+    // Therefore it must get a new connection.
+    let (target, client, mut former) = client_with_idle_connection().await;
     let served = on_thread(move || {
         target.accept().answer();
     });
@@ -160,21 +160,21 @@
     served.recv().unwrap();
     assert_eq!(client.counts().reused.get(), 0);
     client.clear_pool();
-    let ends = on_thread(move || former.ends());
+    let closed = on_thread(move || former.is_closed());
     tokio::task::yield_now().await;
-    let ended = tokio::task::spawn_blocking(move || ends.recv().unwrap());
-    assert!(ended.await.unwrap());
+    let closed = tokio::task::spawn_blocking(move || closed.recv().unwrap());
+    assert!(closed.await.unwrap());
 }
 
 #[tokio::test]
 async fn call_after_target_closed() {
-    // A target closes connections that it thinks idle, and the agent's next
-    // call comes before its tasks have heard of that. The call must not be
-    // spent on the dead connection: its caller would wait for a retry, and a
-    // target that was restarted would be reported as crashed by it.
-    let (target, client, peer) = after_first_call().await;
-    // Nothing of the agent runs between the end and the next call.
-    drop(peer);
+    // The target closes an idle connection, and the next call is made before the
+    // agent's tasks have noticed. The call must not use the dead connection: the
+    // caller would wait for a retry, and a restarted target would be reported as
+    // crashed by the call.
+    let (target, client, conn) = client_with_idle_connection().await;
+    // No task of the agent runs between the close and the next call.
+    drop(conn);
     let served = on_thread(move || target.accept().answer());
     assert_eq!(get(&client, "/second").await, "/second");
     served.recv().unwrap();
@@ -184,10 +184,10 @@
 
 #[tokio::test]
 async fn call_after_restart() {
-    // The target is started again between two calls. Its former connections
-    // end, and the next call runs on the new one as if nothing had been.
-    let (target, client, peer) = after_first_call().await;
-    drop(peer);
+    // The target is restarted between two calls. Its old connections end, and the
+    // next call succeeds on a new one.
+    let (target, client, conn) = client_with_idle_connection().await;
+    drop(conn);
     let address = target.address();
     drop(target);
     let again = std::iter::repeat_with(|| TcpListener::bind(address)).find_map(Result::ok);
@@ -200,20 +200,19 @@
 }
 
 #[tokio::test]
-async fn call_meets_close() {
-    // The target closes an idle connection at the moment at which a call is
-    // written to it. The call may have run for all that can be seen, so it is
-    // never said not to have, and the agent doesn't run it a second time by
-    // itself.
-    let (target, client, mut peer) = after_first_call().await;
+async fn call_races_with_close() {
+    // The target closes an idle connection just as a call is written to it. The call
+    // may have run, so it must not be reported as not run, and the agent must not
+    // run it a second time by itself.
+    let (target, client, mut conn) = client_with_idle_connection().await;
     let served = on_thread(move || {
-        let path = peer.read();
-        drop(peer);
+        let path = conn.read();
+        drop(conn);
         path
     });
     let call = call("/second", Retry::Allowed);
     let Err(failure) = client.call(&call, || {}).await else {
-        panic!("answered by nobody");
+        panic!("got a response without a target");
     };
     assert!(matches!(failure, Failure::Broken(_)), "{failure}");
     assert_eq!(served.recv().unwrap(), "/second");
@@ -223,17 +222,17 @@
 }
 
 #[tokio::test]
-async fn call_into_silence() {
-    // Something in between has lost track of a kept connection: the call is
-    // swallowed. It is given up as lost, never as not run, and the next one
-    // doesn't meet that connection again.
-    let (target, client, mut peer) = after_first_call().await;
+async fn call_swallowed() {
+    // A network device has dropped the state of an idle connection, and the call on
+    // it gets no response. It must be reported as lost, never as not run, and the
+    // connection must not be reused.
+    let (target, client, mut conn) = client_with_idle_connection().await;
     let quick = ClientSettings {
         head: Duration::from_millis(50),
         ..cfg()
     };
-    let quick =
-        TargetClient::new(target.address(), TargetKind::Service, quick).with_keep_alive(2, LONG);
+    let quick = TargetClient::new(target.address(), TargetKind::Service, quick)
+        .with_keep_alive(2, LONG_TIMEOUT);
     let served = on_thread(move || {
         let mut first = target.accept();
         first.answer();
@@ -244,15 +243,15 @@
     let lost = quick.call(&call("/lost", Retry::Allowed), || {}).await;
     assert!(matches!(lost, Err(Failure::Silent(_))));
     assert_eq!(quick.counts().kept.get(), 0);
-    // The other outlet's connection is none of its business.
-    let served = on_thread(move || peer.answer());
+    // The other client's connection is not affected.
+    let served = on_thread(move || conn.answer());
     assert_eq!(get(&client, "/second").await, "/second");
     served.recv().unwrap();
     drop((target, first));
 }
 
-/// Whether the first call was answered in time; a slow machine may take
-/// longer than the little time for the head.
+/// Whether the first call was answered in time. On a slow host the response may
+/// take longer than the short head timeout.
 async fn quick_first(client: &TargetClient) -> bool {
     let reply = client.call(&call("/first", Retry::Allowed), || {}).await;
     if reply.is_err() {
@@ -263,22 +262,22 @@
 
 #[tokio::test]
 async fn call_after_doubled_answer() {
-    // A faulty target answers twice. The second answer must not reach the next
-    // caller, who asked something else.
+    // A faulty target sends two responses. The second one must not be taken for the
+    // response to the next call.
     let target = Target::start();
     let client = client(target.address());
-    let (go_on, gone_on): (Sender<()>, Receiver<()>) = channel();
+    let (resume, resumed): (Sender<()>, Receiver<()>) = channel();
     let served = on_thread(move || {
-        let mut peer = target.accept();
-        let path = peer.read();
-        peer.write(&whole(&path));
-        gone_on.recv().unwrap();
-        peer.write(&whole("another caller's"));
-        (target, peer)
+        let mut conn = target.accept();
+        let path = conn.read();
+        conn.write(&http_response(&path));
+        resumed.recv().unwrap();
+        conn.write(&http_response("another caller's"));
+        (target, conn)
     });
     assert_eq!(get(&client, "/first").await, "/first");
-    go_on.send(()).unwrap();
-    // Nothing of the agent runs until the second answer is there.
+    resume.send(()).unwrap();
+    // No task of the agent runs until the second response has arrived.
     let (target, _peer) = served.recv().unwrap();
     let served = on_thread(move || target.accept().answer());
     assert_eq!(get(&client, "/second").await, "/second");
@@ -287,56 +286,56 @@
 }
 
 #[tokio::test]
-async fn keep_bounded() {
-    // Many calls at once leave no more connections behind than are allowed,
-    // and an answer that nobody reads to its end leaves none.
+async fn pool_bounded() {
+    // Concurrent calls leave at most the allowed number of idle connections, and a
+    // response that isn't read to its end leaves none.
     let target = Target::start();
     let client = client(target.address());
     let served = on_thread(move || {
-        let mut peers: Vec<Peer> = Vec::new();
+        let mut conns: Vec<TargetConnection> = Vec::new();
         for _ in 0..4 {
-            let mut peer = target.accept();
-            peer.answer();
-            peers.push(peer);
+            let mut conn = target.accept();
+            conn.answer();
+            conns.push(conn);
         }
-        peers
+        conns
     });
     let mut replies = Vec::new();
     for _ in 0..4 {
         let call = call("/stock", Retry::Allowed);
         replies.push(client.call(&call, || {}).await);
     }
-    let mut peers = served.recv().unwrap();
+    let mut conns = served.recv().unwrap();
     replies.pop();
     for reply in replies {
         read(reply).await;
     }
     assert_eq!(client.counts().kept.get(), 2);
-    let mut closed = peers.split_off(2);
-    let ends = on_thread(move || closed.iter_mut().all(Peer::ends));
-    let ended = tokio::task::spawn_blocking(move || ends.recv().unwrap());
-    assert!(ended.await.unwrap());
+    let mut closed = conns.split_off(2);
+    let closed = on_thread(move || closed.iter_mut().all(TargetConnection::is_closed));
+    let closed = tokio::task::spawn_blocking(move || closed.recv().unwrap());
+    assert!(closed.await.unwrap());
 }
 
 #[tokio::test]
-async fn keep_until_idle() {
-    // A connection that lies unused is closed by the agent before anything in
-    // between can lose track of it.
-    let (_target, client, mut peer) = after_first_call().await;
+async fn pool_idle_timeout() {
+    // The agent closes an idle connection before a network device can drop its
+    // state.
+    let (_target, client, mut conn) = client_with_idle_connection().await;
     let now = Instant::now();
     client.evict_idle(now);
     assert_eq!(client.counts().kept.get(), 1);
-    client.evict_idle(now + LONG);
+    client.evict_idle(now + LONG_TIMEOUT);
     assert_eq!(client.counts().kept.get(), 0);
-    let ends = on_thread(move || peer.ends());
-    let ended = tokio::task::spawn_blocking(move || ends.recv().unwrap());
-    assert!(ended.await.unwrap());
+    let closed = on_thread(move || conn.is_closed());
+    let closed = tokio::task::spawn_blocking(move || closed.recv().unwrap());
+    assert!(closed.await.unwrap());
 }
 
 #[tokio::test]
-async fn keep_none() {
+async fn pool_disabled() {
     let target = Target::start();
-    let client = client(target.address()).with_keep_alive(0, LONG);
+    let client = client(target.address()).with_keep_alive(0, LONG_TIMEOUT);
     let served = on_thread(move || {
         target.accept().answer();
         target.accept().answer();
@@ -347,15 +346,15 @@
     assert_eq!(client.counts().opened.get(), 2);
 }
 
-/// An engine whose agent has kept a connection for a long time.
-async fn kept_engine() -> (Engine, Bench) {
+/// An engine whose agent keeps idle connections for a long time.
+async fn engine_with_reuse() -> (Engine, Fixture) {
     let engine = Engine::start(EngineSettings::default()).await.unwrap();
-    let bench = Bench::engine(
+    let fixture = Fixture::engine(
         &engine,
         json!({"timing": {"poll_ms": 20, "renew_ms": 50, "kept_ms": 60_000}}),
     )
     .await;
-    (engine, bench)
+    (engine, fixture)
 }
 
 fn ending(end: Result<wire::proto::AnswerEnd, Broken>) -> End {
@@ -365,49 +364,53 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn crash_over_kept() {
-    // A request that crashes its engine came over a kept connection. It is
-    // reported like any other, and only it: the calls before it are done.
-    let (engine, bench) = kept_engine().await;
-    let caller = bench.caller().await;
-    caller.begin(bench.chat(1, 4)).await;
-    caller.whole(&id(1)).await;
+async fn crash_on_reused_connection() {
+    // A request that crashes its engine arrives on a reused connection. Only this
+    // request must be reported, because the earlier calls are done.
+    let (engine, fixture) = engine_with_reuse().await;
+    let entry = fixture.connect_entry().await;
+    entry.start_accepted(fixture.chat(1, 4)).await;
+    entry.wait_complete(&id(1)).await;
     engine.fault(Fault::CrashOn("poison".into()));
     let body = r#"{"model":"burl-notes","stream":true,"max_tokens":50,"user":"poison"}"#;
     let poison = Start {
         body: body.into(),
-        ..bench.chat(2, 50)
+        ..fixture.chat(2, 50)
     };
-    caller.begin(poison).await;
-    let (_, end) = caller.ended(&id(2)).await;
+    entry.start_accepted(poison).await;
+    let (_, end) = entry.wait_ended(&id(2)).await;
     assert_eq!(ending(end), End::Crashed);
-    assert_eq!(bench.control.crashes().len(), 1);
-    assert_eq!(bench.control.crashes()[0].len(), 1);
+    assert_eq!(fixture.control.crashes().len(), 1);
+    assert_eq!(fixture.control.crashes()[0].len(), 1);
     engine.restart().await.unwrap();
-    let next = caller.begin_at_last(|attempt| bench.chat(attempt, 4)).await;
-    caller.whole(&next).await;
-    assert_eq!(bench.control.crashes().len(), 1);
+    let next = entry
+        .start_until_accepted(|attempt| fixture.chat(attempt, 4))
+        .await;
+    entry.wait_complete(&next).await;
+    assert_eq!(fixture.control.crashes().len(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn cut_over_kept() {
-    // A kept connection breaks in mid-stream while its engine lives on: that
-    // is a lost connection and no crash, and nobody becomes suspect.
-    let (engine, bench) = kept_engine().await;
-    let caller = bench.caller().await;
-    caller.begin(bench.chat(1, 4)).await;
-    caller.whole(&id(1)).await;
+async fn cut_on_reused_connection() {
+    // A reused connection breaks in mid-stream while its engine keeps running. This
+    // is a lost connection and not a crash, and no request becomes suspect.
+    let (engine, fixture) = engine_with_reuse().await;
+    let entry = fixture.connect_entry().await;
+    entry.start_accepted(fixture.chat(1, 4)).await;
+    entry.wait_complete(&id(1)).await;
     engine.fault(Fault::Cut(1));
-    caller.begin(bench.chat(2, 100_000)).await;
-    let (_, end) = caller.ended(&id(2)).await;
+    entry.start_accepted(fixture.chat(2, 100_000)).await;
+    let (_, end) = entry.wait_ended(&id(2)).await;
     assert_eq!(ending(end), End::Lost);
-    assert!(bench.control.crashes().is_empty());
+    assert!(fixture.control.crashes().is_empty());
     engine.clear();
-    until("the next one runs", async || {
-        let next = caller.begin_at_last(|attempt| bench.chat(attempt, 4)).await;
-        caller.whole(&next).await;
+    wait_until("the next one runs", async || {
+        let next = entry
+            .start_until_accepted(|attempt| fixture.chat(attempt, 4))
+            .await;
+        entry.wait_complete(&next).await;
         true
     })
     .await;
-    assert!(bench.control.crashes().is_empty());
+    assert!(fixture.control.crashes().is_empty());
 }
--- a/crates/agent/tests/maps.rs
+++ b/crates/agent/tests/maps.rs
@@ -1,4 +1,4 @@
-//! Expert-map switches by three agents before engines in lock-step.
+//! Expert-map switches by three agents with engines that run steps together.
 
 mod support;
 
@@ -6,27 +6,27 @@
 
 use fake::{Collective, Engine, EngineSettings, FencingCheck};
 use serde_json::{Value, json};
-use support::{Bench, Control, GROUP, until};
+use support::{FakeControl, Fixture, GROUP, wait_until};
 
 const NAMES: [&str; 3] = ["advisor-01", "advisor-02", "advisor-03"];
 
-/// A group of three ranks whose first expert is far hotter than the others.
+/// A group of three ranks whose first expert gets far more load than the others.
 struct Group {
-    control: Control,
+    control: FakeControl,
     _collective: Collective,
     engines: Vec<Engine>,
-    agents: BTreeMap<&'static str, Bench>,
+    agents: BTreeMap<&'static str, Fixture>,
 }
 
 impl Group {
-    async fn start(control: Control, fencing: FencingCheck) -> Self {
-        control.show_agents();
+    async fn start(control: FakeControl, fencing: FencingCheck) -> Self {
+        control.show_live_agents();
         Group::start_as_shown(control, fencing).await
     }
 
-    /// With the view that control shows already.
-    async fn start_as_shown(control: Control, fencing: FencingCheck) -> Self {
-        control.notes(vec![note()]);
+    /// Starts the group with the member view that control already shows.
+    async fn start_as_shown(control: FakeControl, fencing: FencingCheck) -> Self {
+        control.set_notes(vec![note()]);
         let collective = Collective::start(0..3).await.unwrap();
         let mut engines = Vec::new();
         for rank in 0..3 {
@@ -54,16 +54,16 @@
 
     async fn add_agent(&mut self, rank: usize) {
         let engine = &self.engines[rank];
-        let bench = Bench::join(&self.control, NAMES[rank], engine, maps()).await;
-        self.agents.insert(NAMES[rank], bench);
+        let fixture = Fixture::join(&self.control, NAMES[rank], engine, maps()).await;
+        self.agents.insert(NAMES[rank], fixture);
     }
 
     fn step(&self, rank: usize) -> u64 {
         self.engines[rank].map()["step"].as_u64().unwrap()
     }
 
-    /// Each map version that ran with its first step, the same at all ranks
-    /// up to the last step that all have run.
+    /// Asserts that all ranks used the same map versions from the same steps on, up
+    /// to the last step that all ranks have run.
     fn assert_one_map(&self) {
         let all = (0..3).map(|rank| self.step(rank)).min().unwrap();
         let histories: Vec<Vec<(u64, u64)>> = self
@@ -78,9 +78,9 @@
         assert_eq!(histories[0], histories[2]);
     }
 
-    /// Waits until all engines run on a committed map.
+    /// Waits until all engines use a committed map.
     async fn switched(&self) {
-        until("all run on a new map", async || {
+        wait_until("all ranks use a new map", async || {
             self.engines
                 .iter()
                 .all(|engine| engine.map()["version"].as_u64() > Some(0))
@@ -107,7 +107,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn switch_to_better_map() {
-    let group = Group::start(Control::start().await, FencingCheck::Refuse).await;
+    let group = Group::start(FakeControl::start().await, FencingCheck::Refuse).await;
     group.switched().await;
     group.assert_one_map();
     let standing = group.control.standing();
@@ -118,11 +118,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn switch_under_new_leader() {
-    // Power is lost everywhere. A new leader counts its view as whole only when
-    // the time of a lease has passed, and until then all streams would be slow
-    // on the start map, though the agent of each rank has long been heard.
-    let control = Control::start().await;
-    control.show_agents_unsettled();
+    // After a full power loss, a new leader treats its member view as settled only
+    // after the lease time. If the coordinator waited for that, all streams would be
+    // slow on the initial map although the agent of each rank is already known.
+    let control = FakeControl::start().await;
+    control.show_live_agents_unsettled();
     let group = Group::start_as_shown(control, FencingCheck::Refuse).await;
     group.switched().await;
     group.assert_one_map();
@@ -130,15 +130,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn switch_coordinator_lost_before_decision() {
-    // All ranks have promised to stop before the barrier when the agent that
-    // coordinates dies, and its decision never reaches the durable state. The
-    // group would stand still for good, and nobody get an answer, if the next
-    // coordinator didn't abort what hangs. The engines ignore fencing numbers.
-    let control = Control::start().await;
-    control.lose_commits(true);
+    // All ranks hold before the barrier when the coordinating agent dies, and its
+    // decision never reaches the durable state. Unless the next coordinator aborts
+    // the pending switch, the group stalls for good. The engines ignore fencing
+    // numbers.
+    let control = FakeControl::start().await;
+    control.drop_commits(true);
     let mut group = Group::start(control, FencingCheck::Ignore).await;
-    until("a commit is lost", async || {
-        group.control.commits_lost() > 0
+    wait_until("a commit is dropped", async || {
+        group.control.commits_dropped() > 0
     })
     .await;
     let held = |engine: &Engine| !engine.map()["held"].is_null();
@@ -146,19 +146,19 @@
     let fencing = group.control.standing().fencing;
 
     group.agents.remove(NAMES[0]);
-    group.control.lose_commits(false);
-    until("the other ranks are released", async || {
-        // A beat that was on its way when the agent died may come after.
-        group.control.forget(NAMES[0]);
+    group.control.drop_commits(false);
+    wait_until("the other ranks are released", async || {
+        // A renewal that was in flight when the agent died may arrive later.
+        group.control.forget_agent(NAMES[0]);
         group.control.standing().fencing > fencing && !group.engines[1..].iter().any(held)
     })
     .await;
 
-    // The dead agent's engine still keeps its promise, so all wait for it.
+    // The dead agent's engine still holds, so all ranks wait for it.
     assert!(held(&group.engines[0]));
     group.add_agent(0).await;
     let stopped = group.step(0);
-    until("the group goes on", async || {
+    wait_until("the group continues", async || {
         group.step(0) > stopped + 10 && group.step(1) > stopped + 10
     })
     .await;
--- a/crates/agent/tests/nonsense.rs
+++ b/crates/agent/tests/nonsense.rs
@@ -1,4 +1,4 @@
-//! Bytes that make no sense, from the target and from links.
+//! Malformed input from the target and from links.
 
 mod support;
 
@@ -10,13 +10,13 @@
 use fake::{Engine, EngineSettings};
 use quickcheck::{Arbitrary, Gen};
 use serde_json::json;
-use support::{Bench, id, until};
+use support::{Fixture, id, wait_until};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use wire::proto::frame::Body;
 use wire::proto::{Attach, Bar, Cancel, Header, Notes, Progress, Renewed, Start};
 
-/// Heads that make an HTTP client read on.
+/// Valid starts of HTTP responses, after which a client reads on.
 const HEADS: [&str; 6] = [
     "",
     "HTTP/1.1 200 OK\r\n",
@@ -26,8 +26,8 @@
     "HTTP/1.1 409 Conflict\r\ncontent-length: 3\r\n\r\n",
 ];
 
-/// A target that answers each connection with the bytes it is given.
-async fn babbler(answer: Arc<Mutex<Vec<u8>>>) -> SocketAddr {
+/// A target that answers each connection with the given bytes.
+async fn garbage_target(answer: Arc<Mutex<Vec<u8>>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
@@ -44,12 +44,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn outlet_any_bytes() {
-    // The target is broken, or something else answers at its address. Each
-    // call ends in bounded time, none is taken for a whole answer that isn't,
-    // and nothing panics.
+async fn target_client_arbitrary_bytes() {
+    // The target is faulty, or another process answers at its address. Each call
+    // must end in bounded time, no truncated response may pass for a complete one,
+    // and nothing may panic.
     let answer = Arc::new(Mutex::new(Vec::new()));
-    let target = babbler(Arc::clone(&answer)).await;
+    let target = garbage_target(Arc::clone(&answer)).await;
     let second = Duration::from_secs(1);
     let cfg = ClientSettings {
         connect: second,
@@ -89,23 +89,23 @@
     }
 }
 
-fn bytes(random: &mut Gen) -> bytes::Bytes {
-    // Now and then an id of the right length.
+fn arbitrary_bytes(random: &mut Gen) -> bytes::Bytes {
+    // Sometimes an id of the right length.
     match u8::arbitrary(random) % 3 {
         0 => id(u128::from(u8::arbitrary(random))),
         _ => Vec::<u8>::arbitrary(random).into(),
     }
 }
 
-fn start(bench: &Bench, random: &mut Gen) -> Start {
+fn arbitrary_start(fixture: &Fixture, random: &mut Gen) -> Start {
     let header = Header {
         name: String::arbitrary(random),
-        value: bytes(random),
+        value: arbitrary_bytes(random),
     };
-    let incarnation = bench.agent.incarnation();
+    let incarnation = fixture.agent.incarnation();
     Start {
-        attempt: bytes(random),
-        request: bytes(random),
+        attempt: arbitrary_bytes(random),
+        request: arbitrary_bytes(random),
         incarnation: incarnation.wrapping_add(u64::from(bool::arbitrary(random))),
         note: u64::from(u8::arbitrary(random) % 3),
         group: if bool::arbitrary(random) {
@@ -119,30 +119,30 @@
         method: String::arbitrary(random),
         path: String::arbitrary(random),
         headers: vec![header],
-        body: bytes(random),
+        body: arbitrary_bytes(random),
         traceparent: String::arbitrary(random),
         resume_events: u64::arbitrary(random),
         keep: bool::arbitrary(random),
-        fingerprint: bytes(random),
+        fingerprint: arbitrary_bytes(random),
         ..Start::default()
     }
 }
 
-fn message(bench: &Bench, random: &mut Gen) -> Body {
+fn arbitrary_message(fixture: &Fixture, random: &mut Gen) -> Body {
     match u8::arbitrary(random) % 7 {
-        0 | 1 => Body::Start(start(bench, random)),
+        0 | 1 => Body::Start(arbitrary_start(fixture, random)),
         2 => Body::Attach(Attach {
-            attempt: bytes(random),
+            attempt: arbitrary_bytes(random),
             offset: u64::arbitrary(random),
         }),
         3 => Body::Bar(Bar {
-            attempt: bytes(random),
+            attempt: arbitrary_bytes(random),
         }),
         4 => Body::Cancel(Cancel {
-            attempt: bytes(random),
+            attempt: arbitrary_bytes(random),
         }),
         5 => Body::Progress(Progress {
-            attempt: bytes(random),
+            attempt: arbitrary_bytes(random),
             offset: u64::arbitrary(random),
             done: bool::arbitrary(random),
         }),
@@ -152,26 +152,26 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn links_any_messages() {
-    // An entry of another version, or one that is broken, sends messages that
-    // make no sense, requests as one-way and one-way messages as requests. The
-    // agent goes on serving the others.
+async fn links_arbitrary_messages() {
+    // A faulty entry, or one of another version, sends malformed messages,
+    // requests as one-way messages and one-way messages as requests. The agent must
+    // keep serving other entries.
     let engine = Engine::start(EngineSettings::default()).await.unwrap();
-    let bench = Bench::engine(&engine, json!({})).await;
-    let broken = bench.caller().await;
+    let fixture = Fixture::engine(&engine, json!({})).await;
+    let broken = fixture.connect_entry().await;
     let mut random = Gen::from_size_and_seed(40, 32);
     for _ in 0..1_500 {
-        let body = message(&bench, &mut random);
+        let body = arbitrary_message(&fixture, &mut random);
         if bool::arbitrary(&mut random) {
             broken.link.send(body).await.unwrap();
         } else {
             let _ = broken.link.call(body, Duration::from_millis(2)).await;
         }
     }
-    let caller = bench.caller().await;
-    let attempt = caller
-        .begin_at_last(|attempt| bench.chat(attempt, 20))
+    let entry = fixture.connect_entry().await;
+    let attempt = entry
+        .start_until_accepted(|attempt| fixture.chat(attempt, 20))
         .await;
-    caller.whole(&attempt).await;
-    until("nothing runs", async || engine.running() == 0).await;
+    entry.wait_complete(&attempt).await;
+    wait_until("nothing runs", async || engine.running() == 0).await;
 }
--- a/crates/agent/tests/orders.rs
+++ b/crates/agent/tests/orders.rs
@@ -1,11 +1,11 @@
-//! Orders to engines that check fencing numbers, and to ones that don't.
+//! Commands to engines that check fencing numbers and to engines that don't.
 
 mod support;
 
 use agent::engine::{CommandFailure, Failure, MapCommand};
 use fake::{Engine, EngineSettings, Fault, FencingCheck};
 use serde_json::json;
-use support::Bench;
+use support::Fixture;
 
 async fn engine(fencing: FencingCheck) -> Engine {
     let cfg = EngineSettings {
@@ -23,13 +23,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn give_old_number() {
-    // A coordinator that was cut off goes on giving orders under its old
-    // number. An engine that doesn't check would obey; its agent refuses.
+async fn send_outdated_number() {
+    // A coordinator that was cut off keeps sending commands under its old fencing
+    // number. The engine doesn't check the number, so the agent must refuse.
     let engine = engine(FencingCheck::Ignore).await;
-    let bench = Bench::engine(&engine, json!({})).await;
-    bench.control.fence(5);
-    let commands = bench.agent.commands();
+    let fixture = Fixture::engine(&engine, json!({})).await;
+    fixture.control.set_fencing(5);
+    let commands = fixture.agent.commands();
     commands.send(6, stage(2)).await.unwrap();
     let refused = commands.send(5, stage(3)).await;
     assert_eq!(refused, Err(CommandFailure::Fenced { highest: 6 }));
@@ -37,24 +37,25 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn give_after_restart() {
-    // The agent restarts and has seen no number yet. The first order it gets
-    // is one of a former coordinator, held up on its way.
+async fn send_after_restart() {
+    // The agent has restarted and knows no fencing number. The first command that it
+    // receives is a delayed one of a former coordinator.
     let engine = engine(FencingCheck::Ignore).await;
-    let bench = Bench::engine(&engine, json!({})).await;
-    bench.control.fence(9);
-    let refused = bench.agent.commands().send(8, stage(2)).await;
+    let fixture = Fixture::engine(&engine, json!({})).await;
+    fixture.control.set_fencing(9);
+    let refused = fixture.agent.commands().send(8, stage(2)).await;
     assert_eq!(refused, Err(CommandFailure::Fenced { highest: 9 }));
     assert!(engine.seen().is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn give_without_control() {
-    // No majority can tell the current number. No order is given at all.
+async fn send_without_control() {
+    // Control has no majority to read the current fencing number from. No command
+    // may be sent.
     let engine = engine(FencingCheck::Ignore).await;
-    let bench = Bench::engine(&engine, json!({})).await;
-    bench.control.resign();
-    let refused = bench.agent.commands().send(8, stage(2)).await;
+    let fixture = Fixture::engine(&engine, json!({})).await;
+    fixture.control.resign();
+    let refused = fixture.agent.commands().send(8, stage(2)).await;
     assert!(matches!(
         refused,
         Err(CommandFailure::Failed(Failure::NotRun(_)))
@@ -63,23 +64,24 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn give_engine_knows_higher() {
-    // The engine has obeyed a higher number before, through a former agent.
+async fn send_engine_knows_higher() {
+    // The engine has applied a command with a higher fencing number before, sent by
+    // another agent.
     let engine = engine(FencingCheck::Refuse).await;
-    let first = Bench::engine(&engine, json!({})).await;
+    let first = Fixture::engine(&engine, json!({})).await;
     first.agent.commands().send(7, stage(2)).await.unwrap();
-    let second = Bench::engine(&engine, json!({})).await;
+    let second = Fixture::engine(&engine, json!({})).await;
     let refused = second.agent.commands().send(6, stage(3)).await;
     assert_eq!(refused, Err(CommandFailure::Fenced { highest: 7 }));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn give_answer_lost() {
-    // The engine obeys and its answer is lost, at each step of a switch. The
-    // agent reads back what was done instead of guessing.
+async fn send_answer_lost() {
+    // At each step of a switch the engine applies the command, and its answer is
+    // lost. The agent must read back the effect instead of guessing.
     let engine = engine(FencingCheck::Ignore).await;
-    let bench = Bench::engine(&engine, json!({})).await;
-    let commands = bench.agent.commands();
+    let fixture = Fixture::engine(&engine, json!({})).await;
+    let commands = fixture.agent.commands();
     engine.fault(Fault::LoseAnswer);
     let staged = commands.send(1, stage(2)).await.unwrap();
     assert!(staged.ready);
@@ -91,7 +93,7 @@
     let commit = MapCommand::Commit { version: 2, step };
     assert!(commands.send(1, commit.clone()).await.unwrap().known);
     assert_eq!(engine.map()["next"], 2);
-    // Given once more, by a coordinator that lost the outcome.
+    // Sent again by a coordinator that lost the answer.
     assert!(commands.send(1, commit).await.unwrap().known);
     let abort = MapCommand::Abort { version: 3, step };
     commands.send(1, stage(3)).await.unwrap();
@@ -105,11 +107,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn give_engine_dead() {
-    // The engine is dead. The order is told as not run, in bounded time.
+async fn send_engine_dead() {
+    // The engine is down. The command must fail in bounded time.
     let engine = engine(FencingCheck::Ignore).await;
-    let bench = Bench::engine(&engine, json!({})).await;
+    let fixture = Fixture::engine(&engine, json!({})).await;
     engine.fault(Fault::Die);
-    let failed = bench.agent.commands().send(1, stage(2)).await;
+    let failed = fixture.agent.commands().send(1, stage(2)).await;
     assert!(matches!(failed, Err(CommandFailure::Failed(_))));
 }
--- a/crates/agent/tests/support/control.rs
+++ b/crates/agent/tests/support/fake_control.rs
@@ -1,4 +1,4 @@
-//! A stand-in for control: one replica that always leads.
+//! A fake control: a single replica that always leads.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,16 +16,16 @@
 };
 use wire::{Identity, LinkSettings, Role};
 
-/// Until a command is committed.
-const COMMIT: Duration = Duration::from_millis(100);
+/// Time until a command is committed.
+const COMMIT_DELAY: Duration = Duration::from_millis(100);
 
 #[derive(Clone)]
-pub struct Control {
+pub struct FakeControl {
     address: SocketAddr,
     inner: Arc<Mutex<Inner>>,
 }
 
-/// Whether the view is made of all agents that renewed.
+/// Whether the member view lists all agents that renewed their lease.
 #[derive(Clone, Copy, PartialEq)]
 enum LiveView {
     Off,
@@ -40,9 +40,9 @@
     view: MemberView,
     quarantine: Quarantine,
     decisions: Decisions,
-    /// Whether proposals to commit a map are kept from the durable state.
-    deaf_to_commits: bool,
-    commits_asked: u64,
+    /// Whether proposals to commit a map are dropped.
+    drop_commits: bool,
+    commits_dropped: u64,
     live_view: LiveView,
     agents: BTreeMap<String, NodeInfo>,
     last: Option<NodeInfo>,
@@ -50,10 +50,10 @@
     crashes: Vec<Vec<bytes::Bytes>>,
 }
 
-impl Control {
+impl FakeControl {
     pub async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let control = Control {
+        let control = FakeControl {
             address: listener.local_addr().unwrap(),
             inner: Arc::new(Mutex::new(Inner {
                 notes: vec![first_note()],
@@ -62,8 +62,8 @@
                 view: MemberView::default(),
                 quarantine: Quarantine::default(),
                 decisions: Decisions::new(),
-                deaf_to_commits: false,
-                commits_asked: 0,
+                drop_commits: false,
+                commits_dropped: 0,
                 live_view: LiveView::Off,
                 agents: BTreeMap::new(),
                 last: None,
@@ -79,8 +79,8 @@
         self.address
     }
 
-    /// Number of the newest note.
-    pub fn note(&self) -> u64 {
+    /// Number of the newest release note.
+    pub fn newest_note(&self) -> u64 {
         self.inner.lock().unwrap().notes.len() as u64
     }
 
@@ -88,12 +88,12 @@
         self.inner.lock().unwrap().renewals
     }
 
-    /// What the agent last told of itself.
-    pub fn last(&self) -> Option<NodeInfo> {
+    /// Node information in the latest renewal.
+    pub fn last_node(&self) -> Option<NodeInfo> {
         self.inner.lock().unwrap().last.clone()
     }
 
-    /// Fingerprints of each crash that was reported.
+    /// Fingerprints of each reported crash.
     pub fn crashes(&self) -> Vec<Vec<bytes::Bytes>> {
         self.inner.lock().unwrap().crashes.clone()
     }
@@ -106,55 +106,56 @@
         inner.notes.push(note.to_string());
     }
 
-    /// Gives leases of this length from now on.
-    pub fn lease(&self, lease_ms: u32) {
+    /// Sets the length of leases.
+    pub fn set_lease(&self, lease_ms: u32) {
         self.inner.lock().unwrap().lease_ms = lease_ms;
     }
 
-    /// Opens coordinators until the fencing number is this one.
-    pub fn fence(&self, fencing: u64) {
+    /// Opens coordinators until the fencing number is `fencing`.
+    pub fn set_fencing(&self, fencing: u64) {
         let decisions = &mut self.inner.lock().unwrap().decisions;
         while decisions.open_coordinator(super::GROUP, "other", 1).fencing < fencing {}
     }
 
-    pub fn notes(&self, notes: Vec<String>) {
+    pub fn set_notes(&self, notes: Vec<String>) {
         self.inner.lock().unwrap().notes = notes;
     }
 
-    /// From now on the view is made of all agents that renew.
-    pub fn show_agents(&self) {
+    /// Shows all agents that renew in the member view from now on.
+    pub fn show_live_agents(&self) {
         self.inner.lock().unwrap().live_view = LiveView::Settled;
     }
 
-    /// The same under a leader that may not have heard of all of them yet.
-    pub fn show_agents_unsettled(&self) {
+    /// Like [`Self::show_live_agents`], but the view is not settled: the leader may
+    /// not know all agents yet.
+    pub fn show_live_agents_unsettled(&self) {
         self.inner.lock().unwrap().live_view = LiveView::Unsettled;
     }
 
-    /// Takes an agent out of the view until it renews again.
-    pub fn forget(&self, name: &str) {
+    /// Removes an agent from the view until it renews again.
+    pub fn forget_agent(&self, name: &str) {
         self.inner.lock().unwrap().agents.remove(name);
     }
 
-    /// Loses every proposal to commit a map, or no longer.
-    pub fn lose_commits(&self, lose: bool) {
-        self.inner.lock().unwrap().deaf_to_commits = lose;
+    /// Sets whether proposals to commit a map are dropped.
+    pub fn drop_commits(&self, drop: bool) {
+        self.inner.lock().unwrap().drop_commits = drop;
     }
 
-    /// Proposals to commit a map that were lost.
-    pub fn commits_lost(&self) -> u64 {
-        self.inner.lock().unwrap().commits_asked
+    /// Number of dropped proposals to commit a map.
+    pub fn commits_dropped(&self) -> u64 {
+        self.inner.lock().unwrap().commits_dropped
     }
 
-    /// What stands for the group.
+    /// Current decisions of the group.
     pub fn standing(&self) -> Standing {
         let inner = self.inner.lock().unwrap();
         let standing = inner.decisions.current(super::GROUP);
         standing.cloned().unwrap_or_default()
     }
 
-    /// Gives out this member view.
-    pub fn view(&self, nodes: Vec<NodeInfo>) {
+    /// Sets the member view.
+    pub fn set_view(&self, nodes: Vec<NodeInfo>) {
         let mut inner = self.inner.lock().unwrap();
         inner.view.term = 1;
         inner.view.version += 1;
@@ -162,12 +163,12 @@
         inner.view.nodes = nodes;
     }
 
-    /// Stops leading: nothing is answered any more.
+    /// Stops leading: every request is answered with `NotLeader`.
     pub fn resign(&self) {
         self.inner.lock().unwrap().leads = false;
     }
 
-    pub fn quarantine(&self, suspects: Vec<bytes::Bytes>, convicted: Vec<bytes::Bytes>) {
+    pub fn set_quarantine(&self, suspects: Vec<bytes::Bytes>, convicted: Vec<bytes::Bytes>) {
         let mut inner = self.inner.lock().unwrap();
         let version = inner.quarantine.version + 1;
         inner.quarantine = Quarantine {
@@ -190,7 +191,7 @@
                 let Ok((link, mut rx)) = accepted else { return };
                 while let Some(incoming) = rx.recv().await {
                     if matches!(incoming.body, Body::Propose(_)) {
-                        tokio::time::sleep(COMMIT).await;
+                        tokio::time::sleep(COMMIT_DELAY).await;
                     }
                     let answer = control.answer(incoming.body);
                     let _ = link.reply(incoming.call, answer).await;
@@ -208,7 +209,7 @@
             Body::Renew(renew) => {
                 inner.last = renew.node;
                 inner.renewals += 1;
-                inner.see_agents();
+                inner.update_view();
                 Body::Renewed(Renewed {
                     term: 1,
                     note: inner.notes.len() as u64,
@@ -229,7 +230,7 @@
             }
             Body::Propose(propose) => Body::Outcome(inner.propose(propose)),
             Body::Query(_) => Body::QueryReply(QueryReply {
-                body: Some(query_reply::Body::Map(inner.opened())),
+                body: Some(query_reply::Body::Map(inner.coordinator_outcome())),
             }),
             _ => Body::NotLeader(NotLeader::default()),
         }
@@ -243,7 +244,7 @@
                 let (agent, incarnation) = (&open.agent, open.incarnation);
                 let decisions = &mut self.decisions;
                 decisions.open_coordinator(&open.group, agent, incarnation);
-                outcome::Body::Coordinator(self.opened())
+                outcome::Body::Coordinator(self.coordinator_outcome())
             }
             Some(command::Body::DecideMap(decide)) => self.decide(decide),
             Some(command::Body::Crashed(crashed)) => {
@@ -259,8 +260,8 @@
     }
 
     fn decide(&mut self, decide: DecideMap) -> outcome::Body {
-        if decide.commit && self.deaf_to_commits {
-            self.commits_asked += 1;
+        if decide.commit && self.drop_commits {
+            self.commits_dropped += 1;
             return outcome::Body::Unavailable(Unavailable {
                 reason: "lost".into(),
                 maybe: true,
@@ -287,7 +288,7 @@
         })
     }
 
-    fn opened(&self) -> CoordinatorOutcome {
+    fn coordinator_outcome(&self) -> CoordinatorOutcome {
         let standing = self.decisions.current(super::GROUP);
         let standing = standing.cloned().unwrap_or_default();
         CoordinatorOutcome {
@@ -297,7 +298,7 @@
         }
     }
 
-    fn see_agents(&mut self) {
+    fn update_view(&mut self) {
         if self.live_view == LiveView::Off {
             return;
         }
--- a/crates/agent/tests/support/mod.rs
+++ b/crates/agent/tests/support/mod.rs
@@ -1,13 +1,13 @@
-//! A small stand-in for control, one for an entry, and an agent between them.
+//! A fake control, a test client that acts as an entry, and an agent between them.
 #![allow(dead_code, reason = "each test file uses its part")]
 
-mod caller;
-mod control;
-mod relay;
+mod fake_control;
+mod tcp_proxy;
+mod test_entry;
 
-pub use caller::Caller;
-pub use control::Control;
-pub use relay::Relay;
+pub use fake_control::FakeControl;
+pub use tcp_proxy::TcpProxy;
+pub use test_entry::TestEntry;
 
 use std::time::Duration;
 
@@ -21,68 +21,76 @@
 pub const GROUP: &str = "blank-advisor";
 pub const SERVICE: &str = "order-desk";
 
-/// How long a condition is waited for before a test fails.
-const PATIENCE: Duration = Duration::from_mins(1);
+/// How long a test waits for a condition before it fails.
+const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
 
 pub fn key() -> ClusterKey {
     ClusterKey::from_bytes(b"a cluster key for tests").unwrap()
 }
 
 /// Waits until a condition holds.
-pub async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
+pub async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let start = Instant::now();
     while !holds().await {
-        assert!(start.elapsed() < PATIENCE, "waited in vain until {what}");
+        assert!(
+            start.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting until {what}"
+        );
         sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// A control, and an agent before a target.
-pub struct Bench {
-    pub control: Control,
+/// A fake control and an agent in front of a target.
+pub struct Fixture {
+    pub control: FakeControl,
     pub agent: Agent,
     _folder: tempfile::TempDir,
 }
 
-impl Bench {
-    /// An agent before an engine, taking work.
+impl Fixture {
+    /// A ready agent in front of an engine.
     pub async fn engine(engine: &fake::Engine, timing: Value) -> Self {
         let target = json!({"group": GROUP, "engine": {"address": engine.address().to_string()}});
-        Bench::start("advisor-01", target, timing).await
+        Fixture::start("advisor-01", target, timing).await
     }
 
-    /// An agent before an engine that is reached through a relay.
-    pub async fn relayed(relay: &Relay) -> Self {
-        let target = json!({"group": GROUP, "engine": {"address": relay.address.to_string()}});
-        Bench::start("advisor-01", target, json!({})).await
+    /// A ready agent that reaches its engine through a proxy.
+    pub async fn engine_via_proxy(proxy: &TcpProxy) -> Self {
+        let target = json!({"group": GROUP, "engine": {"address": proxy.address.to_string()}});
+        Fixture::start("advisor-01", target, json!({})).await
     }
 
-    /// An agent before a plain service, taking work.
+    /// A ready agent in front of a plain service.
     pub async fn service(service: &fake::Service, timing: Value) -> Self {
         let target =
             json!({"service": SERVICE, "target": {"address": service.address().to_string()}});
-        Bench::start("desk-01", target, timing).await
+        Fixture::start("desk-01", target, timing).await
     }
 
-    /// An agent before an engine, with leases of this length.
+    /// A ready agent in front of an engine, with leases of this length.
     pub async fn engine_leased(engine: &fake::Engine, lease_ms: u32) -> Self {
         let target = json!({"group": GROUP, "engine": {"address": engine.address().to_string()}});
-        let control = Control::start().await;
-        control.lease(lease_ms);
-        Bench::under(control, "advisor-01", target, json!({})).await
+        let control = FakeControl::start().await;
+        control.set_lease(lease_ms);
+        Fixture::under(control, "advisor-01", target, json!({})).await
     }
 
     async fn start(name: &str, target: Value, more: Value) -> Self {
-        Bench::under(Control::start().await, name, target, more).await
+        Fixture::under(FakeControl::start().await, name, target, more).await
     }
 
-    /// An agent of this name under a control that others share.
-    pub async fn join(control: &Control, name: &str, engine: &fake::Engine, more: Value) -> Self {
+    /// A ready agent of this name under a shared control.
+    pub async fn join(
+        control: &FakeControl,
+        name: &str,
+        engine: &fake::Engine,
+        more: Value,
+    ) -> Self {
         let target = json!({"group": GROUP, "engine": {"address": engine.address().to_string()}});
-        Bench::under(control.clone(), name, target, more).await
+        Fixture::under(control.clone(), name, target, more).await
     }
 
-    async fn under(control: Control, name: &str, target: Value, more: Value) -> Self {
+    async fn under(control: FakeControl, name: &str, target: Value, more: Value) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let key_file = folder.path().join("cluster.key");
         std::fs::write(&key_file, b"a cluster key for tests").unwrap();
@@ -103,18 +111,18 @@
             http: TcpListener::bind(settings.http).await.unwrap(),
         };
         let agent = Agent::start(settings, listeners).await.unwrap();
-        let bench = Bench {
+        let fixture = Fixture {
             control,
             agent,
             _folder: folder,
         };
-        bench.ready().await;
-        bench
+        fixture.ready().await;
+        fixture
     }
 
-    /// Waits until the agent has note, lease and target.
+    /// Waits until the agent has a release note, a lease and a healthy target.
     pub async fn ready(&self) {
-        until("the agent is ready", async || {
+        wait_until("the agent is ready", async || {
             page(self.agent.http_address(), "/readyz")
                 .await
                 .starts_with("HTTP/1.1 200")
@@ -123,11 +131,11 @@
         .await;
     }
 
-    pub async fn caller(&self) -> Caller {
-        Caller::dial(self.agent.link_address()).await
+    pub async fn connect_entry(&self) -> TestEntry {
+        TestEntry::dial(self.agent.link_address()).await
     }
 
-    /// A streamed model request.
+    /// A start of a streamed model request.
     pub fn chat(&self, attempt: u128, tokens: u64) -> Start {
         let body = json!({"model": "burl-notes", "stream": true, "max_tokens": tokens,
             "attempt": attempt.to_string()});
@@ -135,7 +143,7 @@
             attempt: id(attempt),
             request: format!("request-{attempt}").into(),
             incarnation: self.agent.incarnation(),
-            note: self.control.note(),
+            note: self.control.newest_note(),
             group: GROUP.into(),
             model: "burl-notes".into(),
             deadline_ms: 60_000,
@@ -145,7 +153,7 @@
         }
     }
 
-    /// A reservation, which may not be repeated.
+    /// A start of a reservation, which must not be repeated.
     pub fn reservation(&self, attempt: u128, lot: &str) -> Start {
         let header = wire::proto::Header {
             name: "idempotency-key".into(),
@@ -155,7 +163,7 @@
             attempt: id(attempt),
             request: format!("request-{attempt}").into(),
             incarnation: self.agent.incarnation(),
-            note: self.control.note(),
+            note: self.control.newest_note(),
             service: SERVICE.into(),
             deadline_ms: 60_000,
             method: "POST".into(),
@@ -183,7 +191,7 @@
     }
 }
 
-/// Fetches a page, head and all.
+/// Fetches a page, including the response head.
 pub async fn page(address: std::net::SocketAddr, path: &str) -> String {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let mut stream = tokio::net::TcpStream::connect(address).await.unwrap();
--- a/crates/agent/tests/support/caller.rs
+++ b/crates/agent/tests/support/test_entry.rs
@@ -1,4 +1,5 @@
-//! A stand-in for an entry: starts attempts and puts their answers together.
+//! A test client that acts as an entry: starts attempts and assembles their
+//! answers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,70 +14,75 @@
 };
 use wire::{Assembly, Broken, Identity, Incoming, Link, LinkSettings, Piece, Role};
 
-const CALL: Duration = Duration::from_secs(30);
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One answer as far as it has come.
-pub struct Taken {
+/// An answer as far as it has been received.
+pub struct ReceivedAnswer {
     assembly: Assembly,
     pub status: u32,
     pub body: Vec<u8>,
     pub end: Option<Result<AnswerEnd, Broken>>,
-    /// Whether progress is reported as bytes arrive.
-    pub reads: bool,
+    /// Whether received bytes are acknowledged.
+    pub acknowledges: bool,
 }
 
 #[derive(Clone)]
-pub struct Caller {
+pub struct TestEntry {
     pub link: Link,
     inner: Arc<Mutex<Inner>>,
 }
 
 #[derive(Default)]
 struct Inner {
-    answers: BTreeMap<Bytes, Taken>,
-    others: Vec<Body>,
+    answers: BTreeMap<Bytes, ReceivedAnswer>,
+    other_messages: Vec<Body>,
 }
 
-impl Caller {
+impl TestEntry {
     pub async fn dial(address: SocketAddr) -> Self {
         let me = Identity::new(Role::Entry, "entry-1", 1);
         let cfg = LinkSettings::default();
         let (link, rx) = wire::dial(address, &me, &super::key(), &cfg).await.unwrap();
-        let caller = Caller {
+        let entry = TestEntry {
             link,
             inner: Arc::default(),
         };
-        tokio::spawn(caller.clone().receive(rx));
-        caller
+        tokio::spawn(entry.clone().receive(rx));
+        entry
     }
 
-    /// A fresh link that takes over the answers of this one.
-    pub async fn redial(&self, address: SocketAddr) -> Self {
-        let fresh = Caller::dial(address).await;
+    /// A new link that takes over the answers of this one.
+    pub async fn reconnect(&self, address: SocketAddr) -> Self {
+        let fresh = TestEntry::dial(address).await;
         let mut inner = self.inner.lock().unwrap();
         fresh.inner.lock().unwrap().answers = std::mem::take(&mut inner.answers);
         fresh
     }
 
     pub async fn start(&self, start: Start) -> StartReply {
-        self.expect(&start.attempt, true);
-        match self.link.call(Body::Start(start), CALL).await.unwrap() {
+        self.expect_answer(&start.attempt, true);
+        match self
+            .link
+            .call(Body::Start(start), CALL_TIMEOUT)
+            .await
+            .unwrap()
+        {
             Body::StartReply(reply) => reply,
             other => panic!("unexpected {other:?}"),
         }
     }
 
-    /// Starts an attempt that must be taken.
-    pub async fn begin(&self, start: Start) {
+    /// Starts an attempt that must be accepted.
+    pub async fn start_accepted(&self, start: Start) {
         let reply = self.start(start).await;
         assert!(reply.accepted, "refused: {:?}", reply.refusal());
     }
 
-    /// Starts one attempt after the other until one is taken, and returns it:
-    /// a target that was just started again may not be known to be up yet.
-    pub async fn begin_at_last(&self, start: impl Fn(u128) -> Start) -> Bytes {
+    /// Starts attempts until one is accepted and returns its id. The agent may not
+    /// know yet that a restarted target is up.
+    pub async fn start_until_accepted(&self, start: impl Fn(u128) -> Start) -> Bytes {
         let mut attempt = 1_000;
-        super::until("an attempt is taken", async || {
+        super::wait_until("an attempt is accepted", async || {
             attempt += 1;
             self.start(start(attempt)).await.accepted
         })
@@ -85,7 +91,7 @@
     }
 
     /// Starts an attempt that must be refused.
-    pub async fn refused(&self, start: Start) -> Refusal {
+    pub async fn start_refused(&self, start: Start) -> Refusal {
         let reply = self.start(start).await;
         assert!(!reply.accepted);
         reply.refusal()
@@ -96,7 +102,12 @@
             attempt: attempt.clone(),
             offset,
         };
-        match self.link.call(Body::Attach(attach), CALL).await.unwrap() {
+        match self
+            .link
+            .call(Body::Attach(attach), CALL_TIMEOUT)
+            .await
+            .unwrap()
+        {
             Body::AttachReply(reply) => reply.state(),
             other => panic!("unexpected {other:?}"),
         }
@@ -106,7 +117,7 @@
         let bar = Bar {
             attempt: attempt.clone(),
         };
-        match self.link.call(Body::Bar(bar), CALL).await.unwrap() {
+        match self.link.call(Body::Bar(bar), CALL_TIMEOUT).await.unwrap() {
             Body::BarReply(reply) => reply.state(),
             other => panic!("unexpected {other:?}"),
         }
@@ -118,58 +129,58 @@
         self.link.send(cancel).await.unwrap();
     }
 
-    pub async fn done(&self, attempt: &Bytes) {
+    pub async fn release(&self, attempt: &Bytes) {
         let progress = Progress {
             attempt: attempt.clone(),
-            offset: self.with(attempt, |taken| taken.assembly.offset()),
+            offset: self.with_answer(attempt, |answer| answer.assembly.offset()),
             done: true,
         };
         self.link.send(Body::Progress(progress)).await.unwrap();
     }
 
-    /// Prepares for an answer; without `reads`, no progress is reported.
-    pub fn expect(&self, attempt: &Bytes, reads: bool) {
+    /// Prepares for an answer; its bytes are acknowledged only if `acknowledges`.
+    pub fn expect_answer(&self, attempt: &Bytes, acknowledges: bool) {
         let mut inner = self.inner.lock().unwrap();
-        let taken = || Taken {
+        let answer = || ReceivedAnswer {
             assembly: Assembly::new(attempt.clone(), 1 << 20),
             status: 0,
             body: Vec::new(),
             end: None,
-            reads,
+            acknowledges,
         };
-        inner.answers.entry(attempt.clone()).or_insert_with(taken);
+        inner.answers.entry(attempt.clone()).or_insert_with(answer);
     }
 
-    pub fn with<T>(&self, attempt: &Bytes, look: impl FnOnce(&Taken) -> T) -> T {
+    pub fn with_answer<T>(&self, attempt: &Bytes, read: impl FnOnce(&ReceivedAnswer) -> T) -> T {
         let inner = self.inner.lock().unwrap();
-        look(inner.answers.get(attempt).unwrap())
+        read(inner.answers.get(attempt).unwrap())
     }
 
-    pub fn length(&self, attempt: &Bytes) -> usize {
-        self.with(attempt, |taken| taken.body.len())
+    pub fn received_len(&self, attempt: &Bytes) -> usize {
+        self.with_answer(attempt, |answer| answer.body.len())
     }
 
-    /// Waits for the end of an answer: its bytes, and how it ended.
-    pub async fn ended(&self, attempt: &Bytes) -> (Vec<u8>, Result<AnswerEnd, Broken>) {
-        super::until("the answer ended", async || {
-            self.with(attempt, |taken| taken.end.is_some())
+    /// Waits for the end of an answer and returns its bytes and how it ended.
+    pub async fn wait_ended(&self, attempt: &Bytes) -> (Vec<u8>, Result<AnswerEnd, Broken>) {
+        super::wait_until("the answer ended", async || {
+            self.with_answer(attempt, |answer| answer.end.is_some())
         })
         .await;
-        self.with(attempt, |taken| {
-            (taken.body.clone(), taken.end.clone().unwrap())
+        self.with_answer(attempt, |answer| {
+            (answer.body.clone(), answer.end.clone().unwrap())
         })
     }
 
-    /// Waits for the end of an answer that must be whole.
-    pub async fn whole(&self, attempt: &Bytes) -> Vec<u8> {
-        let (body, end) = self.ended(attempt).await;
-        assert!(end.is_ok(), "not whole: {end:?}");
+    /// Waits for the end of an answer that must be complete.
+    pub async fn wait_complete(&self, attempt: &Bytes) -> Vec<u8> {
+        let (body, end) = self.wait_ended(attempt).await;
+        assert!(end.is_ok(), "incomplete answer: {end:?}");
         body
     }
 
-    /// Messages that were no part of an answer.
-    pub fn others(&self) -> Vec<Body> {
-        self.inner.lock().unwrap().others.clone()
+    /// Messages that weren't part of an answer.
+    pub fn other_messages(&self) -> Vec<Body> {
+        self.inner.lock().unwrap().other_messages.clone()
     }
 
     async fn receive(self, mut rx: mpsc::Receiver<Incoming>) {
@@ -187,22 +198,22 @@
             Body::AnswerChunk(chunk) => chunk.attempt.clone(),
             Body::AnswerEnd(end) => end.attempt.clone(),
             _ => {
-                inner.others.push(body);
+                inner.other_messages.push(body);
                 return None;
             }
         };
-        let taken = inner.answers.get_mut(&attempt)?;
-        for piece in taken.assembly.take(body) {
+        let answer = inner.answers.get_mut(&attempt)?;
+        for piece in answer.assembly.take(body) {
             match piece {
-                Piece::Head(head) => taken.status = head.status,
-                Piece::Data(data) => taken.body.extend_from_slice(&data),
-                Piece::Whole(end) => taken.end = Some(Ok(end)),
-                Piece::Broken(broken) => taken.end = Some(Err(broken)),
+                Piece::Head(head) => answer.status = head.status,
+                Piece::Data(data) => answer.body.extend_from_slice(&data),
+                Piece::Whole(end) => answer.end = Some(Ok(end)),
+                Piece::Broken(broken) => answer.end = Some(Err(broken)),
             }
         }
-        taken.reads.then(|| Progress {
+        answer.acknowledges.then(|| Progress {
             attempt,
-            offset: taken.assembly.offset(),
+            offset: answer.assembly.offset(),
             done: false,
         })
     }
