--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -204,7 +204,7 @@
         group: cx.cfg.group_or_service.clone(),
         incarnation: cx.incarnation,
         cfg: cx.cfg.maps.clone(),
-        poll: cx.cfg.timing.poll_interval,
+        tick_interval: cx.cfg.timing.poll_interval,
         follower: cx.follower.clone(),
         target_client: cx.target_client.clone(),
         group_source: GroupSource::ReleaseNote,
--- a/crates/agent/src/attempts.rs
+++ b/crates/agent/src/attempts.rs
@@ -19,7 +19,7 @@
 const NEVER_EXPIRES: Duration = Duration::MAX;
 
 /// An attempt that runs or whose answer is held.
-pub(crate) struct AttemptEntry {
+pub(crate) struct TrackedAttempt {
     pub answer: Arc<Answer>,
     pub fingerprint: Bytes,
     pub retention: Retention,
@@ -32,8 +32,8 @@
     released: Released,
 }
 
-/// Whether the entry process no longer needs the answer: that of a repeatable
-/// call has arrived or was cancelled, that of a non-repeatable call is recorded.
+/// Whether the entry no longer needs the answer: that of a repeatable call has
+/// arrived or was cancelled, that of a non-repeatable call is recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Released {
     Yes,
@@ -50,7 +50,7 @@
     Ended(Instant),
 }
 
-impl AttemptEntry {
+impl TrackedAttempt {
     pub fn new(
         answer: Arc<Answer>,
         fingerprint: Bytes,
@@ -59,7 +59,7 @@
         instance: String,
         now: Instant,
     ) -> Self {
-        AttemptEntry {
+        TrackedAttempt {
             answer,
             fingerprint,
             retention,
@@ -84,8 +84,8 @@
 /// All attempts that an agent knows, and tombstones of those that must never
 /// start.
 pub(crate) struct Attempts {
-    entries: BTreeMap<Attempt, AttemptEntry>,
-    /// Counters over `entries`, kept up to date because every start reads them.
+    tracked: BTreeMap<Attempt, TrackedAttempt>,
+    /// Counters over `tracked`, kept up to date because every start reads them.
     running: usize,
     suspects: usize,
     /// Bytes held for all answers at the last tick.
@@ -105,7 +105,7 @@
 impl Attempts {
     pub fn new(limits: &Limits, timing: &Timing) -> Self {
         Attempts {
-            entries: BTreeMap::new(),
+            tracked: BTreeMap::new(),
             running: 0,
             suspects: 0,
             held_bytes: 0,
@@ -115,8 +115,8 @@
         }
     }
 
-    pub fn get(&self, attempt: Attempt) -> Option<&AttemptEntry> {
-        self.entries.get(&attempt)
+    pub fn get(&self, attempt: Attempt) -> Option<&TrackedAttempt> {
+        self.tracked.get(&attempt)
     }
 
     pub fn tombstone(&self, attempt: Attempt) -> Option<Tombstone> {
@@ -134,10 +134,10 @@
     }
 
     /// Adds an attempt that begins to run.
-    pub fn insert(&mut self, attempt: Attempt, entry: AttemptEntry) {
+    pub fn insert(&mut self, attempt: Attempt, tracked: TrackedAttempt) {
         self.running += 1;
-        self.suspects += usize::from(entry.suspicion == Suspicion::Suspect);
-        self.entries.insert(attempt, entry);
+        self.suspects += usize::from(tracked.suspicion == Suspicion::Suspect);
+        self.tracked.insert(attempt, tracked);
     }
 
     pub fn running(&self) -> usize {
@@ -164,12 +164,12 @@
     }
 
     pub fn is_empty(&self) -> bool {
-        self.entries.is_empty()
+        self.tracked.is_empty()
     }
 
     pub fn state(&self, attempt: Attempt) -> AttemptState {
-        match (self.entries.get(&attempt), self.tombstone(attempt)) {
-            (Some(entry), _) if entry.is_ended() => AttemptState::Ended,
+        match (self.tracked.get(&attempt), self.tombstone(attempt)) {
+            (Some(tracked), _) if tracked.is_ended() => AttemptState::Ended,
             (Some(_), _) => AttemptState::Running,
             (None, Some(Tombstone::Barred)) => AttemptState::Barred,
             (None, Some(Tombstone::Forgotten)) => AttemptState::Forgotten,
@@ -190,31 +190,31 @@
     /// Cancels a repeatable attempt. A non-repeatable call continues: it may have
     /// run, and its answer is needed.
     pub fn cancel(&mut self, attempt: Attempt) {
-        if let Some(entry) = self.entries.get_mut(&attempt)
-            && entry.retention == Retention::UntilAcknowledged
+        if let Some(tracked) = self.tracked.get_mut(&attempt)
+            && tracked.retention == Retention::UntilAcknowledged
         {
-            entry.released = Released::Yes;
-            entry.answer.cancel.cancel();
+            tracked.released = Released::Yes;
+            tracked.answer.cancel.cancel();
         }
     }
 
     pub fn acknowledge(&self, attempt: Attempt, offset: u64) {
-        if let Some(entry) = self.entries.get(&attempt) {
-            entry.answer.acknowledge(offset);
+        if let Some(tracked) = self.tracked.get(&attempt) {
+            tracked.answer.acknowledge(offset);
         }
     }
 
     /// Ends an attempt. Returns `false` if it has already ended or is unknown.
     pub fn end(&mut self, attempt: Attempt, ending: Ending, now: Instant) -> bool {
-        let Some(entry) = self.entries.get_mut(&attempt) else {
+        let Some(tracked) = self.tracked.get_mut(&attempt) else {
             return false;
         };
-        if !entry.is_running() {
+        if !tracked.is_running() {
             return false;
         }
-        entry.state = RunState::Ended(now);
-        entry.answer.end(ending);
-        let suspicion = entry.suspicion;
+        tracked.state = RunState::Ended(now);
+        tracked.answer.end(ending);
+        let suspicion = tracked.suspicion;
         self.count_stopped(suspicion);
         true
     }
@@ -222,13 +222,13 @@
     /// Records that an attempt's connection broke. Returns `false` if it had
     /// already ended.
     pub fn mark_connection_lost(&mut self, attempt: Attempt, reason: String) -> bool {
-        let Some(entry) = self.entries.get_mut(&attempt) else {
+        let Some(tracked) = self.tracked.get_mut(&attempt) else {
             return false;
         };
-        if !entry.is_running() {
+        if !tracked.is_running() {
             return false;
         }
-        entry.state = RunState::ConnectionLost(reason);
+        tracked.state = RunState::ConnectionLost(reason);
         true
     }
 
@@ -236,13 +236,13 @@
     pub fn end_broken(&mut self, now: Instant) -> Vec<Ending> {
         let mut endings = Vec::new();
         let mut ended = Vec::new();
-        for entry in self.entries.values_mut() {
-            if let RunState::ConnectionLost(reason) = &entry.state {
+        for tracked in self.tracked.values_mut() {
+            if let RunState::ConnectionLost(reason) = &tracked.state {
                 let ending = Ending::new(End::Lost, reason.clone());
                 endings.push(ending.clone());
-                entry.answer.end(ending);
-                entry.state = RunState::Ended(now);
-                ended.push(entry.suspicion);
+                tracked.answer.end(ending);
+                tracked.state = RunState::Ended(now);
+                ended.push(tracked.suspicion);
             }
         }
         for suspicion in ended {
@@ -259,22 +259,22 @@
     /// unrelated request.
     pub fn mark_crashed(
         &mut self,
-        ran_on_crashed: impl Fn(&AttemptEntry) -> bool,
+        ran_on_crashed: impl Fn(&TrackedAttempt) -> bool,
     ) -> Vec<(Attempt, Bytes)> {
         let mut crashed = Vec::new();
         let mut suspicions = Vec::new();
         let running = self
-            .entries
+            .tracked
             .iter_mut()
-            .filter(|(_, entry)| entry.is_running());
-        for (attempt, entry) in running {
-            if entry.answer.write_state() == WriteState::Unwritten || !ran_on_crashed(entry) {
+            .filter(|(_, tracked)| tracked.is_running());
+        for (attempt, tracked) in running {
+            if tracked.answer.write_state() == WriteState::Unwritten || !ran_on_crashed(tracked) {
                 continue;
             }
-            entry.state = RunState::Crashed;
-            entry.answer.cancel.cancel();
-            crashed.push((*attempt, entry.fingerprint.clone()));
-            suspicions.push(entry.suspicion);
+            tracked.state = RunState::Crashed;
+            tracked.answer.cancel.cancel();
+            crashed.push((*attempt, tracked.fingerprint.clone()));
+            suspicions.push(tracked.suspicion);
         }
         for suspicion in suspicions {
             self.count_stopped(suspicion);
@@ -285,42 +285,45 @@
     /// Ends the marked attempts once control has recorded the crash.
     pub fn end_crashed(&mut self, crashed: &[Attempt], now: Instant) {
         for attempt in crashed {
-            if let Some(entry) = self.entries.get_mut(attempt) {
-                entry.state = RunState::Ended(now);
+            if let Some(tracked) = self.tracked.get_mut(attempt) {
+                tracked.state = RunState::Ended(now);
                 let ending = Ending::new(End::Crashed, "the target crashed");
-                entry.answer.end(ending);
+                tracked.answer.end(ending);
             }
         }
     }
 
-    /// Drops an attempt whose answer the entry process no longer needs. An
-    /// attempt that still runs is dropped after it has ended.
+    /// Drops an attempt whose answer the entry no longer needs. An attempt that
+    /// still runs is dropped after it has ended.
     pub fn release(&mut self, attempt: Attempt, now: Instant) {
-        if let Some(entry) = self.entries.get_mut(&attempt) {
-            entry.released = Released::Yes;
+        if let Some(tracked) = self.tracked.get_mut(&attempt) {
+            tracked.released = Released::Yes;
             self.forget(attempt, now);
         }
     }
 
     fn forget(&mut self, attempt: Attempt, now: Instant) {
-        let ended = self.entries.get(&attempt).filter(|entry| entry.is_ended());
-        let Some(entry) = ended else {
+        let ended = self
+            .tracked
+            .get(&attempt)
+            .filter(|tracked| tracked.is_ended());
+        let Some(tracked) = ended else {
             return;
         };
-        let tombstones = match (entry.retention, entry.released) {
+        let tombstones = match (tracked.retention, tracked.released) {
             (Retention::UntilRecorded, Released::Yes) => &mut self.recorded,
             (Retention::UntilRecorded, Released::No) => &mut self.unrecorded,
             (Retention::UntilAcknowledged, Released::No) => &mut self.unacknowledged,
             // Its only start message was accepted, and the sender is done with it.
             (Retention::UntilAcknowledged, Released::Yes) => {
-                self.entries.remove(&attempt);
+                self.tracked.remove(&attempt);
                 return;
             }
         };
-        // Without room for a tombstone the entry stays, so that the attempt can't
+        // Without room for a tombstone the attempt stays tracked, so that it can't
         // start a second time.
         if tombstones.insert(attempt, Tombstone::Forgotten, now) {
-            self.entries.remove(&attempt);
+            self.tracked.remove(&attempt);
         }
     }
 
@@ -330,14 +333,14 @@
         self.unacknowledged.expire(now);
         let mut expired = Vec::new();
         self.held_bytes = 0;
-        for (attempt, entry) in &mut self.entries {
-            self.held_bytes += entry.answer.held_bytes();
-            entry.check_attachment(timing.detach_grace, now);
-            let retention = match entry.retention {
+        for (attempt, tracked) in &mut self.tracked {
+            self.held_bytes += tracked.answer.held_bytes();
+            tracked.check_attachment(timing.detach_grace, now);
+            let retention = match tracked.retention {
                 Retention::UntilRecorded => timing.unrecorded_retention,
                 Retention::UntilAcknowledged => timing.answer_retention,
             };
-            if let RunState::Ended(ended) = entry.state
+            if let RunState::Ended(ended) = tracked.state
                 && now.saturating_duration_since(ended) >= retention
             {
                 expired.push(*attempt);
@@ -349,7 +352,7 @@
     }
 }
 
-impl AttemptEntry {
+impl TrackedAttempt {
     fn check_attachment(&mut self, grace: Duration, now: Instant) {
         if self.answer.is_attached() {
             self.detached_since = None;
--- a/crates/agent/src/crash.rs
+++ b/crates/agent/src/crash.rs
@@ -75,13 +75,14 @@
         let crashed = match result {
             ProbeResult::Gone => {
                 state.cx.set_instance(String::new());
-                attempts.mark_crashed(|entry| entry.started <= since)
+                attempts.mark_crashed(|tracked| tracked.started <= since)
             }
             ProbeResult::Answers(instance) if !instance.is_empty() => {
                 // An attempt that started while the instance was unknown may run
                 // on this one and doesn't count as crashed.
-                let crashed = attempts
-                    .mark_crashed(|entry| !entry.instance.is_empty() && entry.instance != instance);
+                let crashed = attempts.mark_crashed(|tracked| {
+                    !tracked.instance.is_empty() && tracked.instance != instance
+                });
                 state.cx.set_instance(instance);
                 crashed
             }
@@ -131,8 +132,8 @@
 /// Counts a crash and reports the fingerprints of the requests that ran.
 ///
 /// The attempts end only once control has recorded the report, or after
-/// [`REPORT_WAIT`]: a client that learns of the crash retries on another target,
-/// and would crash more targets if the quarantine didn't contain its request.
+/// [`REPORT_WAIT`]: a caller that learns of the crash retries on another target,
+/// and would crash a third one if the quarantine didn't contain its request yet.
 fn report_crash(state: &mut State, crashed: Vec<(Attempt, Bytes)>, now: Instant) {
     log::warn!("target crashed while running {} attempts", crashed.len());
     state.cx.metrics.crashed(crashed.len());
--- a/crates/agent/src/map/engine_calls.rs
+++ b/crates/agent/src/map/engine_calls.rs
@@ -28,7 +28,7 @@
 
 /// Sends the command. Returns `Some` if it was answered.
 async fn send_command(commands: &CommandQueue, order: EngineOrder) -> Option<()> {
-    let (fencing, order) = match order {
+    let (fencing, command) = match order {
         EngineOrder::Read => return Some(()),
         EngineOrder::Stage {
             fencing,
@@ -44,7 +44,7 @@
             formation,
             maps,
         } => {
-            let maps = maps.into_iter().map(in_force).collect::<Option<_>>()?;
+            let maps = maps.into_iter().map(committed_map).collect::<Option<_>>()?;
             (fencing, MapCommand::Join { formation, maps })
         }
         EngineOrder::Hold {
@@ -65,10 +65,10 @@
             verdict: Verdict::Abort,
         } => (fencing, MapCommand::Abort { version, step }),
     };
-    commands.send(fencing, order).await.ok().map(drop)
+    commands.send(fencing, command).await.ok().map(drop)
 }
 
-fn in_force(decision: Decision) -> Option<CommittedMap> {
+fn committed_map(decision: Decision) -> Option<CommittedMap> {
     let map = Map::from_bytes(decision.map).ok()?;
     Some(CommittedMap {
         version: decision.version,
@@ -89,7 +89,7 @@
         waiting: map.waiting,
         formation: match map.formation {
             Some(0) => None,
-            told => Some(told.unwrap_or_default()),
+            number => Some(number.unwrap_or_default()),
         },
         arming: map.arming,
     }
--- a/crates/agent/src/map/formations.rs
+++ b/crates/agent/src/map/formations.rs
@@ -13,7 +13,7 @@
 
 /// The last formation that each agent's engine reported.
 ///
-/// An unreachable agent doesn't mean that its engine has stopped. The proof that a
+/// An engine may keep running while its agent is unreachable. The proof that a
 /// rank runs no more steps of its group is a report from the other engines that
 /// they have formed without it: a step needs all ranks of the formation, and an
 /// engine can't take part in a formation that it isn't in.
--- a/crates/agent/src/map/map_actor.rs
+++ b/crates/agent/src/map/map_actor.rs
@@ -63,7 +63,7 @@
 }
 
 async fn send_ticks(actor: ActorRef<MapMsg>, cx: Arc<MapContext>) {
-    let mut ticks = tokio::time::interval(cx.poll);
+    let mut ticks = tokio::time::interval(cx.tick_interval);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
--- a/crates/agent/src/map/map_context.rs
+++ b/crates/agent/src/map/map_context.rs
@@ -19,7 +19,7 @@
     pub incarnation: u64,
     pub cfg: MapSettings,
     /// Interval of ticks.
-    pub poll: Duration,
+    pub tick_interval: Duration,
     pub follower: Follower,
     pub target_client: TargetClient,
     pub group_source: GroupSource,
--- a/crates/agent/src/map/members.rs
+++ b/crates/agent/src/map/members.rs
@@ -40,8 +40,8 @@
         self.addresses.keys().cloned().collect()
     }
 
-    /// The agent that coordinates.
-    pub fn lowest(&self) -> Option<&str> {
+    /// Name of the coordinating agent, which is the lowest name.
+    pub fn coordinator_name(&self) -> Option<&str> {
         self.addresses.keys().next().map(String::as_str)
     }
 
--- a/crates/agent/src/map/state.rs
+++ b/crates/agent/src/map/state.rs
@@ -230,7 +230,7 @@
             return;
         }
         self.rank_releaser.add_engines(&members.engines);
-        if members.lowest() != Some(&self.cx.name) {
+        if members.coordinator_name() != Some(&self.cx.name) {
             self.coordinator = None;
             self.planner = None;
             return;
--- a/crates/agent/src/map/window_counter.rs
+++ b/crates/agent/src/map/window_counter.rs
@@ -30,9 +30,9 @@
                 slowdown_permille: rank.slowdown.map(permille),
             };
             let nothing = Vec::new();
-            let fresh = counts.map_version == 0;
+            let on_initial_map = counts.map_version == 0;
             let before = self.previous.get(&rank.rank);
-            let before = before.or(fresh.then_some(&nothing));
+            let before = before.or(on_initial_map.then_some(&nothing));
             windows.extend(before.map(window));
             self.previous.insert(rank.rank, tokens);
         }
--- a/crates/agent/src/map_agent.rs
+++ b/crates/agent/src/map_agent.rs
@@ -31,7 +31,7 @@
     /// for another process of that name.
     pub follower: Follower,
     /// Interval of ticks.
-    pub poll: Duration,
+    pub tick_interval: Duration,
     /// The cluster key.
     pub key: ClusterKey,
     /// Settings of links.
@@ -70,7 +70,7 @@
             group: cfg.group,
             incarnation: cfg.me.incarnation,
             cfg: cfg.maps,
-            poll: cfg.poll,
+            tick_interval: cfg.tick_interval,
             follower: cfg.follower.clone(),
             target_client: TargetClient::arming(cfg.engine, cfg.dialect, cfg.client),
             group_source: GroupSource::Shared(Arc::clone(&group)),
--- a/crates/agent/src/rank_agent.rs
+++ b/crates/agent/src/rank_agent.rs
@@ -121,7 +121,7 @@
             engine: cfg.engine,
             dialect: cfg.dialect,
             follower: follower.clone(),
-            poll: POLL_INTERVAL,
+            tick_interval: POLL_INTERVAL,
             key: cfg.key.clone(),
             link: cfg.link.clone(),
             client: CLIENT_SETTINGS,
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -91,8 +91,8 @@
     Ok(ending)
 }
 
-/// Tells an engine to stop a request, because it would go on generating after the
-/// connection is closed. Services need no cancellation.
+/// Tells an engine to stop a request; otherwise it would keep generating tokens
+/// that nobody reads.
 async fn cancel_call(client: &TargetClient, call: &Call) {
     if client.kind() == TargetKind::Engine
         && let Err(e) = client.cancel(&call.request).await
--- a/crates/agent/src/start_handler.rs
+++ b/crates/agent/src/start_handler.rs
@@ -13,7 +13,7 @@
 
 use crate::answer::{Answer, Cursor, HeadSent};
 use crate::attempt_manager::{AttemptMsg, Origin, State, retention};
-use crate::attempts::AttemptEntry;
+use crate::attempts::TrackedAttempt;
 use crate::context::RequestedWork;
 use crate::engine::{Call, Retry, TargetKind};
 use crate::run::run;
@@ -85,8 +85,8 @@
     }
     // An entry that lost the reply starts the same attempt again; the running
     // attempt continues.
-    if let Some(entry) = state.attempts.get(attempt) {
-        return Ok(attach_link(&entry.answer, link, 0));
+    if let Some(tracked) = state.attempts.get(attempt) {
+        return Ok(attach_link(&tracked.answer, link, 0));
     }
     let suspicion = admit(state, start, origin, now)?;
     let limits = &state.cx.cfg.limits;
@@ -98,7 +98,7 @@
         limits.window_bytes,
         max_held,
     ));
-    let entry = AttemptEntry::new(
+    let tracked = TrackedAttempt::new(
         Arc::clone(&answer),
         start.fingerprint.clone(),
         retention,
@@ -106,7 +106,7 @@
         state.cx.status.borrow().instance.clone(),
         now,
     );
-    state.attempts.insert(attempt, entry);
+    state.attempts.insert(attempt, tracked);
     state.cx.metrics.attempt_accepted();
     let sending = attach_link(&answer, link, 0);
     spawn_run(state, attempt, start, answer);
@@ -193,11 +193,11 @@
 
 pub(crate) fn attach(state: &State, attach: &Attach, link: &Link) -> AttachOutcome {
     let attempt = Attempt::from_slice(&attach.attempt);
-    let entry = attempt.and_then(|attempt| state.attempts.get(attempt));
-    let sending = entry.and_then(|entry| attach_link(&entry.answer, link, attach.offset));
+    let tracked = attempt.and_then(|attempt| state.attempts.get(attempt));
+    let sending = tracked.and_then(|tracked| attach_link(&tracked.answer, link, attach.offset));
     let attempt_state = attempt.map(|attempt| state.attempts.state(attempt));
     // The attempt is known, but the bytes from that offset on are gone.
-    let gone = entry.is_some() && sending.is_none();
+    let gone = tracked.is_some() && sending.is_none();
     let attempt_state = if gone {
         Some(AttemptState::Forgotten)
     } else {
@@ -216,7 +216,7 @@
 fn spawn_run(state: &State, attempt: Attempt, start: &Start, answer: Arc<Answer>) {
     let span = tracing::info_span!(
         "agent",
-        request = %text(&start.request),
+        request = %id_text(&start.request),
         attempt = %attempt,
         target = %state.cx.cfg.name,
     );
@@ -232,7 +232,7 @@
     let retention = retention(start);
     let cx = Arc::clone(&state.cx);
     let manager = state.myself.clone();
-    let request = text(&start.request);
+    let request = id_text(&start.request);
     let run = async move {
         let outcome = run(&cx, &call, &answer, retention, timeout)
             .instrument(engine)
@@ -256,7 +256,7 @@
 }
 
 fn call(state: &State, attempt: Attempt, start: &Start, traceparent: String) -> Call {
-    let mut request = text(&start.request);
+    let mut request = id_text(&start.request);
     if state.cx.target_client.kind() == TargetKind::Engine {
         // Two attempts at one request may run on the same engine; cancelling the
         // first must not stop the second.
@@ -284,7 +284,7 @@
 }
 
 /// A request id as text: unchanged if it is printable, otherwise hexadecimal.
-fn text(id: &Bytes) -> String {
+fn id_text(id: &Bytes) -> String {
     let printable = id.iter().all(u8::is_ascii_graphic);
     if printable {
         return String::from_utf8_lossy(id).into_owned();
