--- a/crates/agent/src/map/engine_calls.rs
+++ b/crates/agent/src/map/engine_calls.rs
@@ -1,33 +1,34 @@
-//! What the map actor asks of the engine.
+//! Calls of the map actor to the engine.
 
 use std::sync::Arc;
 
 use expert::{Decision, EngineCommand, EngineState, Map, Verdict};
 use ractor::ActorRef;
 
-use crate::engine::{InForce, MapOrder, MapState, map_document};
+use crate::command::CommandQueue;
+use crate::engine::{CommittedMap, MapCommand, MapState, map_document};
 use crate::map::map_context::MapContext;
 use crate::map::msg::MapMsg;
-use crate::order::Orders;
 
-/// Gives an order and reports the state that it left, which is read back.
-pub(crate) async fn order(
+/// Sends a command and reports the resulting state of the engine, which is read
+/// back.
+pub(crate) async fn run_order(
     cx: Arc<MapContext>,
-    orders: Orders,
+    commands: CommandQueue,
     serial: u64,
     order: EngineCommand,
     inbox: ActorRef<MapMsg>,
 ) {
-    let state = match given(&orders, order).await {
-        Some(()) => cx.outlet.map().await.ok().as_ref().map(state),
+    let state = match send_command(&commands, order).await {
+        Some(()) => cx.target_client.map().await.ok().as_ref().map(engine_state),
         None => None,
     };
     let _ = inbox.send_message(MapMsg::Engine { serial, state });
 }
 
-/// Whether the order is known to have been answered.
-async fn given(orders: &Orders, order: EngineCommand) -> Option<()> {
-    let (fencing, order) = match order {
+/// Sends the command. Returns `Some` if it was answered.
+async fn send_command(commands: &CommandQueue, order: EngineCommand) -> Option<()> {
+    let (fencing, command) = match order {
         EngineCommand::Read => return Some(()),
         EngineCommand::Stage {
             fencing,
@@ -36,47 +37,47 @@
         } => {
             let map = Map::from_bytes(map).ok()?;
             let map = map_document(&map);
-            (fencing, MapOrder::Stage { version, map })
+            (fencing, MapCommand::Stage { version, map })
         }
         EngineCommand::Join {
             fencing,
             formation,
             maps,
         } => {
-            let maps = maps.into_iter().map(in_force).collect::<Option<_>>()?;
-            (fencing, MapOrder::Join { formation, maps })
+            let maps = maps.into_iter().map(committed_map).collect::<Option<_>>()?;
+            (fencing, MapCommand::Join { formation, maps })
         }
         EngineCommand::Hold {
             fencing,
             version,
             barrier_step: step,
-        } => (fencing, MapOrder::Hold { version, step }),
+        } => (fencing, MapCommand::Hold { version, step }),
         EngineCommand::Outcome {
             fencing,
             version,
             barrier_step: step,
             verdict: Verdict::Commit,
-        } => (fencing, MapOrder::Commit { version, step }),
+        } => (fencing, MapCommand::Commit { version, step }),
         EngineCommand::Outcome {
             fencing,
             version,
             barrier_step: step,
             verdict: Verdict::Abort,
-        } => (fencing, MapOrder::Abort { version, step }),
+        } => (fencing, MapCommand::Abort { version, step }),
     };
-    orders.give(fencing, order).await.ok().map(drop)
+    commands.send(fencing, command).await.ok().map(drop)
 }
 
-fn in_force(decision: Decision) -> Option<InForce> {
+fn committed_map(decision: Decision) -> Option<CommittedMap> {
     let map = Map::from_bytes(decision.map).ok()?;
-    Some(InForce {
+    Some(CommittedMap {
         version: decision.version,
         step: decision.barrier_step,
         map: map_document(&map),
     })
 }
 
-fn state(map: &MapState) -> EngineState {
+fn engine_state(map: &MapState) -> EngineState {
     EngineState {
         step: map.step,
         version: map.version,
@@ -88,7 +89,7 @@
         awaiting_join: map.waiting,
         formation: match map.formation {
             Some(0) => None,
-            told => Some(told.unwrap_or_default()),
+            number => Some(number.unwrap_or_default()),
         },
         arming: map.arming,
     }
--- a/crates/agent/src/map_agent.rs
+++ b/crates/agent/src/map_agent.rs
@@ -1,4 +1,4 @@
-//! An agent that only takes its rank through switches of the expert map.
+//! An agent that only switches expert maps.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,46 +11,46 @@
 use wire::proto::Announcement;
 use wire::{ClusterKey, Identity, LinkSettings};
 
-use crate::engine::{ArmingDialect, ClientSettings, Outlet};
-use crate::map::{MapContext, MapSettings, Maps, Offers};
+use crate::engine::{ArmingDialect, ClientSettings, TargetClient};
+use crate::map::{GroupSource, MapContext, MapHandle, MapSettings};
 
 /// Settings of an agent that only switches maps.
 #[derive(Clone)]
 pub struct MapAgentSettings {
-    /// Who the agent is on links.
+    /// Identity of the agent on links.
     pub me: Identity,
     /// Name of the group.
     pub group: String,
     /// Number of the rank.
     pub rank: u32,
-    /// Where its engine answers.
+    /// Address of the engine.
     pub engine: SocketAddr,
-    /// How it is spoken to.
+    /// Wire format of the engine's commands.
     pub dialect: ArmingDialect,
-    /// The way to control, under the same identity: a second one would pass for
-    /// another process of that name.
+    /// Connection to control under the same identity; a second one would be taken
+    /// for another process of that name.
     pub follower: Follower,
-    /// Between two looks at what is due.
-    pub poll: Duration,
+    /// Interval of ticks.
+    pub tick_interval: Duration,
     /// The cluster key.
     pub key: ClusterKey,
-    /// Times of links.
+    /// Settings of links.
     pub link: LinkSettings,
-    /// Times towards the engine.
+    /// Timeouts of requests to the engine.
     pub client: ClientSettings,
-    /// When maps are planned, and how they are switched.
+    /// Settings of planning and switching.
     pub maps: MapSettings,
 }
 
-/// An agent that only takes its rank through switches of the expert map:
-/// requests go to the engine without it. It ends when it is dropped.
+/// An agent that only switches the expert map of its rank; requests reach the
+/// engine without it. Dropping it stops it.
 pub struct MapAgent {
     group: Arc<Mutex<Option<Group>>>,
     _stop: DropGuard,
 }
 
 impl MapAgent {
-    /// Starts it.
+    /// Starts the agent.
     ///
     /// # Errors
     ///
@@ -70,14 +70,14 @@
             group: cfg.group,
             incarnation: cfg.me.incarnation,
             cfg: cfg.maps,
-            poll: cfg.poll,
+            tick_interval: cfg.tick_interval,
             follower: cfg.follower.clone(),
-            outlet: Outlet::arming(cfg.engine, cfg.dialect, cfg.client),
-            offers: Offers::Told(Arc::clone(&group)),
+            target_client: TargetClient::arming(cfg.engine, cfg.dialect, cfg.client),
+            group_source: GroupSource::Shared(Arc::clone(&group)),
             stop: stop.clone(),
         });
-        let orders = crate::order::start(Arc::clone(&cx)).await?;
-        let maps = crate::map::start(&cx, &orders, &cfg.me, &cfg.key, &cfg.link).await?;
+        let commands = crate::command::start(Arc::clone(&cx)).await?;
+        let maps = crate::map::start(&cx, &commands, &cfg.me, &cfg.key, &cfg.link).await?;
         let accepting = accept(links, cfg.me, cfg.key, cfg.link, maps, cfg.follower);
         tokio::spawn(stop.clone().run_until_cancelled_owned(accepting));
         Ok(MapAgent {
@@ -86,7 +86,7 @@
         })
     }
 
-    /// Tells the dimensions of the group; until then none is planned for.
+    /// Sets the dimensions of the group; until then no map is planned.
     pub fn set_group(&self, group: Group) {
         let mut known = self.group.lock().unwrap_or_else(PoisonError::into_inner);
         *known = Some(group);
@@ -98,14 +98,14 @@
     me: Identity,
     key: ClusterKey,
     cfg: LinkSettings,
-    maps: Maps,
+    maps: MapHandle,
     follower: Follower,
 ) {
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                log::warn!("accepting a link failed: {e}");
+                log::warn!("failed to accept a link: {e}");
                 tokio::time::sleep(cfg.beat).await;
                 continue;
             }
@@ -121,7 +121,7 @@
                 if crate::links::is_relayed(&incoming.body) {
                     follower.relay(incoming);
                 } else {
-                    maps.take(incoming);
+                    maps.deliver(incoming);
                 }
             }
             link.close();
