--- a/crates/agent/src/map/state.rs
+++ b/crates/agent/src/map/state.rs
@@ -342,14 +342,14 @@
         for output in outputs {
             match output {
                 ParticipantOutput::OpenFencing { .. }
-                    if self.calls.contains(&ControlCall::OpenToJoin) => {
-                }
+                    if self.calls.contains(&ControlCall::OpenToJoin) => {}
                 ParticipantOutput::OpenFencing { formation } => {
                     self.calls.insert(ControlCall::OpenToJoin);
                     let (cx, inbox) = (Arc::clone(&self.cx), self.inbox.clone());
                     tokio::spawn(control_calls::open_to_join(cx, formation, inbox));
                 }
-                ParticipantOutput::ReadGroupState if self.calls.contains(&ControlCall::ReadStanding) => {}
+                ParticipantOutput::ReadGroupState
+                    if self.calls.contains(&ControlCall::ReadStanding) => {}
                 ParticipantOutput::ReadGroupState => {
                     self.calls.insert(ControlCall::ReadStanding);
                     let (cx, inbox) = (Arc::clone(&self.cx), self.inbox.clone());
--- a/crates/direct/src/balancer.rs
+++ b/crates/direct/src/balancer.rs
@@ -175,7 +175,9 @@
     pub(crate) fn time_used(&self, route: &str, timeout: Duration, now: Instant) -> Duration {
         let mut inner = self.inner();
         if !inner.time_used.contains_key(route) {
-            inner.time_used.insert(route.to_owned(), ElapsedWait::new(now));
+            inner
+                .time_used
+                .insert(route.to_owned(), ElapsedWait::new(now));
         }
         let used = inner.time_used.get_mut(route);
         used.map_or(Duration::ZERO, |used| used.observe(timeout, now))
