--- a/crates/table/src/engine.rs
+++ b/crates/table/src/engine.rs
@@ -9,7 +9,7 @@
     /// Requests that one engine runs concurrently.
     pub slots: u32,
     /// Capacity of the KV cache of one engine, in tokens.
-    pub kv_capacity_tokens: u64,
+    pub kv_cache_tokens: u64,
     /// Time of one decode step, without the part added per running request.
     pub base_step: Duration,
     /// Time that each running request adds to a decode step.
