--- a/crates/route/benches/accounts/main.rs
+++ b/crates/route/benches/accounts/main.rs
@@ -1,6 +1,6 @@
-//! Limits of accounts over several entries: each with its own part only, and with parts
-//! that a leader gives out by use. Prints Markdown tables; all but the times are the same
-//! on each run.
+//! Enforcement of account limits over several entries, with static shares and with shares
+//! allocated by a leader according to demand. Prints Markdown tables; all values except
+//! the times are the same in each run.
 //!
 //! `cargo bench -p lovageramp-route --bench accounts`
 
@@ -9,20 +9,21 @@
     reason = "the counts of a bench are far below 2^52"
 )]
 
-mod world;
+mod simulation;
 
 use route::{FULL_QUOTA, QuotaAllocator, QuotaUsage};
+use simulation::{Callers, Sharing, Simulation};
 use std::time::{Duration, Instant};
-use world::{Callers, Sharing, World};
 
 const LEASE: Duration = Duration::from_secs(3);
-/// Accounts of the letter's size, and how many of them an entry sees in a few seconds.
+/// Number of accounts in a large deployment.
 const ACCOUNTS: u32 = 2000;
-const SEEN: u32 = 60;
+/// Number of accounts that an entry serves within a few seconds.
+const ACCOUNTS_PER_REPORT: u32 = 60;
 
 fn main() {
     println!(
-        "| entries | callers | sharing | let in, % of what the limit allows of it | most in any 2 s, % of the limit and its burst |"
+        "| entries | callers | sharing | admitted, % of the limit | maximum in any 2 s, % of the limit and its burst |"
     );
     println!("|---|---|---|---|---|");
     for entries in [4, 411] {
@@ -35,29 +36,31 @@
         ];
         for (name, callers, load) in cases {
             for sharing in [Sharing::OwnPart, Sharing::Exchange] {
-                let mut world = World::new(entries, sharing);
-                let (let_in, most) = world.run(callers, load);
-                println!("| {entries} | {name} | {sharing:?} | {let_in:.1} | {most:.1} |");
+                let mut simulation = Simulation::new(entries, sharing);
+                let (admitted, max_in_window) = simulation.run(callers, load);
+                println!(
+                    "| {entries} | {name} | {sharing:?} | {admitted:.1} | {max_in_window:.1} |"
+                );
             }
         }
     }
     println!();
-    cost();
+    report_cost();
 }
 
-/// What the leader spends on reports.
-fn cost() {
-    println!("| accounts at | rows of a report | us a report | accounts held |");
+/// Prints the cost of reports at the leader.
+fn report_cost() {
+    println!("| accounts at | accounts per report | us per report | accounts tracked |");
     println!("|---|---|---|---|");
     for (name, stride) in [("few entries each", 7), ("all entries", 0)] {
-        let began = Instant::now();
-        let mut exchange = QuotaAllocator::new(began, LEASE);
+        let elected_at = Instant::now();
+        let mut allocator = QuotaAllocator::new(elected_at, LEASE);
         let start = Instant::now();
         let mut reports = 0;
         for round in 0..20_u32 {
-            let now = began + LEASE + Duration::from_millis(500) * round;
+            let now = elected_at + LEASE + Duration::from_millis(500) * round;
             for entry in 0..411_u32 {
-                let uses: Vec<QuotaUsage> = (0..SEEN)
+                let usages: Vec<QuotaUsage> = (0..ACCOUNTS_PER_REPORT)
                     .map(|n| QuotaUsage {
                         account: (entry * stride + n) % ACCOUNTS,
                         demand: 10 + (entry + round) % 50,
@@ -66,14 +69,14 @@
                     .collect();
                 let sequence = u64::from(round) + 1;
                 let at = now + Duration::from_micros(1200) * entry;
-                std::hint::black_box(exchange.report(u64::from(entry), sequence, &uses, at));
+                std::hint::black_box(allocator.report(u64::from(entry), sequence, &usages, at));
                 reports += 1;
             }
         }
         let micros = start.elapsed().as_secs_f64() * 1e6 / f64::from(reports);
         println!(
-            "| {name} | {SEEN} | {micros:.1} | {} |",
-            exchange.accounts()
+            "| {name} | {ACCOUNTS_PER_REPORT} | {micros:.1} | {} |",
+            allocator.accounts()
         );
     }
 }
--- a/crates/route/benches/policy/case.rs
+++ b/crates/route/benches/policy/case.rs
@@ -4,21 +4,21 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
     pub name: &'static str,
-    /// Offered load, as part of what the targets can do.
+    /// Offered load, as a fraction of the capacity of the targets.
     pub load: f64,
     pub servers: usize,
-    /// Age of load reports when they arrive, in seconds.
-    pub lag: f64,
-    /// Part of the reports that never arrive.
-    pub gaps: f64,
-    /// The first target dies at half-time.
-    pub dies: bool,
-    /// The first target is four times slower.
-    pub slow: bool,
-    /// What one account offers beside the others, as part of what the targets
-    /// can do.
+    /// Age of load reports on arrival, in seconds.
+    pub report_age: f64,
+    /// Fraction of the reports that are lost.
+    pub report_loss: f64,
+    /// Whether the first target fails halfway through.
+    pub target_fails: bool,
+    /// Whether the first target is four times slower.
+    pub slow_target: bool,
+    /// Additional load from one account, as a fraction of the capacity of the
+    /// targets.
     pub flood: f64,
-    /// Different prompt prefixes; 0 for prompts with nothing in common.
+    /// Number of different prompt prefixes; 0 for prompts without common prefixes.
     pub prefixes: u32,
 }
 
@@ -28,10 +28,10 @@
             name: "",
             load: 0.8,
             servers: 16,
-            lag: 0.05,
-            gaps: 0.0,
-            dies: false,
-            slow: false,
+            report_age: 0.05,
+            report_loss: 0.0,
+            target_fails: false,
+            slow_target: false,
             flood: 0.0,
             prefixes: 0,
         }
--- a/crates/route/benches/policy/choice_cost.rs
+++ b/crates/route/benches/policy/choice_cost.rs
@@ -1,4 +1,4 @@
-//! The cost of one choice, by the number of targets.
+//! Cost of one choice by the number of targets.
 
 use std::time::{Duration, Instant};
 
@@ -11,20 +11,20 @@
 
 const CHOICES: u32 = 200_000;
 
-/// Prints nanoseconds for each choice, start and end.
+/// Prints the time per choice, and per start and end, in nanoseconds.
 pub fn print() {
     println!("| targets | ns a choice | ns a choice with a prefix | ns start and end |");
     println!("|---|---|---|---|");
     for count in [16, 64, 256, 600] {
         let (mut pool, now) = pool(count);
-        let plain = choices(&pool, now, None);
+        let plain = time_choices(&pool, now, None);
         let prefix = Prefix {
             hash: 77,
             tokens: 500,
         };
-        let prefixed = choices(&pool, now, Some(prefix));
-        let around = starts(&mut pool, now);
-        println!("| {count} | {plain:.0} | {prefixed:.0} | {around:.0} |");
+        let prefixed = time_choices(&pool, now, Some(prefix));
+        let start_and_end = time_starts(&mut pool, now);
+        println!("| {count} | {plain:.0} | {prefixed:.0} | {start_and_end:.0} |");
     }
 }
 
@@ -56,34 +56,34 @@
     (pool, now + Duration::from_mins(1))
 }
 
-fn choices(pool: &Pool, now: Instant, prefix: Option<Prefix>) -> f64 {
+fn time_choices(pool: &Pool, now: Instant, prefix: Option<Prefix>) -> f64 {
     let mut rng = SmallRng::seed_from_u64(1);
-    let demand = PlacementRequest {
+    let request = PlacementRequest {
         prefix,
         ..PlacementRequest::of_tokens(800)
     };
-    let began = Instant::now();
+    let start = Instant::now();
     for _ in 0..CHOICES {
-        std::hint::black_box(pool.choose(now, &demand, &mut rng));
+        std::hint::black_box(pool.choose(now, &request, &mut rng));
     }
-    nanos_each(began)
+    nanos_per_choice(start)
 }
 
-fn starts(pool: &mut Pool, now: Instant) -> f64 {
+fn time_starts(pool: &mut Pool, now: Instant) -> f64 {
     let mut rng = SmallRng::seed_from_u64(1);
-    let demand = PlacementRequest::of_tokens(800);
-    let Some(choice) = pool.choose(now, &demand, &mut rng) else {
+    let request = PlacementRequest::of_tokens(800);
+    let Some(choice) = pool.choose(now, &request, &mut rng) else {
         return f64::NAN;
     };
-    let began = Instant::now();
+    let start = Instant::now();
     for _ in 0..CHOICES {
-        let attempt = pool.start(now, &choice, &demand);
+        let attempt = pool.start(now, &choice, &request);
         pool.answer_started(now, attempt);
         pool.end(now, attempt, AttemptResult::Completed);
     }
-    nanos_each(began)
+    nanos_per_choice(start)
 }
 
-fn nanos_each(began: Instant) -> f64 {
-    began.elapsed().as_secs_f64() * 1e9 / f64::from(CHOICES)
+fn nanos_per_choice(start: Instant) -> f64 {
+    start.elapsed().as_secs_f64() * 1e9 / f64::from(CHOICES)
 }
--- a/crates/route/benches/policy/main.rs
+++ b/crates/route/benches/policy/main.rs
@@ -1,23 +1,23 @@
-//! Compares four policies of choosing a target, in a seeded discrete-event
-//! run: random, round robin, least of two on raw reports, and this crate's.
+//! Compares four load-balancing policies in a seeded discrete-event simulation:
+//! random, round robin, least loaded of two by raw reports, and this crate's.
 //!
-//! `cargo bench -p lovageramp-route --bench policy` prints a table. Its
-//! figures are the same in each run, but for the cost of one choice.
+//! `cargo bench -p lovageramp-route --bench policy` prints Markdown tables. All
+//! values except the cost of one choice are the same in each run.
 
 mod case;
 mod choice_cost;
-mod figures;
+mod metrics;
 mod policy;
 mod quarantine;
-mod run;
 mod server;
+mod simulation;
 mod traffic;
 
 use case::Case;
 use policy::Policy;
-use run::Run;
+use simulation::Simulation;
 
-/// Cases of the comparison, in the order of the table.
+/// Cases of the comparison, in table order.
 fn cases() -> Vec<Case> {
     let base = Case::default();
     vec![
@@ -39,27 +39,27 @@
         Case {
             name: "reports 0.2 s old, gaps",
             load: 0.8,
-            lag: 0.2,
-            gaps: 0.2,
+            report_age: 0.2,
+            report_loss: 0.2,
             ..base
         },
         Case {
             name: "reports 2 s old, gaps",
             load: 0.8,
-            lag: 2.0,
-            gaps: 0.2,
+            report_age: 2.0,
+            report_loss: 0.2,
             ..base
         },
         Case {
             name: "a target dies",
             load: 0.7,
-            dies: true,
+            target_fails: true,
             ..base
         },
         Case {
             name: "one four times slower",
             load: 0.7,
-            slow: true,
+            slow_target: true,
             ..base
         },
         Case {
@@ -88,7 +88,7 @@
             name: "losing 1 of 3",
             load: 0.55,
             servers: 3,
-            dies: true,
+            target_fails: true,
             ..base
         },
     ]
@@ -101,8 +101,8 @@
     println!("|---|---|---|---|---|---|---|---|---|---|");
     for case in cases() {
         for policy in Policy::ALL {
-            let figures = Run::new(&case, policy).finish();
-            println!("| {} | {} | {figures} |", case.name, policy.name());
+            let metrics = Simulation::new(&case, policy).finish();
+            println!("| {} | {} | {metrics} |", case.name, policy.name());
         }
     }
     println!();
--- a/crates/route/benches/policy/policy.rs
+++ b/crates/route/benches/policy/policy.rs
@@ -1,4 +1,4 @@
-//! The policies that are compared.
+//! Load-balancing policies.
 
 use std::time::{Duration, Instant};
 
@@ -18,7 +18,7 @@
     Random,
     RoundRobin,
     LeastOfTwo,
-    Ours,
+    Pool,
 }
 
 impl Policy {
@@ -26,7 +26,7 @@
         Policy::Random,
         Policy::RoundRobin,
         Policy::LeastOfTwo,
-        Policy::Ours,
+        Policy::Pool,
     ];
 
     pub fn name(self) -> &'static str {
@@ -34,22 +34,23 @@
             Policy::Random => "random",
             Policy::RoundRobin => "round robin",
             Policy::LeastOfTwo => "least of two",
-            Policy::Ours => "ours",
+            Policy::Pool => "ours",
         }
     }
 }
 
-/// What a target reports, as far as the simple policies use it.
+/// Raw load report of a target.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Raw {
-    pub at: f64,
+pub struct RawReport {
+    /// Time of measurement, in seconds.
+    pub taken_at: f64,
     pub running: u32,
     pub queued: u32,
     pub queued_tokens: u32,
     pub step: f64,
 }
 
-/// One entry with its policy's state.
+/// One entry with the state of its policy.
 pub struct Entry {
     pub policy: Policy,
     pub pool: Pool,
@@ -58,13 +59,13 @@
     pub accounts: Vec<AccountKey>,
     keys: Vec<TargetKey>,
     known_alive: Vec<bool>,
-    reports: Vec<Raw>,
+    reports: Vec<RawReport>,
     next: usize,
     rng: SmallRng,
-    began: Instant,
+    start: Instant,
 }
 
-/// Where an attempt goes.
+/// The server chosen for an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Chosen {
     pub server: usize,
@@ -72,47 +73,47 @@
 }
 
 impl Entry {
-    pub fn new(policy: Policy, servers: usize, number: usize, began: Instant) -> Self {
-        let tuning = PoolSettings {
+    pub fn new(policy: Policy, servers: usize, number: usize, start: Instant) -> Self {
+        let settings = PoolSettings {
             share: 1.0 / f64::from(u32::try_from(ENTRIES).unwrap()),
             slow_start: Duration::from_secs(1),
             ..PoolSettings::default()
         };
-        let mut pool = Pool::new(tuning);
+        let mut pool = Pool::new(settings);
         let mut admission = Admission::new(AdmissionSettings::default());
         let keys = (0..servers).map(|i| {
             let key = pool.insert(
                 &format!("t{i}"),
                 Duration::from_millis(1),
                 StartState::Cold,
-                began,
+                start,
             );
             pool.set_status(key, TargetStatus::Ready);
             key
         });
         let keys = keys.collect();
-        let accounts = (0..ACCOUNTS).map(|_| admission.insert(AccountLimits::default(), began));
+        let accounts = (0..ACCOUNTS).map(|_| admission.insert(AccountLimits::default(), start));
         let accounts = accounts.collect();
         Entry {
             policy,
             pool,
             admission,
-            budget: RetryBudget::new(0.1, 10, began),
+            budget: RetryBudget::new(0.1, 10, start),
             accounts,
             keys,
             known_alive: vec![true; servers],
-            reports: vec![Raw::default(); servers],
+            reports: vec![RawReport::default(); servers],
             next: number,
             rng: SmallRng::seed_from_u64(number as u64),
-            began,
+            start,
         }
     }
 
     pub fn instant(&self, at: f64) -> Instant {
-        self.began + Duration::from_secs_f64(at)
+        self.start + Duration::from_secs_f64(at)
     }
 
-    pub fn report(&mut self, server: usize, raw: Raw) {
+    pub fn report(&mut self, server: usize, raw: RawReport) {
         self.reports[server] = raw;
         let rank = RankLoadReport {
             rank: 0,
@@ -122,7 +123,7 @@
             step: Duration::from_secs_f64(raw.step),
         };
         let report = TargetLoadReport {
-            taken_at: self.instant(raw.at),
+            taken_at: self.instant(raw.taken_at),
             limit: SLOTS,
             queued: raw.queued,
             ranks: vec![rank],
@@ -130,16 +131,16 @@
         self.pool.report(self.keys[server], &report);
     }
 
-    pub fn gone(&mut self, server: usize) {
+    pub fn remove_server(&mut self, server: usize) {
         self.known_alive[server] = false;
         self.pool
             .set_status(self.keys[server], TargetStatus::Unavailable);
     }
 
-    /// Where the request goes; `None` when no target has room.
+    /// Chooses a server for the request; `None` if none has room.
     pub fn choose(&mut self, now: f64, request: &Request, avoid: &[usize]) -> Option<Chosen> {
-        if self.policy == Policy::Ours {
-            return self.choose_ours(now, request, avoid);
+        if self.policy == Policy::Pool {
+            return self.choose_from_pool(now, request, avoid);
         }
         let alive = (0..self.keys.len()).filter(|i| self.known_alive[*i]);
         let mut candidates: Vec<usize> = alive.clone().filter(|i| !avoid.contains(i)).collect();
@@ -158,7 +159,7 @@
                 let load = |i: usize| self.reports[i].running + self.reports[i].queued;
                 if load(a) <= load(b) { a } else { b }
             }
-            Policy::Random | Policy::Ours => candidates[self.rng.random_range(0..count)],
+            Policy::Random | Policy::Pool => candidates[self.rng.random_range(0..count)],
         };
         Some(Chosen {
             server,
@@ -166,11 +167,11 @@
         })
     }
 
-    fn choose_ours(&mut self, now: f64, request: &Request, avoid: &[usize]) -> Option<Chosen> {
+    fn choose_from_pool(&mut self, now: f64, request: &Request, avoid: &[usize]) -> Option<Chosen> {
         let avoid: Vec<TargetKey> = avoid.iter().map(|i| self.keys[*i]).collect();
-        let demand = demand(request, &avoid);
+        let request = placement_request(request, &avoid);
         let now = self.instant(now);
-        let choice = self.pool.choose(now, &demand, &mut self.rng)?;
+        let choice = self.pool.choose(now, &request, &mut self.rng)?;
         let server = self.keys.iter().position(|key| *key == choice.target)?;
         Some(Chosen {
             server,
@@ -181,7 +182,10 @@
     pub fn start(&mut self, now: f64, request: &Request, chosen: &Chosen) -> Option<AttemptKey> {
         let choice = chosen.choice?;
         let now = self.instant(now);
-        Some(self.pool.start(now, &choice, &demand(request, &[])))
+        Some(
+            self.pool
+                .start(now, &choice, &placement_request(request, &[])),
+        )
     }
 
     pub fn answered(&mut self, now: f64, key: Option<AttemptKey>) {
@@ -191,21 +195,21 @@
         }
     }
 
-    pub fn end(&mut self, now: f64, key: Option<AttemptKey>, ending: AttemptResult) {
+    pub fn end(&mut self, now: f64, key: Option<AttemptKey>, result: AttemptResult) {
         if let Some(key) = key {
             let now = self.instant(now);
-            self.pool.end(now, key, ending);
+            self.pool.end(now, key, result);
         }
     }
 
-    /// Whether a failed attempt may be followed by another.
+    /// Whether a failed attempt may be retried.
     pub fn may_retry(&mut self, now: f64) -> bool {
         let now = self.instant(now);
-        self.policy != Policy::Ours || self.budget.withdraw(now)
+        self.policy != Policy::Pool || self.budget.withdraw(now)
     }
 }
 
-fn demand<'a>(request: &Request, avoid: &'a [TargetKey]) -> PlacementRequest<'a> {
+fn placement_request<'a>(request: &Request, avoid: &'a [TargetKey]) -> PlacementRequest<'a> {
     PlacementRequest {
         prefix: request.prefix.map(|(hash, tokens)| Prefix { hash, tokens }),
         avoid,
--- a/crates/route/benches/policy/server.rs
+++ b/crates/route/benches/policy/server.rs
@@ -1,18 +1,18 @@
-//! A target of the run: places, a queue, serial prefill, batched decode.
+//! Simulated target with slots, a queue, serial prefill and batched decode.
 
 use std::collections::VecDeque;
 
 pub const SLOTS: u32 = 32;
-/// Requests that a target lets wait before it refuses.
+/// Maximum number of queued requests per target.
 const QUEUE: usize = 32;
-/// Prompt tokens a second.
+/// Prefill throughput, in prompt tokens per second.
 pub const PREFILL: f64 = 8000.0;
-/// Seconds of a decode step with one request.
+/// Time of a decode step with one request, in seconds.
 pub const STEP: f64 = 0.015;
-/// Prefixes that the cache holds.
+/// Capacity of the prefix cache, in prefixes.
 const CACHE: usize = 30;
 
-/// Number of an attempt in the run.
+/// Index of an attempt in the simulation.
 pub type AttemptId = usize;
 
 #[derive(Debug)]
@@ -20,27 +20,28 @@
     pub alive: bool,
     pub speed: f64,
     pub running: u32,
-    pub queue: VecDeque<Waiting>,
-    prefill_free: f64,
+    pub queue: VecDeque<Queued>,
+    /// When the prefill queue is empty, in seconds.
+    prefill_done_at: f64,
     cache: VecDeque<u64>,
-    /// Prompt tokens of which the prefill was done.
+    /// Number of prompt tokens that were prefilled.
     pub prefilled: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Waiting {
+pub struct Queued {
     pub attempt: AttemptId,
     pub prompt: u32,
     pub prefix: Option<(u64, u32)>,
 }
 
-/// An attempt that got a place.
+/// An attempt that got a slot.
 #[derive(Clone, Copy, Debug)]
-pub struct Placed {
+pub struct Started {
     pub attempt: AttemptId,
-    /// When its first token is ready.
-    pub first: f64,
-    /// Prompt tokens that needed a prefill.
+    /// Time of its first token, in seconds.
+    pub first_token_at: f64,
+    /// Number of prompt tokens that needed a prefill.
     pub tokens: f64,
 }
 
@@ -51,53 +52,53 @@
             speed,
             running: 0,
             queue: VecDeque::new(),
-            prefill_free: 0.0,
+            prefill_done_at: 0.0,
             cache: VecDeque::new(),
             prefilled: 0.0,
         }
     }
 
-    /// Takes an attempt, or refuses it.
-    pub fn take(&mut self, waiting: Waiting) -> bool {
+    /// Queues an attempt, and returns whether there was room for it.
+    pub fn enqueue(&mut self, attempt: Queued) -> bool {
         if self.queue.len() >= QUEUE {
             return false;
         }
-        self.queue.push_back(waiting);
+        self.queue.push_back(attempt);
         true
     }
 
-    /// Gives the next waiting attempt a place, if there is one.
-    pub fn place(&mut self, now: f64) -> Option<Placed> {
+    /// Starts the next queued attempt, if a slot is free.
+    pub fn start_next(&mut self, now: f64) -> Option<Started> {
         if self.running >= SLOTS {
             return None;
         }
-        let waiting = self.queue.pop_front()?;
+        let queued = self.queue.pop_front()?;
         self.running += 1;
-        let cached = self.use_cache(waiting.prefix);
-        let tokens = f64::from(waiting.prompt - cached);
+        let cached = self.use_cache(queued.prefix);
+        let tokens = f64::from(queued.prompt - cached);
         self.prefilled += tokens;
-        let start = self.prefill_free.max(now);
-        self.prefill_free = start + tokens / (PREFILL * self.speed);
-        Some(Placed {
-            attempt: waiting.attempt,
-            first: self.prefill_free + self.step(),
+        let start = self.prefill_done_at.max(now);
+        self.prefill_done_at = start + tokens / (PREFILL * self.speed);
+        Some(Started {
+            attempt: queued.attempt,
+            first_token_at: self.prefill_done_at + self.step(),
             tokens,
         })
     }
 
-    /// Seconds of a step: it grows with the batch.
+    /// Time of a decode step in seconds, which grows with the batch size.
     pub fn step(&self) -> f64 {
         let fill = f64::from(self.running) / f64::from(SLOTS);
         STEP * (1.0 + 0.8 * fill) / self.speed
     }
 
     pub fn queued_tokens(&self, now: f64) -> f64 {
-        let waiting: u32 = self.queue.iter().map(|waiting| waiting.prompt).sum();
-        let backlog = (self.prefill_free - now).max(0.0) * PREFILL * self.speed;
-        f64::from(waiting) + backlog
+        let queued: u32 = self.queue.iter().map(|queued| queued.prompt).sum();
+        let backlog = (self.prefill_done_at - now).max(0.0) * PREFILL * self.speed;
+        f64::from(queued) + backlog
     }
 
-    pub fn die(&mut self) {
+    pub fn fail(&mut self) {
         self.alive = false;
         self.running = 0;
         self.queue.clear();
@@ -107,14 +108,14 @@
         let Some((hash, tokens)) = prefix else {
             return 0;
         };
-        let held = self.cache.iter().position(|held| *held == hash);
-        if let Some(at) = held {
-            self.cache.remove(at);
+        let cached = self.cache.iter().position(|cached| *cached == hash);
+        if let Some(index) = cached {
+            self.cache.remove(index);
         }
         self.cache.push_back(hash);
         if self.cache.len() > CACHE {
             self.cache.pop_front();
         }
-        if held.is_some() { tokens } else { 0 }
+        if cached.is_some() { tokens } else { 0 }
     }
 }
--- a/crates/route/benches/subset/deployment.rs
+++ b/crates/route/benches/subset/deployment.rs
@@ -5,77 +5,79 @@
 
 const ZONES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
-/// A name and its zone.
-type Row = (String, &'static str);
+/// The name and zone of a node.
+type Node = (String, &'static str);
 
-/// Entries and the targets of each kind, spread over the zones.
+/// Entries and targets of each kind, spread over the zones.
 #[derive(Clone)]
 pub struct Deployment {
-    pub entries: Vec<Row>,
-    pub kinds: Vec<Vec<Row>>,
+    pub entries: Vec<Node>,
+    pub kinds: Vec<Vec<Node>>,
 }
 
-/// Which entry links which targets, by name and kind.
+/// Links between entries and targets.
 pub struct Graph {
+    /// Names of linked targets by entry and kind.
     pub links: BTreeMap<String, Vec<BTreeSet<String>>>,
+    /// Names of targets by kind.
     pub targets: Vec<Vec<String>>,
 }
 
 impl Deployment {
     pub fn new(entries: usize, kinds: &[usize]) -> Self {
-        let rows = |prefix: &str, count: usize| -> Vec<Row> {
-            let row = |n: usize| (format!("{prefix}-{n:03}"), ZONES[n % ZONES.len()]);
-            (0..count).map(row).collect()
+        let nodes = |prefix: &str, count: usize| -> Vec<Node> {
+            let node = |n: usize| (format!("{prefix}-{n:03}"), ZONES[n % ZONES.len()]);
+            (0..count).map(node).collect()
         };
         let kinds = kinds.iter().enumerate();
         Deployment {
-            entries: rows("entry", entries),
+            entries: nodes("entry", entries),
             kinds: kinds
-                .map(|(kind, count)| rows(&format!("target-{kind}"), *count))
+                .map(|(kind, count)| nodes(&format!("target-{kind}"), *count))
                 .collect(),
         }
     }
 
-    pub fn targets(&self) -> usize {
+    pub fn target_count(&self) -> usize {
         self.kinds.iter().map(Vec::len).sum()
     }
 
     pub fn without_targets(&self, count: usize) -> Self {
-        let mut left = self.clone();
-        let kept = left.kinds[0].len() - count;
-        left.kinds[0].truncate(kept);
-        left
+        let mut remaining = self.clone();
+        let kept = remaining.kinds[0].len() - count;
+        remaining.kinds[0].truncate(kept);
+        remaining
     }
 
     pub fn without_entries(&self, count: usize) -> Self {
-        let mut left = self.clone();
-        left.entries.truncate(self.entries.len() - count);
-        left
+        let mut remaining = self.clone();
+        remaining.entries.truncate(self.entries.len() - count);
+        remaining
     }
 
     pub fn without_zone(&self, zone: usize) -> Self {
-        let mut left = self.clone();
-        let stays = |row: &Row| row.1 != ZONES[zone];
-        left.entries.retain(stays);
-        for kind in &mut left.kinds {
-            kind.retain(stays);
+        let mut remaining = self.clone();
+        let remains = |node: &Node| node.1 != ZONES[zone];
+        remaining.entries.retain(remains);
+        for kind in &mut remaining.kinds {
+            kind.retain(remains);
         }
-        left
+        remaining
     }
 
-    /// What one entry works out at a change.
-    pub fn subsets_of(&self, me: usize, cfg: SubsetSettings) -> Vec<Subset> {
-        let entries = sites(&self.entries);
+    /// Computes the subsets of one entry, as after each change.
+    pub fn subsets_of(&self, own: usize, settings: SubsetSettings) -> Vec<Subset> {
+        let entries = zoned_nodes(&self.entries);
         let kinds = self.kinds.iter();
         kinds
-            .map(|kind| Subset::of(cfg, me, &entries, &sites(kind)))
+            .map(|kind| Subset::of(settings, own, &entries, &zoned_nodes(kind)))
             .collect()
     }
 
-    pub fn graph(&self, cfg: SubsetSettings) -> Graph {
-        let names = |kind: &Vec<Row>| kind.iter().map(|row| row.0.clone()).collect();
-        let links = self.entries.iter().enumerate().map(|(me, entry)| {
-            let subsets = self.subsets_of(me, cfg).into_iter().zip(&self.kinds);
+    pub fn graph(&self, settings: SubsetSettings) -> Graph {
+        let names = |kind: &Vec<Node>| kind.iter().map(|node| node.0.clone()).collect();
+        let links = self.entries.iter().enumerate().map(|(own, entry)| {
+            let subsets = self.subsets_of(own, settings).into_iter().zip(&self.kinds);
             let linked = subsets.map(|(subset, kind)| {
                 let linked = subset.linked().iter();
                 linked.map(|l| kind[l.target].0.clone()).collect()
@@ -90,14 +92,14 @@
 }
 
 impl Graph {
-    pub fn per_entry(&self) -> Vec<usize> {
+    pub fn links_per_entry(&self) -> Vec<usize> {
         let entries = self.links.values();
         entries
             .map(|kinds| kinds.iter().map(BTreeSet::len).sum())
             .collect()
     }
 
-    pub fn per_target(&self) -> Vec<usize> {
+    pub fn entries_per_target(&self) -> Vec<usize> {
         let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
         for target in self.targets.iter().flatten() {
             counts.insert(target, 0);
@@ -108,29 +110,30 @@
         counts.into_values().collect()
     }
 
-    /// Links of the entries that are in both, those new in `after`, and those
-    /// gone from it though their target is still there.
-    pub fn moves(&self, after: &Graph) -> (usize, usize, usize) {
+    /// Compares the links of entries that are in both graphs. Returns the number of links
+    /// before, of those added, and of those removed although their target remains.
+    pub fn changes(&self, after: &Graph) -> (usize, usize, usize) {
         let live: BTreeSet<&String> = after.targets.iter().flatten().collect();
-        let (mut stay, mut dialled, mut let_go) = (0, 0, 0);
+        let (mut total, mut added, mut removed) = (0, 0, 0);
         for (entry, after) in &after.links {
             for (before, after) in self.links[entry].iter().zip(after) {
-                stay += before.len();
-                dialled += after.difference(before).count();
+                total += before.len();
+                added += after.difference(before).count();
                 let gone = before.difference(after);
-                let_go += gone.filter(|target| live.contains(target)).count();
+                removed += gone.filter(|target| live.contains(target)).count();
             }
         }
-        (stay, dialled, let_go)
+        (total, added, removed)
     }
 }
 
-fn sites(rows: &[Row]) -> Vec<ZonedNode<'_>> {
-    let site = |row: &'_ Row| row.1;
-    rows.iter()
-        .map(|row| ZonedNode {
-            name: &row.0,
-            zone: site(row),
+fn zoned_nodes(nodes: &[Node]) -> Vec<ZonedNode<'_>> {
+    let zone = |node: &'_ Node| node.1;
+    nodes
+        .iter()
+        .map(|node| ZonedNode {
+            name: &node.0,
+            zone: zone(node),
         })
         .collect()
 }
--- a/crates/route/benches/subset/load.rs
+++ b/crates/route/benches/subset/load.rs
@@ -1,20 +1,21 @@
-//! How evenly streams spread over targets when each entry chooses among its own.
+//! Balance of streams over targets when each entry chooses among its own subset.
 
 use crate::deployment::Graph;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
 
-/// Streams open at once: 2.8 million tokens a second, 29 ms between two of a stream.
+/// Number of concurrent streams, for 2.8 million tokens per second with 29 ms between two
+/// tokens of a stream.
 const STREAMS: usize = 81_200;
-/// Streams begun between two looks at the targets' loads.
-const REPORTED: usize = 870;
-/// Rounds of streams that end and begin.
+/// Number of streams started between two load reports.
+const STREAMS_PER_REPORT: usize = 870;
+/// Number of times that all streams are replaced.
 const TURNOVER: usize = 3;
-/// Targets compared for each choice.
+/// Number of targets compared per choice.
 const SAMPLES: usize = 16;
 
-/// Part of the entries, and the part of the callers that come to them.
+/// Distribution of callers: a fraction of the entries gets a fraction of the callers.
 #[derive(Clone, Copy)]
 pub struct Spread {
     entries: f64,
@@ -30,9 +31,10 @@
     callers: 0.5,
 };
 
-/// Load of the most loaded target, against the mean. Each stream goes to the target with
-/// the least load among those sampled, as last reported plus the entry's own starts.
-pub fn worst(graph: &Graph, spread: Spread) -> f64 {
+/// Returns the load of the most loaded target relative to the mean. Each stream goes to the
+/// sampled target with the least load, which is the last report plus the entry's own starts
+/// since.
+pub fn max_to_mean(graph: &Graph, spread: Spread) -> f64 {
     let mut rng = SmallRng::seed_from_u64(11);
     let numbers: BTreeMap<&str, usize> = graph
         .targets
@@ -54,8 +56,8 @@
     let mut reported = loads.clone();
     let mut open: Vec<usize> = Vec::with_capacity(STREAMS);
     let mut own: BTreeMap<(usize, usize), usize> = BTreeMap::new();
-    for begun in 0..STREAMS * (TURNOVER + 1) {
-        if begun % REPORTED == 0 {
+    for started in 0..STREAMS * (TURNOVER + 1) {
+        if started % STREAMS_PER_REPORT == 0 {
             reported.clone_from(&loads);
             own.clear();
         }
@@ -75,9 +77,13 @@
                 kind[rng.random_range(0..kind.len())]
             }
         });
-        let seen = |target: &usize| reported[*target] + own.get(&(entry, *target)).unwrap_or(&0);
+        let known_load =
+            |target: &usize| reported[*target] + own.get(&(entry, *target)).unwrap_or(&0);
         let candidates: Vec<usize> = candidates.collect();
-        let target = *candidates.iter().min_by_key(|target| seen(target)).unwrap();
+        let target = *candidates
+            .iter()
+            .min_by_key(|target| known_load(target))
+            .unwrap();
         *own.entry((entry, target)).or_default() += 1;
         loads[target] += 1;
         open.push(target);
@@ -90,7 +96,7 @@
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "a part of a count of entries"
+        reason = "a fraction of a number of entries"
     )]
     let busy = ((count as f64 * spread.entries) as usize).max(1);
     if busy >= count || rng.random_range(0.0..1.0) < spread.callers {
--- a/crates/route/benches/subset/main.rs
+++ b/crates/route/benches/subset/main.rs
@@ -1,5 +1,5 @@
-//! What subsets of targets cost and how evenly they spread the work, by the size of the
-//! deployment. Prints Markdown tables. Pure, the same on each run but for the times.
+//! Cost and balance of target subsets, by size of the deployment. Prints Markdown tables;
+//! all values except the times are the same in each run.
 //!
 //! `cargo bench -p lovageramp-route --bench subset`
 
@@ -15,8 +15,8 @@
 use route::SubsetSettings;
 use std::time::Instant;
 
-/// Bytes a second that a link costs each end each way: two heartbeats of 12 bytes with
-/// TCP and IP headers.
+/// Traffic of a link in each direction, in bytes per second: two heartbeats of 12 bytes
+/// with TCP and IP headers.
 const LINK_BYTES_PER_S: f64 = 128.0;
 const ROUNDS: u32 = 20;
 
@@ -27,98 +27,98 @@
         Deployment::new(120, &[40, 40, 40, 40]),
         Deployment::new(411, &[86, 86, 86, 86, 86, 85, 85]),
     ];
-    let cfg = SubsetSettings::default();
-    links(&sizes, cfg);
-    let letter = &sizes[sizes.len() - 1];
-    choices(letter);
-    moves(letter, cfg);
-    balance(letter, cfg);
+    let settings = SubsetSettings::default();
+    print_links(&sizes, settings);
+    let large = &sizes[sizes.len() - 1];
+    print_by_minimum(large);
+    print_changes(large, settings);
+    print_balance(large, settings);
 }
 
-fn links(sizes: &[Deployment], cfg: SubsetSettings) {
+fn print_links(sizes: &[Deployment], settings: SubsetSettings) {
     println!(
-        "| entries x targets | links of an entry: mean, most | KB/s an entry, most | entries of a target: least, mean, most | KB/s an agent, most | ms to work out |"
+        "| entries x targets | links per entry: mean, max | max KB/s per entry | entries per target: min, mean, max | max KB/s per agent | ms to compute |"
     );
     println!("|---|---|---|---|---|---|");
     for deployment in sizes {
-        let graph = deployment.graph(cfg);
-        let of_entry = graph.per_entry();
-        let of_target = graph.per_target();
-        let began = Instant::now();
+        let graph = deployment.graph(settings);
+        let of_entry = graph.links_per_entry();
+        let of_target = graph.entries_per_target();
+        let start = Instant::now();
         for _ in 0..ROUNDS {
-            std::hint::black_box(deployment.subsets_of(0, cfg));
+            std::hint::black_box(deployment.subsets_of(0, settings));
         }
-        let millis = began.elapsed().as_secs_f64() * 1e3 / f64::from(ROUNDS);
+        let millis = start.elapsed().as_secs_f64() * 1e3 / f64::from(ROUNDS);
         println!(
             "| {} x {} | {:.1}, {} | {:.1} | {}, {:.1}, {} | {:.1} | {millis:.2} |",
             deployment.entries.len(),
-            deployment.targets(),
+            deployment.target_count(),
             mean(&of_entry),
-            most(&of_entry),
-            most(&of_entry) as f64 * LINK_BYTES_PER_S / 1e3,
+            max(&of_entry),
+            max(&of_entry) as f64 * LINK_BYTES_PER_S / 1e3,
             of_target.iter().min().unwrap(),
             mean(&of_target),
-            most(&of_target),
-            most(&of_target) as f64 * LINK_BYTES_PER_S / 1e3,
+            max(&of_target),
+            max(&of_target) as f64 * LINK_BYTES_PER_S / 1e3,
         );
     }
     println!();
 }
 
-/// Links and balance at the last size by the number of targets of each kind.
-fn choices(letter: &Deployment) {
+/// Prints links and balance of the largest deployment by the minimum number of targets.
+fn print_by_minimum(large: &Deployment) {
     println!(
-        "| targets of a kind | links of an entry: mean, most | entries of a target: least, most | most loaded target against the mean, even callers | a tenth of the entries with half of the callers |"
+        "| min targets per entry and kind | links per entry: mean, max | entries per target: min, max | max/mean target load, even callers | max/mean target load, half of the callers at a tenth of the entries |"
     );
     println!("|---|---|---|---|---|");
     for targets in [2, 4, 6, 8, 12] {
-        let cfg = SubsetSettings {
+        let settings = SubsetSettings {
             targets,
             ..SubsetSettings::default()
         };
-        let graph = letter.graph(cfg);
-        let (of_entry, of_target) = (graph.per_entry(), graph.per_target());
+        let graph = large.graph(settings);
+        let (of_entry, of_target) = (graph.links_per_entry(), graph.entries_per_target());
         println!(
             "| {targets} | {:.1}, {} | {}, {} | {:.2} | {:.2} |",
             mean(&of_entry),
-            most(&of_entry),
+            max(&of_entry),
             of_target.iter().min().unwrap(),
-            most(&of_target),
-            load::worst(&graph, load::EVEN),
-            load::worst(&graph, load::UNEVEN),
+            max(&of_target),
+            load::max_to_mean(&graph, load::EVEN),
+            load::max_to_mean(&graph, load::UNEVEN),
         );
     }
     println!();
 }
 
-fn moves(letter: &Deployment, cfg: SubsetSettings) {
-    let before = letter.graph(cfg);
-    println!("| what goes | links of those that stay, before | dialled | let go |");
+fn print_changes(large: &Deployment, settings: SubsetSettings) {
+    let before = large.graph(settings);
+    println!("| removed | links of the remaining entries before | links added | links dropped |");
     println!("|---|---|---|---|");
     let cases = [
-        ("one target", letter.without_targets(1)),
-        ("one entry", letter.without_entries(1)),
-        ("a zone, entries and targets", letter.without_zone(0)),
+        ("one target", large.without_targets(1)),
+        ("one entry", large.without_entries(1)),
+        ("a zone, entries and targets", large.without_zone(0)),
     ];
     for (what, after) in cases {
-        let (stay, dialled, let_go) = before.moves(&after.graph(cfg));
-        println!("| {what} | {stay} | {dialled} | {let_go} |");
+        let (total, added, removed) = before.changes(&after.graph(settings));
+        println!("| {what} | {total} | {added} | {removed} |");
     }
     println!();
 }
 
-fn balance(letter: &Deployment, cfg: SubsetSettings) {
+fn print_balance(large: &Deployment, settings: SubsetSettings) {
     let all = SubsetSettings {
-        targets: letter.targets(),
-        ..cfg
+        targets: large.target_count(),
+        ..settings
     };
-    println!("| links | callers | most loaded target against the mean |");
+    println!("| links | callers | max/mean target load |");
     println!("|---|---|---|");
-    for (name, cfg) in [("subset", cfg), ("all", all)] {
-        let graph = letter.graph(cfg);
+    for (name, settings) in [("subset", settings), ("all", all)] {
+        let graph = large.graph(settings);
         for (callers, spread) in [("even", load::EVEN), ("uneven", load::UNEVEN)] {
-            let worst = load::worst(&graph, spread);
-            println!("| {name} | {callers} | {worst:.2} |");
+            let ratio = load::max_to_mean(&graph, spread);
+            println!("| {name} | {callers} | {ratio:.2} |");
         }
     }
 }
@@ -127,6 +127,6 @@
     counts.iter().sum::<usize>() as f64 / counts.len() as f64
 }
 
-fn most(counts: &[usize]) -> usize {
+fn max(counts: &[usize]) -> usize {
     counts.iter().copied().max().unwrap_or(0)
 }
