--- a/crates/route/src/account_demand.rs
+++ b/crates/route/src/account_demand.rs
@@ -23,7 +23,7 @@
     /// Records a request that arrives while `active` requests are running.
     ///
     /// ```
-    /// use route::{AccountLimits, AccountDemand, FULL_QUOTA};
+    /// use route::{AccountDemand, AccountLimits, FULL_QUOTA};
     /// use std::time::Instant;
     ///
     /// let now = Instant::now();
@@ -43,7 +43,7 @@
     /// largest of the shares of each limit.
     ///
     /// ```
-    /// use route::{AccountLimits, AccountDemand};
+    /// use route::{AccountDemand, AccountLimits};
     /// use std::time::Instant;
     ///
     /// let limits = AccountLimits::default();
--- a/crates/route/src/admission.rs
+++ b/crates/route/src/admission.rs
@@ -25,7 +25,7 @@
 /// slots must leave a reserve free.
 ///
 /// ```
-/// use route::{AccountLimits, Admission, AdmissionSettings, AdmissionDecision, Capacity};
+/// use route::{AccountLimits, Admission, AdmissionDecision, AdmissionSettings, Capacity};
 /// use std::time::{Duration, Instant};
 ///
 /// let now = Instant::now();
--- a/crates/route/src/budget.rs
+++ b/crates/route/src/budget.rs
@@ -6,9 +6,9 @@
 ///
 /// When a target or an availability zone fails, all requests fail at once and
 /// are retried. Without a limit the retries overload the remaining targets, and
-/// the outage outlasts its cause. Each request earns a fraction of a retry, and
-/// a small reserve that refills over time allows retries of services with little
-/// traffic.
+/// the outage outlasts its cause. Each request earns a fraction of a retry, such
+/// as a tenth, and a small reserve that refills over time allows retries of
+/// services with little traffic.
 ///
 /// ```
 /// use route::RetryBudget;
@@ -42,8 +42,8 @@
 const REFILL_PERIOD: Duration = Duration::from_secs(1);
 
 impl RetryBudget {
-    /// Creates a budget that earns `ratio` retries per request and starts with a
-    /// reserve of `reserve` retries.
+    /// Creates a budget that earns `ratio` retries per request, with a reserve of
+    /// up to `reserve` retries that is full at the start.
     #[must_use]
     pub fn new(ratio: f64, reserve: u32, now: Instant) -> Self {
         let reserve = f64::from(reserve);
--- a/crates/route/src/cache_estimate.rs
+++ b/crates/route/src/cache_estimate.rs
@@ -1,4 +1,4 @@
-//! Which prompt prefixes a target may hold in its cache.
+//! Estimated contents of a target's prefix cache.
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/route/src/subset.rs
+++ b/crates/route/src/subset.rs
@@ -1,4 +1,4 @@
-//! Which targets an entry keeps links to.
+//! Subsets of targets that entries link to.
 
 use member::{hash_name, mix};
 
@@ -53,7 +53,7 @@
     Down,
 }
 
-/// The targets of one kind that an entry keeps links to.
+/// The targets of one kind that an entry links to.
 ///
 /// Links between all entries and all targets would each cost both ends a
 /// heartbeat, which with hundreds of entries and targets exceeds the budget of a
@@ -117,7 +117,7 @@
         subset
     }
 
-    /// The targets to keep links to.
+    /// The targets of the subset, which the entry links to in normal operation.
     ///
     /// ```
     /// assert!(route::Subset::default().linked().is_empty());
--- a/crates/route/tests/subset.rs
+++ b/crates/route/tests/subset.rs
@@ -122,13 +122,13 @@
 fn of_moves_few_links_when_target_is_removed() {
     fn property(d: Deployment) -> bool {
         let before = graph(d.settings, &d.entries, &d.targets);
-        let (gone, left) = d.targets.split_last().unwrap();
-        let after = graph(d.settings, &d.entries, left);
+        let (removed, remaining) = d.targets.split_last().unwrap();
+        let after = graph(d.settings, &d.entries, remaining);
         before.iter().all(|(entry, before)| {
             let after = &after[entry];
             let lost: Vec<_> = before.difference(after).collect();
             let gained = after.difference(before).count();
-            lost.iter().all(|name| **name == gone.0) && gained <= lost.len()
+            lost.iter().all(|name| **name == removed.0) && gained <= lost.len()
         })
     }
     check(property);
@@ -140,18 +140,21 @@
 fn of_moves_few_links_when_entry_is_removed() {
     fn property(d: Deployment) -> bool {
         let before = graph(d.settings, &d.entries, &d.targets);
-        let (gone, left) = d.entries.split_last().unwrap();
-        let after = graph(d.settings, left, &d.targets);
+        let (removed, remaining) = d.entries.split_last().unwrap();
+        let after = graph(d.settings, remaining, &d.targets);
         let mut gained = BTreeMap::new();
-        let none_lost = left.iter().all(|(entry, _)| {
+        let none_lost = remaining.iter().all(|(entry, _)| {
             let (before, after) = (&before[entry.as_str()], &after[entry.as_str()]);
             for target in after.difference(before) {
                 *gained.entry(*target).or_insert(0) += 1;
             }
             before.is_subset(after)
         });
-        let of_gone = &before[gone.0.as_str()];
-        none_lost && gained.iter().all(|(t, n)| of_gone.contains(t) && *n == 1)
+        let of_removed = &before[removed.0.as_str()];
+        none_lost
+            && gained
+                .iter()
+                .all(|(t, n)| of_removed.contains(t) && *n == 1)
     }
     check(property);
 }
