--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -37,7 +37,7 @@
 pub use init::init;
 pub use listeners::Listeners;
 pub use machine::Machine;
-pub use port::{ENTRANCES_KEPT, Replaced};
+pub use port::{ENTRY_LIST_TTL, ReplaceOutcome};
 pub use roster::{Progress, Roster};
 pub use settings::{ReplicaAddress, Settings};
 pub use timing::Timing;
--- a/crates/control/src/port.rs
+++ b/crates/control/src/port.rs
@@ -16,13 +16,13 @@
 /// How long callers may keep the entries that they are told. Some keep them
 /// three times as long; with two seconds an entry that leaves is free of nearly
 /// all callers well within its time to end.
-pub const ENTRANCES_KEPT: Duration = Duration::from_secs(2);
+pub const ENTRY_LIST_TTL: Duration = Duration::from_secs(2);
 
 /// What became of a route table that was handed in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Replaced {
+pub enum ReplaceOutcome {
     /// It is held, or was overtaken by the table with this number.
-    Held(u64),
+    Accepted(u64),
     /// Nobody can say whether it is or will be held.
     Unknown,
 }
@@ -32,7 +32,7 @@
     /// caller has checked it; the bytes are given back as they are.
     ///
     /// It may be handed in again after any answer, at any replica.
-    pub async fn replace_table(&self, number: u64, source: Bytes) -> Replaced {
+    pub async fn replace_table(&self, number: u64, source: Bytes) -> ReplaceOutcome {
         let table = RouteTable { number, source };
         let body = command::Body::RouteTable(table);
         let outcome = self.asker().propose_within(body, COMMIT_WITHIN).await;
@@ -40,13 +40,13 @@
             Some(outcome::Body::RouteTable(held)) => {
                 self.hub().in_force(held.newest).await;
                 log::info!(table = number, newest = held.newest; "route table accepted");
-                Replaced::Held(held.newest)
+                ReplaceOutcome::Accepted(held.newest)
             }
             Some(outcome::Body::Unavailable(answer)) => {
                 log::warn!(table = number; "route table not accepted: {}", answer.reason);
-                Replaced::Unknown
+                ReplaceOutcome::Unknown
             }
-            _ => Replaced::Unknown,
+            _ => ReplaceOutcome::Unknown,
         }
     }
 
@@ -66,18 +66,18 @@
 
     /// Takes what a target tells of itself. Returns false if it must not be
     /// acknowledged, because too few others know of it.
-    pub async fn hear(&self, told: Sighting) -> bool {
+    pub async fn update_target(&self, told: Sighting) -> bool {
         self.hub().hear(told).await
     }
 
-    /// Takes the word that a target has left, as [`Control::hear`].
-    pub async fn leave(&self, id: &str, born: Option<u64>) -> bool {
+    /// Takes the word that a target has left, as [`Control::update_target`].
+    pub async fn remove_target(&self, id: &str, born: Option<u64>) -> bool {
         self.hub().leave(id, born).await
     }
 
     /// The entries that callers may be sent to.
     #[must_use]
-    pub fn entrances(&self) -> Vec<Entrance> {
+    pub fn open_entries(&self) -> Vec<Entrance> {
         self.hub().open_entrances()
     }
 
