--- a/crates/control/src/clock.rs
+++ b/crates/control/src/clock.rs
@@ -1,13 +1,13 @@
-//! The time of the durable state.
+//! Clock of the durable state.
 
 use std::time::Instant;
 
-/// The time of the durable state, as one leader moves it on.
+/// Clock of the durable state, advanced by one leader.
 ///
-/// It goes on from the time of the last command, at the pace of the leader's
-/// monotonic clock, and stands still while there is no leader. Wall time is
-/// of no use here: a leader whose wall clock is a day ahead would make every
-/// record of a non-repeatable call expire, and a resend would run it again.
+/// It continues from the time of the last command at the rate of the leader's
+/// monotonic clock, and stops while there is no leader. Wall-clock time is not
+/// usable here: a leader whose wall clock is a day ahead would expire every
+/// record of a non-repeatable call, and a resent call would run again.
 ///
 /// ```
 /// use std::time::{Duration, Instant};
@@ -23,7 +23,7 @@
 }
 
 impl Clock {
-    /// Goes on from a time.
+    /// Creates a clock that reads `base_ms` milliseconds at `since`.
     ///
     /// ```
     /// let now = std::time::Instant::now();
@@ -34,7 +34,8 @@
         Clock { base_ms, since }
     }
 
-    /// The time now, in milliseconds that the cluster has had a leader.
+    /// Returns the time at `now`: the total time in milliseconds during which
+    /// the cluster has had a leader.
     ///
     /// ```
     /// let now = std::time::Instant::now();
@@ -42,8 +43,8 @@
     /// ```
     #[must_use]
     pub fn now_ms(&self, now: Instant) -> u64 {
-        let passed = now.saturating_duration_since(self.since).as_millis();
-        let passed = u64::try_from(passed).unwrap_or(u64::MAX);
-        self.base_ms.saturating_add(passed)
+        let elapsed = now.saturating_duration_since(self.since).as_millis();
+        let elapsed_ms = u64::try_from(elapsed).unwrap_or(u64::MAX);
+        self.base_ms.saturating_add(elapsed_ms)
     }
 }
--- a/crates/control/src/codec.rs
+++ b/crates/control/src/codec.rs
@@ -1,4 +1,4 @@
-//! Between the generated messages and the types of `quorum` and `store`.
+//! Conversion between protobuf messages and the types of `quorum` and `store`.
 
 use bytes::Bytes;
 use eyre::{Result, bail, eyre};
@@ -16,7 +16,7 @@
 const NOOP: u8 = 1;
 const MEMBERS: u8 = 2;
 
-/// A message for the wire.
+/// Encodes a message for the wire.
 pub(crate) fn encode(message: Message) -> QuorumMessage {
     QuorumMessage {
         from: message.from.0,
@@ -99,7 +99,7 @@
     }
 }
 
-/// A message from the wire.
+/// Decodes a message from the wire.
 pub(crate) fn decode(message: QuorumMessage) -> Result<Message> {
     let body = message
         .body
@@ -191,7 +191,7 @@
     })
 }
 
-/// An entry for the disk.
+/// Converts a log entry to a record on disk.
 pub(crate) fn record(entry: &Entry) -> Record {
     let (kind, data) = kind_and_data(&entry.body);
     Record {
@@ -202,7 +202,7 @@
     }
 }
 
-/// An entry from the disk.
+/// Converts a record on disk to a log entry.
 pub(crate) fn recorded_entry(record: Record) -> Result<Entry> {
     Ok(Entry {
         index: record.index,
@@ -211,7 +211,7 @@
     })
 }
 
-/// Term and vote for the disk.
+/// Converts the term and vote for the disk.
 pub(crate) fn stored_hard_state(hard_state: HardState) -> store::HardState {
     store::HardState {
         term: hard_state.term,
@@ -219,7 +219,7 @@
     }
 }
 
-/// Term and vote from the disk.
+/// Converts the term and vote from the disk.
 pub(crate) fn hard_state(stored: store::HardState) -> HardState {
     HardState {
         term: stored.term,
@@ -227,7 +227,7 @@
     }
 }
 
-/// A snapshot for the disk.
+/// Encodes a snapshot for the disk.
 pub(crate) fn stored_snapshot(snapshot: &Snapshot) -> store::Snapshot {
     let stored = StoredSnapshot {
         members: Some(replica_set(&snapshot.members)),
@@ -240,14 +240,14 @@
     }
 }
 
-/// A snapshot from the disk.
+/// Decodes a snapshot from the disk.
 pub(crate) fn snapshot(stored: store::Snapshot) -> Result<Snapshot> {
-    let inner = StoredSnapshot::decode(stored.data)?;
+    let content = StoredSnapshot::decode(stored.data)?;
     Ok(Snapshot {
         index: stored.index,
         term: stored.term,
-        members: members(inner.members.unwrap_or_default()),
-        data: inner.state,
+        members: members(content.members.unwrap_or_default()),
+        data: content.state,
     })
 }
 
--- a/crates/control/src/listeners.rs
+++ b/crates/control/src/listeners.rs
@@ -1,12 +1,12 @@
-//! The sockets that a replica accepts on.
+//! Listening sockets of a replica.
 
 use tokio::net::TcpListener;
 
-/// The sockets that a replica accepts on, bound by the caller.
+/// Listening sockets of a replica, bound by the caller.
 #[derive(Debug)]
 pub struct Listeners {
-    /// Links of replicas, entries and agents.
+    /// Accepts links of replicas, entries and agents.
     pub links: TcpListener,
-    /// Operators' HTTP.
+    /// Accepts operators' HTTP connections.
     pub http: TcpListener,
 }
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -1,10 +1,10 @@
-//! What a replica counts.
+//! Metrics of a replica.
 
 use admin::Registry;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
 
-/// What a replica counts; cheap to clone.
+/// Metrics of a replica; cheap to clone.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Metrics {
     pub(crate) has_leader: Gauge,
@@ -26,7 +26,7 @@
 }
 
 impl Metrics {
-    /// Enters them into a registry.
+    /// Returns a registry of all metrics.
     pub(crate) fn registry(&self) -> Registry {
         let mut registry = Registry::with_prefix("lovageramp_control");
         let gauges = [
--- a/crates/control/src/recovered_table.rs
+++ b/crates/control/src/recovered_table.rs
@@ -1,23 +1,23 @@
-//! The route table that a disk holds, before a leader is known.
+//! The route table found on disk before a leader is known.
 
 use quorum::{EntryBody, PersistedState};
 use wire::proto::command::Body;
 use wire::proto::{Command, DurableState, RouteTable};
 
-/// The route table with the highest number on this disk, committed or not.
+/// Returns the route table with the highest number on this disk, committed or not.
 ///
-/// After the loss of all processes at once it takes an election until what is
-/// committed is known again. Entries that started empty would refuse every
-/// caller until then, though a table that an operator was told nothing else
-/// of lies here. One that turns out not to be committed was never refused
-/// either: its operator sends it again.
+/// After all processes were lost at once, an election must complete before it is
+/// known which entries are committed. Until then entry nodes without a table would
+/// refuse every caller, although the newest table is on this disk. Using a table
+/// that turns out not to be committed is acceptable: the operator who sent it was
+/// not told that it was rejected, and sends it again.
 pub(crate) fn newest(restored: &PersistedState) -> Option<RouteTable> {
     let snapshot = restored.snapshot.as_ref();
-    let kept = snapshot.and_then(|snapshot| {
+    let in_snapshot = snapshot.and_then(|snapshot| {
         let state = <DurableState as prost::Message>::decode(snapshot.data.clone());
         state.ok()?.route_table
     });
-    let logged = restored.entries.iter().filter_map(|entry| {
+    let in_log = restored.entries.iter().filter_map(|entry| {
         let EntryBody::Command(data) = &entry.body else {
             return None;
         };
@@ -27,7 +27,8 @@
             _ => None,
         }
     });
-    kept.into_iter()
-        .chain(logged)
+    in_snapshot
+        .into_iter()
+        .chain(in_log)
         .max_by_key(|table| table.number)
 }
--- a/crates/control/src/target_cache.rs
+++ b/crates/control/src/target_cache.rs
@@ -1,4 +1,4 @@
-//! The last known targets, in a file beside the log.
+//! File that holds the last known targets.
 
 use std::io;
 use std::path::PathBuf;
@@ -10,12 +10,12 @@
 
 const FILE: &str = "targets.cache";
 
-/// The last known targets, in a file beside the log.
+/// The last known targets, in a file in the data folder.
 ///
-/// When all processes are lost at once, entries know no target until each has
-/// checked in again, a second or two in which every caller is refused. The
-/// file closes that gap. It is a hint and no promise: a target that is gone
-/// doesn't answer, and another one at its address declines.
+/// If all processes are lost at once, entries know no target until each target has
+/// checked in again, and refuse every caller for a second or two. This file closes
+/// that gap. Its contents may be out of date, which is harmless: a target that is gone
+/// does not answer, and another one at its address declines the request.
 #[derive(Clone, Debug)]
 pub(crate) struct TargetCache {
     path: PathBuf,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// What the file holds; nothing if it is damaged or not there.
+    /// Reads the file; returns no targets if it is damaged or missing.
     pub(crate) fn read(&self) -> Vec<Sighting> {
         let bytes = match std::fs::read(&self.path) {
             Ok(bytes) => Bytes::from(bytes),
@@ -38,14 +38,14 @@
                 return Vec::new();
             }
         };
-        let read = decode(bytes);
-        if read.is_none() {
-            log::warn!("{}: damaged, and passed over", self.path.display());
+        let targets = decode(bytes);
+        if targets.is_none() {
+            log::warn!("{}: ignored because it is damaged", self.path.display());
         }
-        read.unwrap_or_default()
+        targets.unwrap_or_default()
     }
 
-    /// Replaces the file; waits for the disk.
+    /// Replaces the file atomically. Blocks on the disk.
     pub(crate) fn write(&self, targets: Vec<Sighting>) -> store::Result<()> {
         let sightings = Sightings {
             targets,
@@ -63,5 +63,6 @@
     if crc32c::crc32c(&bytes) != crc {
         return None;
     }
-    Sightings::decode(bytes).ok().map(|told| told.targets)
+    let sightings = Sightings::decode(bytes).ok()?;
+    Some(sightings.targets)
 }
