--- /dev/null
+++ b/crates/control/src/api.rs
@@ -0,0 +1,102 @@
+//! API of a replica for the process that embeds it.
+
+use crate::control::Control;
+use bytes::Bytes;
+use eyre::{Result, bail};
+use member::{Entrance, Sighting};
+use std::time::Duration;
+use wire::proto::{RouteTable, RouteTableQuery, command, outcome, query, query_reply};
+
+/// Timeout for committing a table. Operators ask another replica after about a
+/// second, so waiting longer is of no use to them.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout for reading the newest table.
+const READ_TIMEOUT: Duration = Duration::from_millis(900);
+
+/// Time for which callers may cache the list of entries. Some cache it for three
+/// times as long. With 2 s an entry that leaves loses nearly all its callers well
+/// within its shutdown time.
+pub const ENTRY_LIST_TTL: Duration = Duration::from_secs(2);
+
+/// Outcome of [`Control::replace_table`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReplaceOutcome {
+    /// The table was committed, or superseded by a newer one; the newest table has
+    /// this number.
+    Accepted(u64),
+    /// It is not known whether the table was or will be committed.
+    Unknown,
+}
+
+impl Control {
+    /// Commits a route table and waits, for a limited time, until it is in force on
+    /// all entries. The table must already be validated; its bytes are returned
+    /// unchanged by [`Control::newest_table`].
+    ///
+    /// The call is idempotent and may be repeated after any outcome, at any replica.
+    pub async fn replace_table(&self, number: u64, source: Bytes) -> ReplaceOutcome {
+        let table = RouteTable { number, source };
+        let body = command::Body::RouteTable(table);
+        let outcome = self
+            .leader_client()
+            .propose_with_timeout(body, COMMIT_TIMEOUT)
+            .await;
+        match outcome.body {
+            Some(outcome::Body::RouteTable(accepted)) => {
+                let newest = accepted.newest;
+                self.gossip().wait_in_force(newest).await;
+                log::info!(table = number, newest = newest; "route table accepted");
+                ReplaceOutcome::Accepted(newest)
+            }
+            Some(outcome::Body::Unavailable(answer)) => {
+                log::warn!(table = number; "route table not accepted: {}", answer.reason);
+                ReplaceOutcome::Unknown
+            }
+            _ => ReplaceOutcome::Unknown,
+        }
+    }
+
+    /// Returns the newest route table, or `None` if none was ever accepted.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no leader answers in time: this replica may lack a newer table.
+    pub async fn newest_table(&self) -> Result<Option<RouteTable>> {
+        let body = query::Body::RouteTable(RouteTableQuery {});
+        let reply = self
+            .leader_client()
+            .query_with_timeout(body, READ_TIMEOUT)
+            .await?;
+        match reply.body {
+            Some(query_reply::Body::RouteTable(table)) => Ok((table.number > 0).then_some(table)),
+            _ => bail!("unexpected answer"),
+        }
+    }
+
+    /// Records a target's check-in. Returns `false` if it must not be acknowledged
+    /// because too few other processes have confirmed it.
+    pub async fn update_target(&self, sighting: Sighting) -> bool {
+        self.gossip().update_target(sighting).await
+    }
+
+    /// Records that a target has left. `born` is the target's incarnation, if known.
+    /// Returns `false` if it must not be acknowledged.
+    pub async fn remove_target(&self, id: &str, born: Option<u64>) -> bool {
+        self.gossip().remove_target(id, born).await
+    }
+
+    /// Returns the entries that accept new callers.
+    #[must_use]
+    pub fn open_entries(&self) -> Vec<Entrance> {
+        self.gossip().open_entries()
+    }
+
+    /// Replaces the seeds after the settings have changed.
+    pub fn set_seeds(&self, seeds: Vec<std::net::SocketAddr>) {
+        self.seeds().send_if_modified(|current| {
+            let changed = *current != seeds;
+            *current = seeds;
+            changed
+        });
+    }
+}
--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -1,9 +1,9 @@
-//! One replica, running.
+//! A running replica.
 
-use crate::asker::{Asker, Directory};
+use crate::gossip::Gossip;
 use crate::http;
-use crate::hub::Hub;
 use crate::init;
+use crate::leader_client::{LeaderClient, ReplicaLinks};
 use crate::links::{self, Acceptor};
 use crate::listeners::Listeners;
 use crate::metrics::Metrics;
@@ -25,43 +25,43 @@
 use tokio_util::task::AbortOnDropHandle;
 use wire::{ClusterKey, LinkSettings};
 
-/// Ticks in a heartbeat time; a tick late by this much is of no matter.
-const TICKS_IN_HEARTBEAT: u32 = 4;
-/// Longest wait for the actor's answer.
-const STATUS_WITHIN: Duration = Duration::from_secs(2);
-/// Longest wait for another process to let go of the data folder.
-const LOCK_WITHIN: Duration = Duration::from_secs(5);
+/// Number of ticks per heartbeat interval. A delay of one tick is harmless.
+const TICKS_PER_HEARTBEAT: u32 = 4;
+/// Timeout for the actor's answer.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout for another process to release the lock on the data folder.
+const LOCK_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One replica, running; cheap to clone.
+/// Handle to a running replica; cheap to clone.
 #[derive(Clone)]
 pub struct Control {
     link_address: SocketAddr,
     http_address: SocketAddr,
     replica: ActorRef<Msg>,
-    asker: Asker,
-    hub: Hub,
+    leader_client: LeaderClient,
+    gossip: Gossip,
     seeds: watch::Sender<Vec<SocketAddr>>,
-    ended: CancellationToken,
+    stopped: CancellationToken,
     tasks: Arc<Mutex<JoinSet<()>>>,
 }
 
 impl Control {
-    /// Starts a replica on its data folder; a blank one is formatted and the
-    /// replica asks the others to take it in.
+    /// Starts a replica on its data folder. A blank folder is formatted, and the
+    /// replica then asks the leader to add it to the cluster.
     ///
     /// # Errors
     ///
-    /// The data folder is damaged, in use or can't be written, or a file of
-    /// the settings can't be read.
+    /// Fails if the data folder is damaged, in use or not writable, or if a file
+    /// named in the settings cannot be read.
     pub async fn start(settings: Settings, listeners: Listeners) -> Result<Control> {
         Control::start_with(settings, listeners, Ops::default()).await
     }
 
-    /// As [`Control::start`], with other file operations.
+    /// Like [`Control::start`], with the given file operations.
     ///
     /// # Errors
     ///
-    /// As [`Control::start`].
+    /// See [`Control::start`].
     pub async fn start_with(settings: Settings, listeners: Listeners, ops: Ops) -> Result<Control> {
         let key = ClusterKey::from_file(&settings.cluster_key_file)?;
         let link_address = listeners.links.local_addr()?;
@@ -70,57 +70,62 @@
         settings.advertise.get_or_insert(link_address);
         let token = Token::from_file(&settings.operator_token_file)?;
         let disk_closed = CancellationToken::new();
-        found(&settings)?;
+        bootstrap_if_needed(&settings)?;
         let start = open(settings.clone(), ops, disk_closed.clone()).await?;
         let metrics = start.metrics.clone();
         let (table, replicas) = (start.table.subscribe(), start.replicas.subscribe());
         let disk = start.recovered.identity.disk;
-        let (_, me) = links::disk_identity(disk, &settings.name);
+        let (_, identity) = links::replica_identity(disk, &settings.name);
         let (replica, actor) = Actor::spawn(None, Replica, start)
             .await
             .map_err(|e| eyre!("replica can't start: {e}"))?;
         let cfg = LinkSettings {
-            beat: settings.timing.link_beat,
+            beat: settings.timing.link_heartbeat,
             redial_pause: (
-                shortest_pause(settings.timing.redial_most),
-                settings.timing.redial_most,
+                min_redial_delay(settings.timing.max_redial_delay),
+                settings.timing.max_redial_delay,
             ),
             ..LinkSettings::default()
         };
         let stop = CancellationToken::new();
         let mut tasks = JoinSet::new();
-        let asker = Asker {
+        let leader_client = LeaderClient {
             replica: replica.clone(),
-            directory: Directory::default(),
+            replica_links: ReplicaLinks::default(),
         };
-        let hub = Hub::new(
-            asker.directory.clone(),
+        let gossip = Gossip::new(
+            leader_client.replica_links.clone(),
             replicas.clone(),
             table,
             TargetCache::new(&settings.data),
         );
-        tasks.spawn(until(stop.clone(), hub.clone().run()));
-        let keep = {
-            let (me, key, cfg, asker) = (me.clone(), key.clone(), cfg.clone(), asker.clone());
-            move |address| peers::keep(address, me.clone(), key.clone(), cfg.clone(), asker.clone())
+        tasks.spawn(until_stopped(stop.clone(), gossip.clone().run()));
+        let keep_connected = {
+            let (identity, key) = (identity.clone(), key.clone());
+            let (cfg, leader_client) = (cfg.clone(), leader_client.clone());
+            move |address| {
+                let (identity, key) = (identity.clone(), key.clone());
+                peers::keep_connected(address, identity, key, cfg.clone(), leader_client.clone())
+            }
         };
         for other in settings.replicas.iter().filter(|r| r.name != settings.name) {
-            tasks.spawn(until(stop.clone(), keep(other.address)));
+            tasks.spawn(until_stopped(stop.clone(), keep_connected(other.address)));
         }
         let forming = settings.forming.as_ref();
         let seeds = watch::Sender::new(forming.map_or_else(Vec::new, |f| f.seeds.clone()));
         if forming.is_some() {
-            let keep_one = move |address| AbortOnDropHandle::new(tokio::spawn(keep(address)));
+            let connect =
+                move |address| AbortOnDropHandle::new(tokio::spawn(keep_connected(address)));
             let own = settings.advertised();
-            let keep_all = peers::keep_all(seeds.subscribe(), replicas, own, keep_one);
-            tasks.spawn(until(stop.clone(), keep_all));
+            let links = peers::keep_all_connected(seeds.subscribe(), replicas, own, connect);
+            tasks.spawn(until_stopped(stop.clone(), links));
         }
         let acceptor = Acceptor {
-            me,
+            identity,
             key,
             cfg,
             replica: replica.clone(),
-            hub: hub.clone(),
+            gossip: gossip.clone(),
             links_refused: metrics.links_refused.clone(),
             stop: stop.clone(),
         };
@@ -129,115 +134,122 @@
         let http = http::serve(
             listeners.http,
             token,
-            asker.clone(),
+            leader_client.clone(),
             metrics,
             registry,
             stop.clone(),
         );
         tasks.spawn(http);
-        let beat = settings.timing.heartbeat / TICKS_IN_HEARTBEAT;
-        tasks.spawn(until(stop.clone(), keep_time(beat, replica.clone())));
-        let ended = CancellationToken::new();
-        tokio::spawn(watch(actor, stop.clone(), disk_closed, ended.clone()));
+        let tick_interval = settings.timing.heartbeat_interval / TICKS_PER_HEARTBEAT;
+        let ticks = send_ticks(tick_interval, replica.clone());
+        tasks.spawn(until_stopped(stop.clone(), ticks));
+        let stopped = CancellationToken::new();
+        tokio::spawn(signal_stopped(
+            actor,
+            stop.clone(),
+            disk_closed,
+            stopped.clone(),
+        ));
         Ok(Control {
             link_address,
             http_address,
             replica,
-            asker,
-            hub,
+            leader_client,
+            gossip,
             seeds,
-            ended,
+            stopped,
             tasks: Arc::new(Mutex::new(tasks)),
         })
     }
 
-    pub(crate) fn asker(&self) -> &Asker {
-        &self.asker
+    pub(crate) fn leader_client(&self) -> &LeaderClient {
+        &self.leader_client
     }
 
-    pub(crate) fn hub(&self) -> &Hub {
-        &self.hub
+    pub(crate) fn gossip(&self) -> &Gossip {
+        &self.gossip
     }
 
     pub(crate) fn seeds(&self) -> &watch::Sender<Vec<SocketAddr>> {
         &self.seeds
     }
 
-    /// Where links are accepted.
+    /// Returns the address that links are accepted on.
     #[must_use]
     pub fn link_address(&self) -> SocketAddr {
         self.link_address
     }
 
-    /// Where operators' HTTP is served.
+    /// Returns the address of the operators' HTTP server.
     #[must_use]
     pub fn http_address(&self) -> SocketAddr {
         self.http_address
     }
 
-    /// What stands at this replica, which need not be the leader.
+    /// Returns the status of this replica, which need not be the leader.
     ///
     /// # Errors
     ///
-    /// The replica has stopped or doesn't answer in time.
+    /// Fails if the replica has stopped or does not answer within 2 s.
     pub async fn status(&self) -> Result<serde_json::Value> {
         let (tx, rx) = oneshot::channel();
         self.replica
             .cast(Msg::Status(tx))
             .map_err(|e| eyre!("replica has stopped: {e}"))?;
-        let answer = timeout(STATUS_WITHIN, rx).await;
+        let answer = timeout(STATUS_TIMEOUT, rx).await;
         answer
             .wrap_err("replica doesn't answer")?
             .wrap_err("replica has stopped")
     }
 
     /// Resolves once the replica has stopped, by [`Control::shutdown`] or
-    /// because its disk can't be relied on.
+    /// because its disk failed.
     pub async fn stopped(&self) {
-        self.ended.cancelled().await;
+        self.stopped.cancelled().await;
     }
 
-    /// Stops the replica. What it has acknowledged is synced already.
+    /// Stops the replica. Everything that it has acknowledged is already synced.
     pub async fn shutdown(&self) {
         self.replica.stop(None);
-        self.ended.cancelled().await;
+        self.stopped.cancelled().await;
         let mut tasks = self.tasks.lock().await;
         while tasks.join_next().await.is_some() {}
     }
 }
 
-/// Makes the new cluster if that is for this replica to do.
-fn found(settings: &Settings) -> Result<()> {
+/// Creates the new cluster if this replica is the one to do so.
+fn bootstrap_if_needed(settings: &Settings) -> Result<()> {
     let own = settings.advertised();
-    let founds = settings.forming.as_ref().is_some_and(|f| f.founds(own));
+    let forming = settings.forming.as_ref();
+    let is_founder = forming.is_some_and(|f| f.is_founder(own));
     let identity = store::identity(&settings.data);
-    // One that crashed between its format and its first snapshot completes.
-    let begun = identity.is_ok_and(|_| !store::has_log(&settings.data).unwrap_or(true));
+    // A replica that crashed between the format and its first snapshot repeats `init`.
+    let interrupted = identity.is_ok_and(|_| !store::has_log(&settings.data).unwrap_or(true));
     let blank = store::identity(&settings.data).is_err_and(|e| e.is_blank());
-    if founds && (blank || begun) {
-        log::info!("founding a new cluster at {own}");
+    if is_founder && (blank || interrupted) {
+        log::info!("bootstrapping a new cluster at {own}");
         init(settings)?;
     }
     Ok(())
 }
 
-/// Opens the data folder. A predecessor on it may still be ending.
+/// Opens the data folder. The previous process on it may still be shutting down.
 async fn open(settings: Settings, ops: Ops, disk_closed: CancellationToken) -> Result<Start> {
-    const PAUSE: Duration = Duration::from_millis(50);
+    const RETRY_DELAY: Duration = Duration::from_millis(50);
     let opened = async {
         loop {
             let (settings, ops) = (settings.clone(), ops.clone());
             let disk_closed = disk_closed.clone();
             let open = move || open_blocking(settings, ops, disk_closed);
             match tokio::task::spawn_blocking(open).await? {
-                Err(e) if e.is_in_use() => tokio::time::sleep(PAUSE).await,
+                Err(e) if e.is_in_use() => tokio::time::sleep(RETRY_DELAY).await,
                 done => return Ok::<_, eyre::Report>(done?),
             }
         }
     };
     let folder = settings.data.display().to_string();
-    let in_time = timeout(LOCK_WITHIN, opened).await;
-    in_time.wrap_err_with(|| format!("another process has the folder {folder}"))?
+    let result = timeout(LOCK_TIMEOUT, opened).await;
+    result.wrap_err_with(|| format!("data folder {folder} is in use by another process"))?
 }
 
 fn open_blocking(
@@ -249,14 +261,14 @@
         Err(e) if e.is_blank() => {
             let identity = store::format(&settings.data, &settings.name, &ops)?;
             let name = &settings.name;
-            log::warn!("blank disk of {name} formatted as {:016x}", identity.disk);
+            log::warn!("formatted blank disk of {name} as {:016x}", identity.disk);
         }
-        found => drop(found?),
+        existing => drop(existing?),
     }
     let (disk, recovered) = Disk::open(&settings.data, ops)?;
     if recovered.truncated_bytes > 0 {
         log::warn!(
-            "{} bytes of a torn write were cut off",
+            "truncated {} bytes of a torn write",
             recovered.truncated_bytes
         );
     }
@@ -271,20 +283,20 @@
     })
 }
 
-/// The first pause before a link is dialled again; each further one doubles.
-fn shortest_pause(longest: Duration) -> Duration {
-    LinkSettings::default().redial_pause.0.min(longest)
+/// Returns the delay before the first redial of a link; it doubles from there.
+fn min_redial_delay(max: Duration) -> Duration {
+    LinkSettings::default().redial_pause.0.min(max)
 }
 
-async fn until(stop: CancellationToken, work: impl Future<Output = ()>) {
+async fn until_stopped(stop: CancellationToken, work: impl Future<Output = ()>) {
     tokio::select! {
         () = stop.cancelled() => {}
         () = work => {}
     }
 }
 
-async fn keep_time(beat: Duration, replica: ActorRef<Msg>) {
-    let mut ticks = interval(beat);
+async fn send_ticks(tick_interval: Duration, replica: ActorRef<Msg>) {
+    let mut ticks = interval(tick_interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
@@ -294,21 +306,21 @@
     }
 }
 
-/// Tells of the end once the actor has ended and its disk is closed.
+/// Signals `stopped` once the actor has ended and its disk is closed.
 ///
-/// The disk's thread may outlive the actor by a write or a snapshot. Were the
-/// end told before, whoever then removes or copies the data folder, or starts
-/// another replica on it, would meet files that still appear in it.
-async fn watch(
+/// The disk thread may outlive the actor by a write or a snapshot. If the signal
+/// came earlier, a process that then removes or copies the data folder, or starts
+/// another replica on it, would find files still being created there.
+async fn signal_stopped(
     actor: JoinHandle<()>,
     stop: CancellationToken,
     disk_closed: CancellationToken,
-    ended: CancellationToken,
+    stopped: CancellationToken,
 ) {
     if let Err(e) = actor.await {
-        log::error!("replica ended: {e}");
+        log::error!("replica actor failed: {e}");
     }
     stop.cancel();
     disk_closed.cancelled().await;
-    ended.cancel();
+    stopped.cancel();
 }
--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -8,52 +8,52 @@
 use store::{Batch, Disk, Snapshot};
 use tokio_util::sync::DropGuard;
 
-/// Writes that one sync covers at most.
-const MOST_IN_GROUP: usize = 1024;
-/// Pause before a full disk is tried again.
-const FULL_PAUSE: Duration = Duration::from_millis(200);
+/// Maximum number of writes that one sync covers.
+const MAX_GROUP_WRITES: usize = 1024;
+/// Delay before a write to a full disk is retried.
+const FULL_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// What the disk is asked to do.
+/// A request to the disk thread.
 pub(crate) enum Job {
-    /// Write the batch; the number comes back once it is synced.
+    /// Writes the batch; its number is reported once it is synced.
     Write(u64, Batch),
-    /// Save a snapshot of what the log holds.
+    /// Saves a snapshot of the applied log.
     Save(Snapshot),
 }
 
-/// What the disk tells.
+/// A report from the disk thread.
 #[derive(Debug)]
 pub(crate) enum Report {
     /// All writes up to this number are synced.
     Persisted(u64),
-    /// The snapshot at this index is saved, or not.
+    /// An attempt to save the snapshot at this index has ended.
     Saved(u64, SaveResult),
-    /// The disk is full, or no longer.
+    /// The disk became full, or has room again.
     Full(Fullness),
-    /// The disk can't be relied on any more.
+    /// The disk failed; its contents can no longer be relied on.
     Failed(String),
 }
 
-/// Whether a snapshot is saved.
+/// Result of saving a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SaveResult {
-    /// It lasts.
-    Done,
-    /// The disk was full; the log is as before.
-    NoRoom,
+    /// The snapshot is durable.
+    Saved,
+    /// The disk was full; the log is unchanged.
+    DiskFull,
 }
 
 /// Whether there is room on the disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fullness {
-    /// There is room.
+    /// The last write succeeded.
     Room,
-    /// A write waits for room.
+    /// A write is waiting for free space.
     Full,
 }
 
-/// Starts the thread; it ends when the sender is dropped and all that was
-/// asked for is done. `closed` is dropped once the disk is closed.
+/// Starts the disk thread. It ends once the sender is dropped and all queued jobs
+/// are done. `closed` is dropped once the disk is closed.
 pub(crate) fn spawn(
     disk: Disk,
     replica: ActorRef<Msg>,
@@ -71,15 +71,15 @@
 fn serve(mut disk: Disk, jobs: &Receiver<Job>, replica: &ActorRef<Msg>) {
     while let Ok(first) = jobs.recv() {
         if let Err(e) = serve_group(&mut disk, first, jobs, replica) {
-            // The replica may be gone already.
+            // The replica may have stopped already.
             let _ = replica.cast(Msg::Disk(Report::Failed(e.to_string())));
             return;
         }
     }
 }
 
-/// Writes all that waits and syncs once: a commit waits for one sync at most
-/// beside its own, however many come at the same time.
+/// Writes all queued batches and syncs once (group commit): a commit waits for at
+/// most one sync besides its own, however many commits are concurrent.
 fn serve_group(
     disk: &mut Disk,
     first: Job,
@@ -88,8 +88,8 @@
 ) -> store::Result<()> {
     let mut persisted = None;
     let mut save = None;
-    let waiting = std::iter::once(first).chain(jobs.try_iter().take(MOST_IN_GROUP));
-    for job in waiting {
+    let queued = std::iter::once(first).chain(jobs.try_iter().take(MAX_GROUP_WRITES));
+    for job in queued {
         match job {
             Job::Write(number, batch) => {
                 write(disk, &batch, replica)?;
@@ -107,8 +107,8 @@
     }
     if let Some(snapshot) = save {
         let result = match disk.save_snapshot(&snapshot) {
-            Ok(()) => SaveResult::Done,
-            Err(e) if e.is_full() => SaveResult::NoRoom,
+            Ok(()) => SaveResult::Saved,
+            Err(e) if e.is_full() => SaveResult::DiskFull,
             Err(e) => return Err(e),
         };
         let _ = replica.cast(Msg::Disk(Report::Saved(snapshot.index, result)));
@@ -116,25 +116,25 @@
     Ok(())
 }
 
-/// Writes, and waits for room on a full disk: what comes after can't be
-/// written before, and the replica promises nothing in the meantime.
+/// Writes a batch, and retries while the disk is full. Later batches must not be
+/// written before this one, and the replica acknowledges nothing in the meantime.
 fn write(disk: &mut Disk, batch: &Batch, replica: &ActorRef<Msg>) -> store::Result<()> {
-    let mut told = false;
+    let mut reported_full = false;
     loop {
         match disk.write(batch) {
             Err(e) if e.is_full() => {
-                let gone = replica.cast(Msg::Disk(Report::Full(Fullness::Full)));
-                if gone.is_err() {
+                let sent = replica.cast(Msg::Disk(Report::Full(Fullness::Full)));
+                if sent.is_err() {
                     return Err(e);
                 }
-                told = true;
-                thread::sleep(FULL_PAUSE);
+                reported_full = true;
+                thread::sleep(FULL_RETRY_DELAY);
             }
-            done => {
-                if told && done.is_ok() {
+            result => {
+                if reported_full && result.is_ok() {
                     let _ = replica.cast(Msg::Disk(Report::Full(Fullness::Room)));
                 }
-                return done;
+                return result;
             }
         }
     }
--- /dev/null
+++ b/crates/control/src/gossip.rs
@@ -0,0 +1,401 @@
+//! Exchange of the state of targets and entries with entries and other replicas.
+
+use crate::leader_client::ReplicaLinks;
+use crate::replicas::Replicas;
+use crate::target_cache::TargetCache;
+use futures_util::future::join_all;
+use member::{Board, Entrance, Heard, Presence, Sighting};
+use std::collections::BTreeSet;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::{Duration, Instant};
+use tokio::sync::watch;
+use tokio::time::{MissedTickBehavior, interval, timeout};
+use wire::proto::frame::Body;
+use wire::proto::{Report, Reported, RouteTable, Sightings, SightingsTaken};
+use wire::{Link, entrance, entrance_message, sighting, sighting_message};
+
+/// Interval between two messages that tell entries and other replicas which targets
+/// have checked in again. Targets check in about once a second, so a shorter interval
+/// would only repeat the same state.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
+/// Time without contact after which targets and entries are forgotten: five
+/// consecutive check-ins of a target that were lost or late.
+const TARGET_EXPIRY: Duration = Duration::from_secs(7);
+/// Time without a report after which callers are no longer sent to an entry: five
+/// report intervals.
+const ENTRY_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Timeout for entries and replicas to confirm that a target is leaving.
+const CONFIRM_TIMEOUT: Duration = Duration::from_millis(400);
+/// Timeout for a new table to be in force on all entries. A stalled entry must not
+/// delay the answer to an operator, who asks another replica after a second.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Collects the state of targets and entries, and passes changes on to entries and
+/// other replicas. Clones share their state.
+#[derive(Clone)]
+pub(crate) struct Gossip {
+    shared: Arc<Shared>,
+}
+
+struct Shared {
+    board: Mutex<Board>,
+    /// Links of the entries that report to this replica.
+    entries: Mutex<Vec<Link>>,
+    /// Targets that have checked in again, unchanged, since the last refresh.
+    refreshed: Mutex<BTreeSet<String>>,
+    replica_links: ReplicaLinks,
+    replicas: watch::Receiver<Replicas>,
+    table: watch::Receiver<RouteTable>,
+    /// File with the last known targets.
+    cache: TargetCache,
+    cache_state: Mutex<CacheState>,
+    /// Number of reports from entries so far.
+    report_count: watch::Sender<u64>,
+}
+
+impl Gossip {
+    pub(crate) fn new(
+        replica_links: ReplicaLinks,
+        replicas: watch::Receiver<Replicas>,
+        table: watch::Receiver<RouteTable>,
+        cache: TargetCache,
+    ) -> Gossip {
+        let mut board = Board::default();
+        let now = Instant::now();
+        for cached in cache.read().into_iter().filter_map(sighting) {
+            log::info!(target_id = cached.id.as_str(); "target restored from the cache file");
+            board.hear(cached, now);
+        }
+        let shared = Shared {
+            board: Mutex::new(board),
+            entries: Mutex::default(),
+            refreshed: Mutex::default(),
+            replica_links,
+            replicas,
+            table,
+            cache,
+            cache_state: Mutex::default(),
+            report_count: watch::Sender::new(0),
+        };
+        Gossip {
+            shared: Arc::new(shared),
+        }
+    }
+
+    /// Sends new route tables to entries, and refreshes the state of targets and
+    /// entries periodically.
+    pub(crate) async fn run(self) {
+        let mut table = self.shared.table.clone();
+        let mut refresh = interval(REFRESH_INTERVAL);
+        refresh.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        loop {
+            tokio::select! {
+                _ = refresh.tick() => self.refresh().await,
+                changed = table.changed() => {
+                    if changed.is_err() {
+                        return;
+                    }
+                    let newest = table.borrow_and_update().clone();
+                    send_all(&self.entries(), &Body::RouteTable(newest)).await;
+                }
+            }
+        }
+    }
+
+    /// Handles the report of an entry. An entry on a new link is sent the table and all
+    /// known targets.
+    pub(crate) async fn handle_report(&self, report: Report, call: u64, link: &Link) {
+        let known = lock(&self.shared.entries)
+            .iter()
+            .any(|l| is_same_peer(l, link));
+        if !known {
+            self.add_entry(link).await;
+        }
+        if let Some(state) = report.entrance.and_then(entrance) {
+            let heard = self.board().hear_entrance(state.clone(), Instant::now());
+            if heard == Heard::News {
+                log::info!(
+                    entry = state.name.as_str(), open = state.open, table = state.table;
+                    "state of an entry changed"
+                );
+            }
+            self.shared.report_count.send_modify(|count| *count += 1);
+        }
+        let addresses = self.shared.replicas.borrow().addresses.clone();
+        let reported = Reported {
+            replicas: addresses.iter().map(ToString::to_string).collect(),
+        };
+        reply(link, call, Body::Reported(reported)).await;
+    }
+
+    async fn add_entry(&self, link: &Link) {
+        lock(&self.shared.entries).push(link.clone());
+        let table = self.shared.table.borrow().clone();
+        let targets = self
+            .board()
+            .targets()
+            .map(|(target, _)| sighting_message(target))
+            .collect();
+        let sightings = targets_message(targets);
+        for body in [Body::RouteTable(table), sightings] {
+            if let Err(e) = link.send(body).await {
+                log::debug!("entry {} has disconnected: {e}", link.peer().name);
+            }
+        }
+    }
+
+    /// Merges the state that another replica or an agent sent, and forwards changes to
+    /// entries.
+    pub(crate) async fn handle_sightings(&self, received: Sightings, call: u64, link: &Link) {
+        let now = Instant::now();
+        let mut changed = Vec::new();
+        for target in received.targets.into_iter().filter_map(sighting) {
+            match self.board().hear(target.clone(), now) {
+                Heard::News => {
+                    *lock(&self.shared.cache_state) = CacheState::Dirty;
+                    changed.push(sighting_message(&target));
+                }
+                Heard::Again => drop(lock(&self.shared.refreshed).insert(target.id)),
+                Heard::Stale => {}
+            }
+        }
+        for entry in received.entrances.into_iter().filter_map(entrance) {
+            self.board().hear_entrance(entry, now);
+        }
+        if !changed.is_empty() {
+            send_all(&self.entries(), &targets_message(changed)).await;
+        }
+        if !received.speeds.is_empty() {
+            // Speeds are not passed on to other replicas: an agent reports to each
+            // replica that it reaches.
+            let speeds = Body::Sightings(Sightings {
+                speeds: received.speeds,
+                ..Sightings::default()
+            });
+            send_all(&self.entries(), &speeds).await;
+        }
+        reply(link, call, Body::SightingsTaken(SightingsTaken {})).await;
+    }
+
+    /// Records a target's check-in. Returns `false` if it must not be acknowledged:
+    /// neither all entries connected here nor a majority of replicas have confirmed
+    /// that the target takes no more work.
+    pub(crate) async fn update_target(&self, target: Sighting) -> bool {
+        let heard = self.board().hear(target.clone(), Instant::now());
+        match heard {
+            Heard::News => self.record_change(&target),
+            Heard::Again => drop(lock(&self.shared.refreshed).insert(target.id.clone())),
+            Heard::Stale => {}
+        }
+        if target.presence != Presence::Ready {
+            // Sent again even if nothing changed: that this replica knows the state
+            // does not mean that the others have confirmed it.
+            return self.disseminate(&target).await;
+        }
+        // It does not matter when others learn that a target accepts work.
+        if heard == Heard::News {
+            let gossip = self.clone();
+            tokio::spawn(async move { gossip.disseminate(&target).await });
+        }
+        true
+    }
+
+    /// Records that a target has left; see [`Gossip::update_target`]. The departure of a
+    /// target that is not known here is not acknowledged, so that the target asks a
+    /// replica that can inform the others.
+    pub(crate) async fn remove_target(&self, id: &str, born: Option<u64>) -> bool {
+        let (removed, is_known) = {
+            let mut board = self.board();
+            let removed = board.leave(id, born, Instant::now());
+            (removed, board.target(id).is_some())
+        };
+        let Some(target) = removed else {
+            log::info!(
+                target_id = id, known = is_known;
+                "ignored the departure of an unknown or replaced target"
+            );
+            return is_known;
+        };
+        self.record_change(&target);
+        self.disseminate(&target).await
+    }
+
+    fn record_change(&self, target: &Sighting) {
+        *lock(&self.shared.cache_state) = CacheState::Dirty;
+        log::info!(
+            target_id = target.id.as_str(), service = target.service.as_str(),
+            address:display = target.address, born = target.born;
+            "target reported state {:?}", target.presence
+        );
+    }
+
+    /// Sends the state of a target to entries and replicas. Returns whether all entries
+    /// connected here, or a majority of replicas, have confirmed it.
+    async fn disseminate(&self, target: &Sighting) -> bool {
+        let update = targets_message(vec![sighting_message(target)]);
+        let entries = self.entries();
+        let replicas = self.shared.replica_links.open();
+        let confirm = |link: Link| {
+            let update = update.clone();
+            async move { link.call(update, CONFIRM_TIMEOUT).await.is_ok() }
+        };
+        let by_entries = async {
+            let confirmed = join_all(entries.iter().cloned().map(confirm)).await;
+            !confirmed.is_empty() && confirmed.iter().all(|confirmed| *confirmed)
+        };
+        let by_replicas = async {
+            let confirmed = join_all(replicas.into_iter().map(confirm)).await;
+            confirmed.iter().filter(|confirmed| **confirmed).count() + 1
+        };
+        let majority = self.shared.replicas.borrow().majority();
+        let (all_entries, replicas) = tokio::join!(by_entries, by_replicas);
+        let confirmed = all_entries || replicas >= majority;
+        if !confirmed && target.presence != Presence::Ready {
+            log::warn!(
+                target_id = target.id.as_str(), replicas = replicas, majority = majority;
+                "state of a target not acknowledged: not confirmed by enough processes"
+            );
+        }
+        confirmed
+    }
+
+    async fn refresh(&self) {
+        let refreshed = std::mem::take(&mut *lock(&self.shared.refreshed));
+        let (rows, entrances) = {
+            let mut board = self.board();
+            board.forget(TARGET_EXPIRY, Instant::now());
+            let rows = refreshed.iter().filter_map(|id| board.target(id));
+            let rows: Vec<_> = rows.map(sighting_message).collect();
+            let entrances = board.entrances().map(|(entry, _)| entrance_message(entry));
+            (rows, entrances.collect())
+        };
+        self.write_cache_if_dirty();
+        if !rows.is_empty() {
+            send_all(&self.entries(), &targets_message(rows.clone())).await;
+        }
+        let all = Body::Sightings(Sightings {
+            targets: rows,
+            entrances,
+            ..Sightings::default()
+        });
+        send_all(&self.shared.replica_links.open(), &all).await;
+    }
+
+    /// Writes the cache file if it is out of date. The write runs on a blocking thread,
+    /// so a disk that hangs cannot keep this replica from answering.
+    fn write_cache_if_dirty(&self) {
+        {
+            let mut cache_state = lock(&self.shared.cache_state);
+            if *cache_state != CacheState::Dirty {
+                return;
+            }
+            *cache_state = CacheState::Writing;
+        }
+        let board = self.board();
+        let targets = board.targets().map(|(target, _)| target);
+        let rows = targets
+            .filter(|target| target.presence != Presence::Gone)
+            .map(sighting_message)
+            .collect();
+        drop(board);
+        let gossip = self.clone();
+        tokio::task::spawn_blocking(move || {
+            if let Err(e) = gossip.shared.cache.write(rows) {
+                log::warn!("cannot write the target cache: {e}");
+            }
+            let mut cache_state = lock(&gossip.shared.cache_state);
+            if *cache_state == CacheState::Writing {
+                *cache_state = CacheState::Written;
+            }
+        });
+    }
+
+    /// Waits until this table or a later one is in force on every entry that reports, or
+    /// until [`IN_FORCE_TIMEOUT`] has elapsed.
+    pub(crate) async fn wait_in_force(&self, number: u64) {
+        let mut reports = self.shared.report_count.subscribe();
+        let everywhere = async {
+            while !self.is_in_force(number) {
+                if reports.changed().await.is_err() {
+                    return;
+                }
+            }
+        };
+        if timeout(IN_FORCE_TIMEOUT, everywhere).await.is_err() {
+            log::info!(table = number; "table acknowledged before it is in force on all entries");
+        }
+    }
+
+    fn is_in_force(&self, number: u64) -> bool {
+        let now = Instant::now();
+        let board = self.board();
+        let mut live = board.entrances().filter(|(_, heard)| is_live(*heard, now));
+        live.all(|(entry, _)| entry.table >= number)
+    }
+
+    /// Returns the entries that accept new callers.
+    pub(crate) fn open_entries(&self) -> Vec<Entrance> {
+        let now = Instant::now();
+        let board = self.board();
+        let live = board.entrances().filter(|(_, heard)| is_live(*heard, now));
+        let open = live.filter(|(entry, _)| entry.open);
+        open.map(|(entry, _)| entry.clone()).collect()
+    }
+
+    fn entries(&self) -> Vec<Link> {
+        let mut entries = lock(&self.shared.entries);
+        entries.retain(|link| !link.is_closed());
+        entries.clone()
+    }
+
+    fn board(&self) -> MutexGuard<'_, Board> {
+        lock(&self.shared.board)
+    }
+}
+
+/// Whether the cache file holds the current targets.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+enum CacheState {
+    #[default]
+    Written,
+    Writing,
+    Dirty,
+}
+
+fn is_live(heard: Instant, now: Instant) -> bool {
+    now.saturating_duration_since(heard) < ENTRY_TIMEOUT
+}
+
+fn targets_message(targets: Vec<wire::proto::Sighting>) -> Body {
+    Body::Sightings(Sightings {
+        targets,
+        ..Sightings::default()
+    })
+}
+
+fn is_same_peer(one: &Link, other: &Link) -> bool {
+    !one.is_closed() && one.peer() == other.peer()
+}
+
+async fn send_all(links: &[Link], body: &Body) {
+    for link in links {
+        if let Err(e) = link.send(body.clone()).await {
+            log::debug!("cannot send to {}: {e}", link.peer().name);
+        }
+    }
+}
+
+async fn reply(link: &Link, call: u64, body: Body) {
+    if call == 0 {
+        return;
+    }
+    if let Err(e) = link.reply(call, body).await {
+        log::debug!("cannot answer {}: {e}", link.peer().name);
+    }
+}
+
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    // Code that holds these locks cannot leave the data inconsistent, so poisoning is
+    // ignored.
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
--- a/crates/control/src/http.rs
+++ b/crates/control/src/http.rs
@@ -1,32 +1,32 @@
-//! Operators' HTTP of a replica.
+//! Operators' HTTP server of a replica.
 
-use crate::asker::Asker;
+use crate::leader_client::LeaderClient;
 use crate::metrics::Metrics;
 use admin::{Operators, Pages, Problem, Registry, Response, ServerSettings, Token};
 use std::sync::Arc;
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-/// Serves until stopped.
+/// Serves requests until `stop` is cancelled.
 pub(crate) async fn serve(
     listener: TcpListener,
     token: Token,
-    asker: Asker,
+    leader_client: LeaderClient,
     metrics: Metrics,
     registry: Registry,
     stop: CancellationToken,
 ) {
     let propose = {
-        let asker = asker.clone();
+        let leader_client = leader_client.clone();
         move |body| {
-            let asker = asker.clone();
-            let answer = async move { asker.propose(body).await };
+            let leader_client = leader_client.clone();
+            let answer = async move { leader_client.propose(body).await };
             Box::pin(answer) as std::pin::Pin<Box<dyn Future<Output = _> + Send>>
         }
     };
     let query = move |body| {
-        let asker = asker.clone();
-        let answer = async move { asker.query(body).await };
+        let leader_client = leader_client.clone();
+        let answer = async move { leader_client.query(body).await };
         Box::pin(answer) as std::pin::Pin<Box<dyn Future<Output = _> + Send>>
     };
     let operators = Operators::new(token, Arc::new(propose), Arc::new(query));
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,43 +1,43 @@
 //! A replica of the durable state.
 //!
-//! [`init`] makes the data folder of the first replica of a new cluster;
-//! every other replica starts on a blank folder and is taken in by the
-//! leader. [`Control::start`] runs one replica: its actor owns the replicated
-//! log, the state machine and the leases of nodes, a thread of its own owns
-//! the disk, and a task for each other replica keeps a link to it.
+//! [`init`] creates the data folder of the first replica of a new cluster.
+//! Every other replica starts on a blank folder and joins the cluster through
+//! the leader. [`Control::start`] runs one replica: an actor owns the
+//! replicated log, the state machine and the leases of nodes, a dedicated
+//! thread owns the disk, and one task per other replica keeps a link to it.
 
-mod asker;
+mod api;
 mod clock;
+mod cluster_formation;
 mod codec;
 mod control;
 mod disk;
-mod forming;
+mod gossip;
 mod http;
-mod hub;
 mod init;
+mod leader_client;
 mod links;
 mod listeners;
-mod machine;
 mod metrics;
 mod node_info;
+mod node_leases;
 mod peers;
-mod port;
 mod recovered_table;
 mod replica;
 mod replicas;
 mod reply;
-mod roster;
 mod settings;
+mod state_machine;
 mod target_cache;
 mod timing;
 
+pub use api::{ENTRY_LIST_TTL, ReplaceOutcome};
 pub use clock::Clock;
+pub use cluster_formation::ClusterFormation;
 pub use control::Control;
-pub use forming::Forming;
 pub use init::init;
 pub use listeners::Listeners;
-pub use machine::Machine;
-pub use port::{ENTRY_LIST_TTL, ReplaceOutcome};
-pub use roster::{Progress, Roster};
+pub use node_leases::{NodeLeases, NoteProgress};
 pub use settings::{ReplicaAddress, Settings};
+pub use state_machine::StateMachine;
 pub use timing::Timing;
--- a/crates/control/src/links.rs
+++ b/crates/control/src/links.rs
@@ -1,8 +1,8 @@
-//! Links that others dial.
+//! Links accepted from other processes.
 
 use crate::codec;
-use crate::hub::Hub;
-use crate::replica::{Ask, Msg};
+use crate::gossip::Gossip;
+use crate::replica::{Msg, Request};
 use crate::reply::Reply;
 use prometheus_client::metrics::counter::Counter;
 use quorum::DiskId;
@@ -16,50 +16,50 @@
 use wire::proto::frame::Body;
 use wire::{ClusterKey, Identity, Incoming, Link, LinkSettings, Role};
 
-/// Connections at a time; more wait in the listener.
-const MOST_CONNECTIONS: usize = 4096;
-/// Pause after an accept that failed, as when file descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Maximum number of concurrent connections; more wait in the listener's backlog.
+const MAX_CONNECTIONS: usize = 4096;
+/// Delay after a failed accept, for example when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What each accepted link needs.
+/// Accepts links and serves them.
 #[derive(Clone)]
 pub(crate) struct Acceptor {
-    pub(crate) me: Identity,
+    pub(crate) identity: Identity,
     pub(crate) key: ClusterKey,
     pub(crate) cfg: LinkSettings,
     pub(crate) replica: ActorRef<Msg>,
-    pub(crate) hub: Hub,
+    pub(crate) gossip: Gossip,
     pub(crate) links_refused: Counter,
     pub(crate) stop: CancellationToken,
 }
 
 impl Acceptor {
-    /// Accepts until stopped.
+    /// Accepts links until `stop` is cancelled.
     pub(crate) async fn run(self, listener: TcpListener) {
-        let places = Arc::new(Semaphore::new(MOST_CONNECTIONS));
+        let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
         loop {
             let accepted = tokio::select! {
                 () = self.stop.cancelled() => return,
-                accepted = accept(&listener, &places) => accepted,
+                accepted = accept(&listener, &permits) => accepted,
             };
-            let Some((stream, place)) = accepted else {
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+            let Some((stream, permit)) = accepted else {
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             let acceptor = self.clone();
             tokio::spawn(async move {
                 acceptor.serve(stream).await;
-                drop(place);
+                drop(permit);
             });
         }
     }
 
     async fn serve(self, stream: TcpStream) {
-        let from = stream.peer_addr();
-        match wire::accept(stream, &self.me, &self.key, &self.cfg).await {
+        let address = stream.peer_addr();
+        match wire::accept(stream, &self.identity, &self.key, &self.cfg).await {
             Ok((link, rx)) => self.serve_link(link, rx).await,
             Err(e) => {
-                log::warn!("connection from {from:?} refused: {e}");
+                log::warn!("refused connection from {address:?}: {e}");
                 self.links_refused.inc();
             }
         }
@@ -67,8 +67,8 @@
 
     async fn serve_link(self, link: Link, mut rx: mpsc::Receiver<Incoming>) {
         if link.peer().role != Role::Control {
-            // A replica that stops closes the link below.
-            let _ = self.replica.cast(Msg::NodeUp(link.clone()));
+            // If the replica has stopped, the link is closed below.
+            let _ = self.replica.cast(Msg::NodeConnected(link.clone()));
         }
         loop {
             let incoming = tokio::select! {
@@ -78,14 +78,17 @@
             let Some(incoming) = incoming else { break };
             let msg = match incoming.body {
                 Body::Report(report) => {
-                    self.hub.report(report, incoming.call, &link).await;
+                    self.gossip
+                        .handle_report(report, incoming.call, &link)
+                        .await;
                     continue;
                 }
-                Body::Sightings(told) => {
-                    self.hub.take(told, incoming.call, &link).await;
+                Body::Sightings(sightings) => {
+                    let call = incoming.call;
+                    self.gossip.handle_sightings(sightings, call, &link).await;
                     continue;
                 }
-                _ => take(incoming),
+                _ => replica_msg(incoming),
             };
             if let Some(msg) = msg
                 && self.replica.cast(msg).is_err()
@@ -99,57 +102,61 @@
 
 async fn accept(
     listener: &TcpListener,
-    places: &Arc<Semaphore>,
+    permits: &Arc<Semaphore>,
 ) -> Option<(TcpStream, tokio::sync::OwnedSemaphorePermit)> {
-    let place = Arc::clone(places).acquire_owned().await.ok()?;
+    let permit = Arc::clone(permits).acquire_owned().await.ok()?;
     match listener.accept().await {
-        Ok((stream, _)) => Some((stream, place)),
+        Ok((stream, _)) => Some((stream, permit)),
         Err(e) => {
-            log::warn!("accepting a link failed: {e}");
+            log::warn!("cannot accept a connection: {e}");
             None
         }
     }
 }
 
-fn take(incoming: Incoming) -> Option<Msg> {
+/// Converts a message that the replica's actor handles; `None` if it is not valid.
+fn replica_msg(incoming: Incoming) -> Option<Msg> {
     let Incoming { call, body, link } = incoming;
     if let Body::Quorum(message) = body {
-        return replica_message(message, &link);
+        return quorum_msg(message, &link);
     }
     let from = link.peer().name.clone();
     let reply = Reply::Remote(link, call);
-    Some(Msg::Ask(Box::new(match body {
-        Body::Renew(renew) => Ask::Renew(renew, reply),
-        Body::RenewBatch(batch) => Ask::RenewBatch(batch, reply),
-        Body::FetchNotes(fetch) => Ask::Notes(fetch, reply),
-        Body::Propose(propose) => Ask::Propose(propose, reply),
-        Body::Query(query) => Ask::Query(query, reply),
+    Some(Msg::Request(Box::new(match body {
+        Body::Renew(renew) => Request::Renew(renew, reply),
+        Body::RenewBatch(batch) => Request::RenewBatch(batch, reply),
+        Body::FetchNotes(fetch) => Request::Notes(fetch, reply),
+        Body::Propose(propose) => Request::Propose(propose, reply),
+        Body::Query(query) => Request::Query(query, reply),
         _ => {
-            log::warn!("unexpected message from {from}");
+            log::warn!("ignored an unexpected message from {from}");
             return None;
         }
     })))
 }
 
-/// A replica speaks for its own disk only: a vote under another identity
-/// would count for a disk that never gave it.
-fn replica_message(message: QuorumMessage, link: &Link) -> Option<Msg> {
+/// Accepts a replica's message only if it comes from the replica's own disk: otherwise
+/// a vote could be counted for a disk that did not cast it.
+fn quorum_msg(message: QuorumMessage, link: &Link) -> Option<Msg> {
     let peer = link.peer();
-    let own = peer.role == Role::Control && message.from == peer.incarnation;
+    let is_sender = peer.role == Role::Control && message.from == peer.incarnation;
     match codec::decode(message) {
-        Ok(message) if own => Some(Msg::Peer(Box::new(message))),
+        Ok(message) if is_sender => Some(Msg::Peer(Box::new(message))),
         Ok(_) => {
-            log::warn!("{} sent a message of another replica", peer.name);
+            log::warn!(
+                "ignored a message that {} sent under another identity",
+                peer.name
+            );
             None
         }
         Err(e) => {
-            log::warn!("malformed message from {}: {e}", peer.name);
+            log::warn!("ignored a malformed message from {}: {e}", peer.name);
             None
         }
     }
 }
 
-/// The disk behind a replica's link.
-pub(crate) fn disk_identity(disk: u64, name: &str) -> (DiskId, Identity) {
+/// Returns the identity of a replica in the log and on links. Both use its disk.
+pub(crate) fn replica_identity(disk: u64, name: &str) -> (DiskId, Identity) {
     (DiskId(disk), Identity::new(Role::Control, name, disk))
 }
--- a/crates/control/src/node_info.rs
+++ b/crates/control/src/node_info.rs
@@ -1,11 +1,11 @@
-//! Nodes between the messages and `member`.
+//! Conversion of nodes between protobuf messages and `member` types.
 
 use member::{Announcement, Capability, Node, Role, Serves};
 use std::collections::BTreeSet;
 use wire::proto::{self, NodeInfo};
 
-/// A node as the view shows it.
-pub(crate) fn shown(node: &Node, drained: &BTreeSet<String>) -> NodeInfo {
+/// Encodes a node for the member view. A drained target is marked as leaving.
+pub(crate) fn encode_for_view(node: &Node, drained: &BTreeSet<String>) -> NodeInfo {
     let mut info = encode(node);
     let target = info.target.as_ref().map(|t| t.target.as_str());
     info.leaving |= target.is_some_and(|target| drained.contains(target));
@@ -43,14 +43,14 @@
         (true, false) => Serves::Service(target.service),
         _ => return Err("a target of neither or both a group and a service"),
     };
-    let said = [
+    let flags = [
         (target.can_resume, Capability::Resume),
         (target.can_cancel, Capability::Cancel),
         (target.has_priority, Capability::Priority),
         (target.checks_fencing, Capability::ChecksFencing),
         (target.exports_kv, Capability::ExportsKv),
     ];
-    let able = said.into_iter().filter(|(can, _)| *can);
+    let supported = flags.into_iter().filter(|(is_set, _)| *is_set);
     Ok(Announcement {
         target: target.target,
         serves,
@@ -58,7 +58,7 @@
         models: target.models,
         adapters: target.adapters,
         versions: target.versions,
-        capabilities: able.map(|(_, capability)| capability).collect(),
+        capabilities: supported.map(|(_, capability)| capability).collect(),
         healthy: target.healthy,
     })
 }
@@ -91,7 +91,7 @@
         Serves::Group(name) => (name.clone(), String::new()),
         Serves::Service(name) => (String::new(), name.clone()),
     };
-    let can = |capability| target.capabilities.contains(&capability);
+    let has = |capability| target.capabilities.contains(&capability);
     proto::Announcement {
         target: target.target.clone(),
         group,
@@ -100,11 +100,11 @@
         models: target.models.clone(),
         adapters: target.adapters.clone(),
         versions: target.versions.clone(),
-        can_resume: can(Capability::Resume),
-        can_cancel: can(Capability::Cancel),
-        has_priority: can(Capability::Priority),
-        checks_fencing: can(Capability::ChecksFencing),
-        exports_kv: can(Capability::ExportsKv),
+        can_resume: has(Capability::Resume),
+        can_cancel: has(Capability::Cancel),
+        has_priority: has(Capability::Priority),
+        checks_fencing: has(Capability::ChecksFencing),
+        exports_kv: has(Capability::ExportsKv),
         healthy: target.healthy,
     }
 }
--- a/crates/control/src/roster.rs
+++ b/crates/control/src/node_leases.rs
@@ -1,6 +1,6 @@
-//! The nodes that hold a lease, between the messages and `member`.
+//! Leases of nodes, in terms of protobuf messages.
 
-use crate::node_info::{encode_role, parse, shown};
+use crate::node_info::{encode_for_view, encode_role, parse};
 use member::{Member, NodeKey, Registry, Renewal};
 use route::{FULL_QUOTA, QuotaAllocator, QuotaUsage};
 use std::collections::BTreeSet;
@@ -8,111 +8,112 @@
 use std::time::{Duration, Instant};
 use wire::proto::{self, AccountPart, AccountUse, MemberView, NodeInfo, NodeRef};
 
-/// The nodes that hold a lease from this leader.
+/// The nodes that hold a lease from this leader, and the quotas granted to them.
 ///
 /// ```
 /// use std::time::{Duration, Instant};
 /// use wire::proto::{NodeInfo, Role};
 ///
 /// let (now, lease) = (Instant::now(), Duration::from_secs(3));
-/// let mut roster = control::Roster::new(1, lease, now);
+/// let mut leases = control::NodeLeases::new(1, lease, now);
 /// let role = Role::Entry.into();
 /// let info = NodeInfo { role, name: "entry-1".into(), ..NodeInfo::default() };
-/// roster.renew(info, 4, now + lease).unwrap();
-/// assert_eq!(roster.progress(5, now + lease).everywhere, Some(4));
+/// leases.renew(info, 4, now + lease).unwrap();
+/// assert_eq!(leases.progress(5, now + lease).everywhere, Some(4));
 /// ```
 #[derive(Debug)]
-pub struct Roster {
+pub struct NodeLeases {
     term: u64,
     registry: Registry,
-    /// Leases of incarnations that were replaced, with their notes.
-    former: Vec<(NodeKey, u64, Instant)>,
-    exchange: QuotaAllocator,
+    /// Key, release note number and lease end of superseded incarnations.
+    superseded: Vec<(NodeKey, u64, Instant)>,
+    quotas: QuotaAllocator,
 }
 
-/// How far the accepted notes have come.
+/// How far the accepted release notes have reached the nodes.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Progress {
-    /// Newest number that every node which may take work acts on, once the
-    /// leases of earlier leaders have run out.
+pub struct NoteProgress {
+    /// Newest number that is in force on every node that may take work. `None`
+    /// until the leases granted by earlier leaders have expired.
     pub everywhere: Option<u64>,
-    /// Nodes that act on an earlier note than the newest.
+    /// Nodes on which an earlier note than the newest is in force.
     pub lagging: Vec<String>,
 }
 
-impl Roster {
-    /// The roster of a leader that begins now.
+impl NodeLeases {
+    /// Creates the leases of a leader whose term begins at `now`.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
     /// let (now, lease) = (Instant::now(), Duration::from_secs(3));
-    /// assert_eq!(control::Roster::new(7, lease, now).term(), 7);
+    /// assert_eq!(control::NodeLeases::new(7, lease, now).term(), 7);
     /// ```
     #[must_use]
-    pub fn new(term: u64, lease: Duration, now: Instant) -> Roster {
-        Roster {
+    pub fn new(term: u64, lease: Duration, now: Instant) -> NodeLeases {
+        NodeLeases {
             term,
             registry: Registry::new(term, now, lease),
-            former: Vec::new(),
-            exchange: QuotaAllocator::new(now, lease),
+            superseded: Vec::new(),
+            quotas: QuotaAllocator::new(now, lease),
         }
     }
 
-    /// Term of the leader.
+    /// Returns the term of the leader.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
     /// let (now, lease) = (Instant::now(), Duration::from_secs(3));
-    /// let roster = control::Roster::new(7, lease, now);
-    /// assert_eq!(roster.term(), 7);
+    /// let leases = control::NodeLeases::new(7, lease, now);
+    /// assert_eq!(leases.term(), 7);
     /// ```
     #[must_use]
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// Version of the view.
+    /// Returns the version of the member view.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
     /// let (now, lease) = (Instant::now(), Duration::from_secs(3));
-    /// let roster = control::Roster::new(7, lease, now);
-    /// assert_eq!(roster.version(), 1);
+    /// let leases = control::NodeLeases::new(7, lease, now);
+    /// assert_eq!(leases.version(), 1);
     /// ```
     #[must_use]
     pub fn version(&self) -> u64 {
         self.registry.version()
     }
 
-    /// Grants a lease to a node at that note.
+    /// Grants a lease to a node on which release note `number` is in force.
     ///
     /// # Errors
     ///
-    /// Tells why there is none.
+    /// Returns the reason if no lease is granted.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
     /// let (now, lease) = (Instant::now(), Duration::from_secs(3));
-    /// let mut roster = control::Roster::new(7, lease, now);
+    /// let mut leases = control::NodeLeases::new(7, lease, now);
     /// let nameless = wire::proto::NodeInfo::default();
-    /// assert!(roster.renew(nameless, 1, now).is_err());
+    /// assert!(leases.renew(nameless, 1, now).is_err());
     /// ```
     pub fn renew(&mut self, info: NodeInfo, number: u64, now: Instant) -> Result<(), &'static str> {
         self.renew_in_order(info, number, 0, now)
     }
 
-    /// Grants a lease to a node at that note; `sequence` counts its renewals.
+    /// Grants a lease to a node on which release note `number` is in force;
+    /// `sequence` counts the node's renewals.
     ///
     /// # Errors
     ///
-    /// Tells why there is none.
+    /// Returns the reason if no lease is granted.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
     /// let (now, lease) = (Instant::now(), Duration::from_secs(3));
-    /// let mut roster = control::Roster::new(7, lease, now);
+    /// let mut leases = control::NodeLeases::new(7, lease, now);
     /// let nameless = wire::proto::NodeInfo::default();
-    /// assert!(roster.renew_in_order(nameless, 1, 1, now).is_err());
+    /// assert!(leases.renew_in_order(nameless, 1, 1, now).is_err());
     /// ```
     pub fn renew_in_order(
         &mut self,
@@ -122,16 +123,16 @@
         now: Instant,
     ) -> Result<(), &'static str> {
         let node = parse(info)?;
-        // Looked up by key: to look through all of a thousand nodes at each renewal
-        // was a good part of what the leader spent.
-        let before = self.registry.member(&node.key);
-        let former = before.filter(|m| m.node.incarnation != node.incarnation);
-        let former = former.map(|m| (m.node.key.clone(), m.note, m.expires));
+        // Looked up by key: scanning all of a thousand nodes at each renewal took
+        // a large part of the leader's CPU time.
+        let previous = self.registry.member(&node.key);
+        let superseded = previous.filter(|m| m.node.incarnation != node.incarnation);
+        let superseded = superseded.map(|m| (m.node.key.clone(), m.note, m.expires));
         match self.registry.renew_in_order(node, number, sequence, now) {
             Renewal::Granted { .. } => {
-                // A process that was replaced may still run and take work
-                // until its lease is over.
-                self.former.extend(former);
+                // A superseded process may still run and take work until its
+                // lease expires.
+                self.superseded.extend(superseded);
                 Ok(())
             }
             Renewal::Refused(member::Refusal::Superseded) => {
@@ -141,19 +142,20 @@
         }
     }
 
-    /// Grants a node that holds a lease its parts of accounts' limits.
+    /// Grants an entry that holds a lease its shares of the limits of client
+    /// accounts. A share is in units of [`route::FULL_QUOTA`].
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
     /// # use wire::proto::{AccountUse, NodeInfo, Role};
     /// let (now, lease) = (Instant::now(), Duration::from_secs(3));
-    /// let mut roster = control::Roster::new(1, lease, now);
+    /// let mut leases = control::NodeLeases::new(1, lease, now);
     /// let entry = NodeInfo { role: Role::Entry.into(), ..NodeInfo::default() };
     /// let used = AccountUse { account: 7, demand: 20, held: 0 };
-    /// let parts = roster.share(&entry, 1, &[used], now + lease);
+    /// let parts = leases.grant_quotas(&entry, 1, &[used], now + lease);
     /// assert_eq!(parts[0].part, route::FULL_QUOTA);
     /// ```
-    pub fn share(
+    pub fn grant_quotas(
         &mut self,
         entry: &NodeInfo,
         sequence: u64,
@@ -163,7 +165,7 @@
         if uses.is_empty() || entry.role() != proto::Role::Entry {
             return Vec::new();
         }
-        // Distinct for each run of each entry, within this leader.
+        // Distinct for each incarnation of each entry, within this leader's term.
         let mut key = DefaultHasher::new();
         (&entry.name, entry.incarnation).hash(&mut key);
         let uses = uses.iter().map(|used| QuotaUsage {
@@ -172,7 +174,7 @@
             held: used.held.min(FULL_QUOTA),
         });
         let uses: Vec<QuotaUsage> = uses.collect();
-        let parts = self.exchange.report(key.finish(), sequence, &uses, now);
+        let parts = self.quotas.report(key.finish(), sequence, &uses, now);
         let parts = parts.into_iter().map(|granted| AccountPart {
             account: granted.account,
             part: granted.share,
@@ -180,87 +182,90 @@
         parts.collect()
     }
 
-    /// Ends the leases that have run out.
+    /// Removes the leases that have expired.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
     /// let (now, lease) = (Instant::now(), Duration::from_secs(3));
-    /// let mut roster = control::Roster::new(7, lease, now);
-    /// roster.expire(now + lease);
-    /// assert!(roster.view(&Default::default()).settled);
+    /// let mut leases = control::NodeLeases::new(7, lease, now);
+    /// leases.expire(now + lease);
+    /// assert!(leases.view(&Default::default()).settled);
     /// ```
     pub fn expire(&mut self, now: Instant) {
         self.registry.expire(now);
-        self.former.retain(|(_, _, until)| now < *until);
-        self.exchange.expire(now);
+        self.superseded.retain(|(_, _, expires)| now < *expires);
+        self.quotas.expire(now);
     }
 
-    /// Tells that the drained targets have changed.
+    /// Starts a new version of the view because the set of drained targets has
+    /// changed.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
     /// let (now, lease) = (Instant::now(), Duration::from_secs(3));
-    /// let mut roster = control::Roster::new(7, lease, now);
-    /// roster.drained();
-    /// assert_eq!(roster.version(), 2);
+    /// let mut leases = control::NodeLeases::new(7, lease, now);
+    /// leases.drained_targets_changed();
+    /// assert_eq!(leases.version(), 2);
     /// ```
-    pub fn drained(&mut self) {
+    pub fn drained_targets_changed(&mut self) {
         self.registry.renew_view();
     }
 
-    /// How far the notes up to the newest have come.
+    /// Returns how far the notes up to `newest` have reached the nodes.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
     /// let (now, lease) = (Instant::now(), Duration::from_secs(3));
-    /// let roster = control::Roster::new(7, lease, now);
-    /// assert_eq!(roster.progress(4, now).everywhere, None);
+    /// let leases = control::NodeLeases::new(7, lease, now);
+    /// assert_eq!(leases.progress(4, now).everywhere, None);
     /// ```
     #[must_use]
-    pub fn progress(&self, newest: u64, now: Instant) -> Progress {
+    pub fn progress(&self, newest: u64, now: Instant) -> NoteProgress {
         let mut everywhere = newest;
         let mut lagging = Vec::new();
         let live = self.registry.members().filter(|m| now < m.expires);
         let live = live.map(|m| (&m.node.key, m.note));
-        let former = self.former.iter().filter(|(_, _, until)| now < *until);
-        let former = former.map(|(key, note, _)| (key, *note));
-        for (key, note) in live.chain(former) {
+        let superseded = self.superseded.iter();
+        let superseded = superseded.filter(|(_, _, expires)| now < *expires);
+        let superseded = superseded.map(|(key, note, _)| (key, *note));
+        for (key, note) in live.chain(superseded) {
             everywhere = everywhere.min(note);
             if note < newest {
                 lagging.push(key.to_string());
             }
         }
         let settled = self.registry.in_force(0, now).everywhere;
-        Progress {
+        NoteProgress {
             everywhere: settled.then_some(everywhere),
             lagging,
         }
     }
 
-    /// The nodes that live.
+    /// Returns the nodes that hold a lease.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
     /// let (now, lease) = (Instant::now(), Duration::from_secs(3));
-    /// let roster = control::Roster::new(7, lease, now);
-    /// assert_eq!(roster.members().count(), 0);
+    /// let leases = control::NodeLeases::new(7, lease, now);
+    /// assert_eq!(leases.members().count(), 0);
     /// ```
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.registry.members()
     }
 
-    /// The nodes that live. A drained target shows as leaving.
+    /// Returns the view of the nodes that hold a lease. A drained target is
+    /// marked as leaving.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
     /// let (now, lease) = (Instant::now(), Duration::from_secs(3));
-    /// let roster = control::Roster::new(7, lease, now);
-    /// assert!(roster.view(&Default::default()).nodes.is_empty());
+    /// let leases = control::NodeLeases::new(7, lease, now);
+    /// assert!(leases.view(&Default::default()).nodes.is_empty());
     /// ```
     #[must_use]
     pub fn view(&self, drained: &BTreeSet<String>) -> MemberView {
         let view = self.registry.view();
-        let nodes = view.nodes.iter().map(|node| shown(node, drained));
+        let nodes = view.nodes.iter().map(|node| encode_for_view(node, drained));
         MemberView {
             term: view.term,
             version: view.version,
@@ -270,18 +275,23 @@
         }
     }
 
-    /// What a node that holds `version` of the view of `term` is to be told: nothing,
-    /// what changed since, or the whole view.
+    /// Returns what a node that holds `version` of the view of `term` lacks:
+    /// nothing, the changes since then, or the whole view.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
     /// let (now, lease) = (Instant::now(), Duration::from_secs(3));
-    /// let roster = control::Roster::new(7, lease, now);
-    /// assert!(roster.news(7, roster.version(), &Default::default()).is_none());
-    /// assert_eq!(roster.news(6, 40, &Default::default()).unwrap().since, 0);
+    /// let leases = control::NodeLeases::new(7, lease, now);
+    /// assert!(leases.view_since(7, leases.version(), &Default::default()).is_none());
+    /// assert_eq!(leases.view_since(6, 40, &Default::default()).unwrap().since, 0);
     /// ```
     #[must_use]
-    pub fn news(&self, term: u64, version: u64, drained: &BTreeSet<String>) -> Option<MemberView> {
+    pub fn view_since(
+        &self,
+        term: u64,
+        version: u64,
+        drained: &BTreeSet<String>,
+    ) -> Option<MemberView> {
         let same_term = term == self.term;
         if same_term && version == self.version() {
             return None;
@@ -290,7 +300,10 @@
         let Some(changes) = changes.flatten() else {
             return Some(self.view(drained));
         };
-        let nodes = changes.nodes.iter().map(|node| shown(node, drained));
+        let nodes = changes
+            .nodes
+            .iter()
+            .map(|node| encode_for_view(node, drained));
         let gone = changes.gone.into_iter().map(|key| NodeRef {
             role: encode_role(key.role).into(),
             name: key.name,
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -1,7 +1,7 @@
 //! Links to the other replicas.
 
-use crate::asker::Asker;
 use crate::codec;
+use crate::leader_client::LeaderClient;
 use crate::replica::Msg;
 use crate::replicas::Replicas;
 use quorum::{DiskId, Message};
@@ -12,29 +12,29 @@
 use wire::proto::frame::Body;
 use wire::{ClusterKey, Identity, Incoming, Link, LinkSettings, Role};
 
-/// Messages that wait for a link. What doesn't fit is dropped, as on a lossy
-/// network; the log sends it again.
-const QUEUE: usize = 1024;
+/// Maximum number of messages queued for a link. Excess messages are dropped, as on a
+/// lossy network; the log protocol sends them again.
+const LINK_QUEUE_LEN: usize = 1024;
 
-/// The links that are up, by the disk of the replica behind them.
+/// Open links, by the disk of the peer replica.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
     links: BTreeMap<DiskId, PeerLink>,
 }
 
-/// A link that is up.
+/// An open link.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerLink {
     tx: mpsc::Sender<Message>,
 }
 
 impl Peers {
-    pub(crate) fn up(&mut self, id: DiskId, link: PeerLink) {
+    pub(crate) fn insert(&mut self, id: DiskId, link: PeerLink) {
         self.links.insert(id, link);
     }
 
-    /// Forgets a link, unless a newer one has taken its place.
-    pub(crate) fn down(&mut self, id: DiskId) {
+    /// Removes a closed link, unless a newer one has replaced it.
+    pub(crate) fn remove_closed(&mut self, id: DiskId) {
         if self.links.get(&id).is_some_and(|link| link.tx.is_closed()) {
             self.links.remove(&id);
         }
@@ -42,13 +42,14 @@
 
     pub(crate) fn send(&self, message: Message) {
         if let Some(link) = self.links.get(&message.to) {
-            // Full or just gone: the log sends again what isn't answered.
+            // The queue is full or the link was just closed. The log protocol resends
+            // messages that are not answered.
             let _ = link.tx.try_send(message);
         }
     }
 
-    /// Whether the link to that replica is up.
-    pub(crate) fn is_up(&self, id: DiskId) -> bool {
+    /// Returns whether the link to a replica is open.
+    pub(crate) fn is_connected(&self, id: DiskId) -> bool {
         self.links.get(&id).is_some_and(|link| !link.tx.is_closed())
     }
 
@@ -57,35 +58,35 @@
     }
 }
 
-/// Keeps a link to another replica until the replica stops.
-pub(crate) async fn keep(
+/// Keeps a link to another replica open: dials it again whenever the link is closed.
+pub(crate) async fn keep_connected(
     address: SocketAddr,
-    me: Identity,
+    identity: Identity,
     key: ClusterKey,
     cfg: LinkSettings,
-    asker: Asker,
+    leader_client: LeaderClient,
 ) {
-    wire::redial(address, me, key, cfg, move |link, rx| {
-        serve(link, rx, asker.clone())
+    wire::redial(address, identity, key, cfg, move |link, rx| {
+        serve(link, rx, leader_client.clone())
     })
     .await;
 }
 
-/// Keeps links to the seeds and to all members, as both change.
-pub(crate) async fn keep_all(
+/// Keeps links to the seeds and to all members open while both change.
+pub(crate) async fn keep_all_connected(
     mut seeds: watch::Receiver<Vec<SocketAddr>>,
     mut replicas: watch::Receiver<Replicas>,
     own: SocketAddr,
-    keep_one: impl Fn(SocketAddr) -> AbortOnDropHandle<()>,
+    connect: impl Fn(SocketAddr) -> AbortOnDropHandle<()>,
 ) {
-    let mut kept: BTreeMap<SocketAddr, AbortOnDropHandle<()>> = BTreeMap::new();
+    let mut tasks: BTreeMap<SocketAddr, AbortOnDropHandle<()>> = BTreeMap::new();
     loop {
         let mut wanted: BTreeSet<SocketAddr> = seeds.borrow_and_update().iter().copied().collect();
         wanted.extend(replicas.borrow_and_update().addresses.iter());
         wanted.remove(&own);
-        kept.retain(|address, _| wanted.contains(address));
+        tasks.retain(|address, _| wanted.contains(address));
         for address in wanted {
-            kept.entry(address).or_insert_with(|| keep_one(address));
+            tasks.entry(address).or_insert_with(|| connect(address));
         }
         let changed = tokio::select! {
             changed = seeds.changed() => changed,
@@ -97,19 +98,25 @@
     }
 }
 
-async fn serve(link: Link, mut rx: mpsc::Receiver<Incoming>, asker: Asker) {
-    let Asker { replica, directory } = asker;
+async fn serve(link: Link, mut rx: mpsc::Receiver<Incoming>, leader_client: LeaderClient) {
+    let LeaderClient {
+        replica,
+        replica_links,
+    } = leader_client;
     let peer = link.peer();
     if peer.role != Role::Control {
-        log::error!("{} is no control replica, see settings", peer.name);
+        log::error!("{} is not a control replica, check the settings", peer.name);
         return;
     }
     let id = DiskId(peer.incarnation);
-    let (tx, mut outgoing) = mpsc::channel(QUEUE);
-    if replica.cast(Msg::PeerUp(id, PeerLink { tx })).is_err() {
+    let (tx, mut outgoing) = mpsc::channel(LINK_QUEUE_LEN);
+    if replica
+        .cast(Msg::PeerConnected(id, PeerLink { tx }))
+        .is_err()
+    {
         return;
     }
-    directory.up(link.clone());
+    replica_links.insert(link.clone());
     loop {
         let message = tokio::select! {
             message = outgoing.recv() => message,
@@ -126,7 +133,7 @@
     }
     drop(outgoing);
     link.close();
-    directory.down(&link.peer().name);
-    // The replica may be gone already.
-    let _ = replica.cast(Msg::PeerDown(id));
+    replica_links.remove_closed(&link.peer().name);
+    // The replica may have stopped already.
+    let _ = replica.cast(Msg::PeerDisconnected(id));
 }
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -2,26 +2,26 @@
 
 mod actor;
 mod answer;
-mod backlog;
-mod granting;
+mod lag_tracker;
 mod output;
 mod pending;
+mod renewal_context;
 mod status;
 
 pub(crate) use actor::{Replica, Start};
-pub(crate) use status::add_leaders_part;
+pub(crate) use status::add_leader_fields;
 
 use crate::clock::Clock;
 use crate::disk::{Fullness, Job, Report};
-use crate::machine::Machine;
 use crate::metrics::Metrics;
+use crate::node_leases::NodeLeases;
 use crate::peers::{PeerLink, Peers};
 use crate::replicas::Replicas;
 use crate::reply::Reply;
-use crate::roster::Roster;
 use crate::settings::Settings;
-use backlog::Backlog;
-use pending::{Commands, Reads};
+use crate::state_machine::StateMachine;
+use lag_tracker::LagTracker;
+use pending::{PendingCommands, PendingReads};
 use quorum::{DiskId, Members, Message, Node};
 use std::sync::mpsc::Sender;
 use std::time::Instant;
@@ -29,75 +29,75 @@
 use wire::Link;
 use wire::proto::{FetchNotes, Propose, Query, Renew, RenewBatch, RouteTable};
 
-/// What the actor is told.
+/// A message to the actor.
 pub(crate) enum Msg {
-    /// Time has passed.
+    /// Periodic tick.
     Tick,
-    /// All that was told before this is to be carried out.
-    Pump,
-    /// From another replica.
+    /// Process the output of the log that the preceding messages produced.
+    ProcessReady,
+    /// A message from another replica.
     Peer(Box<Message>),
-    /// A link to another replica is up.
-    PeerUp(DiskId, PeerLink),
-    /// One is down.
-    PeerDown(DiskId),
-    /// From the disk.
+    /// A link to another replica was opened.
+    PeerConnected(DiskId, PeerLink),
+    /// A link to another replica was closed.
+    PeerDisconnected(DiskId),
+    /// A report from the disk thread.
     Disk(Report),
-    /// A node's link is up; it is told of new notes.
-    NodeUp(Link),
-    /// From a node.
-    Ask(Box<Ask>),
-    /// From this process: what stands here, as JSON.
+    /// A node has connected; it is notified of new release notes.
+    NodeConnected(Link),
+    /// A request from a node or from this process.
+    Request(Box<Request>),
+    /// A query from this process for its own status, as JSON.
     Status(oneshot::Sender<serde_json::Value>),
 }
 
-/// What a node asks for.
-pub(crate) enum Ask {
-    /// To renew its lease.
+/// A request, with the destination of its reply.
+pub(crate) enum Request {
+    /// Renews the sender's lease.
     Renew(Renew, Reply),
-    /// To renew the leases of several nodes.
+    /// Renews the leases of several nodes.
     RenewBatch(RenewBatch, Reply),
-    /// For notes that it lacks.
+    /// Fetches release notes that the sender lacks.
     Notes(FetchNotes, Reply),
-    /// To commit a command.
+    /// Commits a command.
     Propose(Propose, Reply),
-    /// To read.
+    /// Reads the durable state.
     Query(Query, Reply),
 }
 
-/// What the actor keeps.
-pub(crate) struct State {
+/// State of the actor.
+pub(crate) struct ReplicaState {
     settings: Settings,
     node: Node,
-    machine: Machine,
-    /// Last entry that the machine has applied.
+    state_machine: StateMachine,
+    /// Index of the last entry that the state machine has applied.
     applied: u64,
-    jobs: Sender<Job>,
+    disk_jobs: Sender<Job>,
     fullness: Fullness,
     peers: Peers,
     nodes: Vec<Link>,
-    roster: Option<Roster>,
-    /// While this replica leads.
-    backlog: Option<Backlog>,
-    /// While this replica leads and has applied all that came before.
+    node_leases: Option<NodeLeases>,
+    /// Set while this replica leads.
+    lag_tracker: Option<LagTracker>,
+    /// Set while this replica leads and has applied all entries of earlier terms.
     clock: Option<Clock>,
-    commands: Commands,
-    reads: Reads,
-    /// A snapshot is being saved.
+    commands: PendingCommands,
+    reads: PendingReads,
+    /// Snapshot that is being saved.
     saving: Option<quorum::Snapshot>,
-    /// [`Msg::Pump`] is in the mailbox.
-    pump_due: bool,
-    /// When to ask again to be taken in.
+    /// Whether [`Msg::ProcessReady`] is in the mailbox.
+    processing_scheduled: bool,
+    /// When to send the next request to join the cluster.
     join_at: Instant,
-    /// Term in which this leader ordered its settings of the ledger.
-    limits_ordered: Option<u64>,
+    /// Term in which this leader proposed the ledger limits of its settings.
+    limits_proposed_in_term: Option<u64>,
     metrics: Metrics,
-    /// The route table in force here, for those who follow it.
+    /// Publishes the route table in force on this replica.
     table: watch::Sender<RouteTable>,
-    /// The other replicas, for those who dial them.
+    /// Publishes the replicas of the cluster.
     replicas: watch::Sender<Replicas>,
-    /// The members that they were told last.
-    published: Members,
-    /// Why the replica can't go on.
+    /// Members that were published last.
+    published_members: Members,
+    /// Reason for which the replica must stop.
     failed: Option<String>,
 }
--- a/crates/control/src/replica/actor.rs
+++ b/crates/control/src/replica/actor.rs
@@ -1,17 +1,17 @@
-//! The actor's life and its mailbox.
+//! Lifecycle and message handling of the actor.
 
 use super::answer::DISK_FULL;
-use super::{Ask, Commands, Msg, Reads, State};
+use super::{Msg, PendingCommands, PendingReads, ReplicaState, Request};
+use crate::cluster_formation::ClusterFormation;
 use crate::codec;
 use crate::disk::{self, Fullness, Report, SaveResult};
-use crate::forming::Forming;
-use crate::machine::Machine;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 use crate::recovered_table;
 use crate::replicas::Replicas;
-use crate::reply::{Commit, unavailable};
+use crate::reply::{MayCommit, unavailable};
 use crate::settings::Settings;
+use crate::state_machine::StateMachine;
 use quorum::{Config, DiskId, Members, Message, MessageBody, Node, Peer, PersistedState};
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use std::time::Instant;
@@ -20,10 +20,10 @@
 use tokio_util::sync::DropGuard;
 use wire::proto::RouteTable;
 
-/// Runs one replica.
+/// Actor that runs one replica.
 pub(crate) struct Replica;
 
-/// What the actor starts with.
+/// Arguments of the actor.
 pub(crate) struct Start {
     pub(crate) settings: Settings,
     pub(crate) disk: Disk,
@@ -37,17 +37,17 @@
 
 impl Actor for Replica {
     type Msg = Msg;
-    type State = State;
+    type State = ReplicaState;
     type Arguments = Start;
 
     async fn pre_start(
         &self,
         myself: ActorRef<Msg>,
         start: Start,
-    ) -> Result<State, ActorProcessingErr> {
+    ) -> Result<ReplicaState, ActorProcessingErr> {
         let now = Instant::now();
-        let mut state = State::new(start, &myself, now)?;
-        state.pump(now);
+        let mut state = ReplicaState::new(start, &myself, now)?;
+        state.process_ready(now);
         Ok(state)
     }
 
@@ -55,22 +55,22 @@
         &self,
         myself: ActorRef<Msg>,
         msg: Msg,
-        state: &mut State,
+        state: &mut ReplicaState,
     ) -> Result<(), ActorProcessingErr> {
         let now = Instant::now();
         match msg {
-            Msg::Pump => {
-                state.pump_due = false;
-                state.pump(now);
+            Msg::ProcessReady => {
+                state.processing_scheduled = false;
+                state.process_ready(now);
             }
             msg => {
-                state.take(msg, now);
-                state.pump_later(&myself)?;
+                state.handle_message(msg, now);
+                state.schedule_processing(&myself)?;
             }
         }
         if let Some(reason) = &state.failed {
             log::error!("replica stops: {reason}");
-            state.commands.give_up(reason);
+            state.commands.fail_all(reason);
             myself.stop(Some(reason.clone()));
         }
         Ok(())
@@ -79,15 +79,15 @@
     async fn post_stop(
         &self,
         _myself: ActorRef<Msg>,
-        state: &mut State,
+        state: &mut ReplicaState,
     ) -> Result<(), ActorProcessingErr> {
-        state.commands.give_up("this replica stops");
+        state.commands.fail_all("this replica stops");
         Ok(())
     }
 }
 
-impl State {
-    fn new(start: Start, myself: &ActorRef<Msg>, now: Instant) -> eyre::Result<State> {
+impl ReplicaState {
+    fn new(start: Start, myself: &ActorRef<Msg>, now: Instant) -> eyre::Result<ReplicaState> {
         let Start {
             settings,
             disk,
@@ -107,70 +107,73 @@
             entries: entries.collect::<eyre::Result<_>>()?,
         };
         if let Some(known) = recovered_table::newest(&restored) {
-            log::info!(table = known.number; "route table found on the disk");
+            log::info!(table = known.number; "route table recovered from disk");
             table.send_replace(known);
         }
         let cfg = Config {
-            heartbeat_interval: settings.timing.heartbeat,
-            election_timeout: settings.timing.election,
-            voter_replacement: settings.forming.as_ref().map(Forming::replace),
+            heartbeat_interval: settings.timing.heartbeat_interval,
+            election_timeout: settings.timing.election_timeout,
+            voter_replacement: settings
+                .forming
+                .as_ref()
+                .map(ClusterFormation::voter_replacement),
             ..Config::default()
         };
         let node = Node::new(id, cfg, rand::random(), restored, now);
-        Ok(State {
-            jobs: disk::spawn(disk, myself.clone(), disk_closed)?,
+        Ok(ReplicaState {
+            disk_jobs: disk::spawn(disk, myself.clone(), disk_closed)?,
             settings,
             node,
-            machine: Machine::default(),
+            state_machine: StateMachine::default(),
             applied: 0,
             fullness: Fullness::Room,
             peers: Peers::default(),
             nodes: Vec::new(),
-            roster: None,
-            backlog: None,
+            node_leases: None,
+            lag_tracker: None,
             clock: None,
             metrics,
             table,
             replicas,
-            published: Members::default(),
-            commands: Commands::default(),
-            reads: Reads::default(),
+            published_members: Members::default(),
+            commands: PendingCommands::default(),
+            reads: PendingReads::default(),
             saving: None,
             join_at: now,
-            limits_ordered: None,
-            pump_due: false,
+            limits_proposed_in_term: None,
+            processing_scheduled: false,
             failed: None,
         })
     }
 
-    /// What waits in the mailbox is taken first, so that the commands of many
-    /// callers go into one write and one message to each replica.
-    fn pump_later(&mut self, myself: &ActorRef<Msg>) -> Result<(), ActorProcessingErr> {
-        if !self.pump_due {
-            self.pump_due = true;
-            myself.cast(Msg::Pump)?;
+    /// Schedules [`ReplicaState::process_ready`] behind the messages already in the mailbox, so
+    /// that the commands of many callers share one write and one message per replica.
+    fn schedule_processing(&mut self, myself: &ActorRef<Msg>) -> Result<(), ActorProcessingErr> {
+        if !self.processing_scheduled {
+            self.processing_scheduled = true;
+            myself.cast(Msg::ProcessReady)?;
         }
         Ok(())
     }
 
-    fn take(&mut self, msg: Msg, now: Instant) {
+    fn handle_message(&mut self, msg: Msg, now: Instant) {
         match msg {
-            Msg::Pump => {}
+            Msg::ProcessReady => {}
             Msg::Tick => self.tick(now),
             Msg::Peer(message) => self.node.step(*message, now),
-            Msg::PeerUp(id, link) => {
-                self.peers.up(id, link);
+            Msg::PeerConnected(id, link) => {
+                self.peers.insert(id, link);
                 self.join_at = now;
             }
-            Msg::PeerDown(id) => self.peers.down(id),
-            Msg::Disk(report) => self.take_report(report, now),
-            Msg::NodeUp(link) => {
+            Msg::PeerDisconnected(id) => self.peers.remove_closed(id),
+            Msg::Disk(report) => self.handle_disk_report(report, now),
+            Msg::NodeConnected(link) => {
                 self.nodes.retain(|link| !link.is_closed());
                 self.nodes.push(link);
             }
-            Msg::Ask(ask) => self.take_ask(*ask, now),
+            Msg::Request(request) => self.handle_request(*request, now),
             Msg::Status(tx) => {
-                // Who asked may have given up.
+                // The requester may have timed out.
                 let _ = tx.send(self.status(now));
             }
         }
@@ -178,27 +181,28 @@
 
     fn tick(&mut self, now: Instant) {
         self.node.tick(now);
-        self.commands.expire(now, self.settings.timing.commit);
-        if let Some(roster) = &mut self.roster {
-            roster.expire(now);
+        self.commands
+            .expire(now, self.settings.timing.commit_timeout);
+        if let Some(node_leases) = &mut self.node_leases {
+            node_leases.expire(now);
         }
         let status = self.node.status(now);
-        if let Some(backlog) = &mut self.backlog {
-            backlog.note(status.commit_index, now);
+        if let Some(lag_tracker) = &mut self.lag_tracker {
+            lag_tracker.record_commit(status.commit_index, now);
         }
-        self.measure(&status, now);
-        self.keep_ledger_limits(now);
+        self.update_metrics(&status, now);
+        self.propose_ledger_limits(now);
         if now >= self.join_at && self.node.should_join(now) {
-            self.join_at = now + self.settings.timing.election;
+            self.join_at = now + self.settings.timing.election_timeout;
             let ids: Vec<DiskId> = self.peers.ids().collect();
             for id in ids {
-                self.ask_to_join(id);
+                self.send_join(id);
             }
         }
     }
 
-    /// Asks to be taken in; only who leads heeds it.
-    fn ask_to_join(&mut self, to: DiskId) {
+    /// Sends a request to join the cluster. Only the leader acts on it.
+    fn send_join(&mut self, to: DiskId) {
         let address = self.settings.advertised().to_string();
         let peer = Peer::new(&self.settings.name, &address);
         self.peers.send(Message {
@@ -209,38 +213,39 @@
         });
     }
 
-    fn take_report(&mut self, report: Report, now: Instant) {
+    fn handle_disk_report(&mut self, report: Report, now: Instant) {
         match report {
             Report::Persisted(number) => self.node.persisted(number, now),
             Report::Saved(index, result) => {
                 let saved = self.saving.take().filter(|s| s.index == index);
-                if let Some(snapshot) = saved.filter(|_| result == SaveResult::Done) {
+                if let Some(snapshot) = saved.filter(|_| result == SaveResult::Saved) {
                     self.node.compact(snapshot);
                 }
             }
             Report::Full(fullness) => {
                 if fullness != self.fullness {
-                    log::warn!("disk at {}: {fullness:?}", self.settings.data.display());
+                    let folder = self.settings.data.display();
+                    log::warn!("free space on the disk of {folder}: {fullness:?}");
                 }
                 self.fullness = fullness;
                 if fullness == Fullness::Full {
-                    self.commands.give_up_for_long(DISK_FULL);
+                    self.commands.fail_all_lasting(DISK_FULL);
                 }
             }
             Report::Failed(reason) => self.failed = Some(reason),
         }
     }
 
-    fn take_ask(&mut self, ask: Ask, now: Instant) {
-        match ask {
-            Ask::Renew(renew, reply) => self.renew(renew, reply, now),
-            Ask::RenewBatch(batch, reply) => self.renew_batch(batch, reply, now),
-            Ask::Notes(fetch, reply) => self.fetch_notes(fetch, reply),
-            Ask::Propose(propose, reply) => match propose.command {
+    fn handle_request(&mut self, request: Request, now: Instant) {
+        match request {
+            Request::Renew(renew, reply) => self.renew(renew, reply, now),
+            Request::RenewBatch(batch, reply) => self.renew_batch(batch, reply, now),
+            Request::Notes(fetch, reply) => self.fetch_notes(fetch, reply),
+            Request::Propose(propose, reply) => match propose.command {
                 Some(command) => self.propose(command, reply, now),
-                None => reply.send(unavailable("no command", Commit::Never)),
+                None => reply.send(unavailable("no command", MayCommit::No)),
             },
-            Ask::Query(query, reply) => self.query(query, reply),
+            Request::Query(query, reply) => self.query(query, reply),
         }
     }
 }
--- a/crates/control/src/replica/answer.rs
+++ b/crates/control/src/replica/answer.rs
@@ -1,10 +1,10 @@
-//! What nodes ask for.
+//! Handling of requests.
 
-use super::State;
-use super::granting::Granting;
+use super::ReplicaState;
+use super::renewal_context::RenewalContext;
 use crate::disk::Fullness;
-use crate::reply::{Commit, Reply, unavailable, unavailable_for_long};
-use crate::roster::Roster;
+use crate::node_leases::NodeLeases;
+use crate::reply::{MayCommit, Reply, unavailable, unavailable_lasting};
 use prost::Message as _;
 use std::time::Instant;
 use wire::proto::frame::Body;
@@ -15,13 +15,13 @@
     RenewedBatch, command,
 };
 
-/// Longest command, so that one doesn't hold up the log for all.
-const MOST_COMMAND_BYTES: usize = 4 << 20;
-/// What is answered to commands while a write of the leader waits for room.
+/// Maximum size of a command, so that a single one cannot block the log.
+const MAX_COMMAND_BYTES: usize = 4 << 20;
+/// Answer to commands while a write of the leader is waiting for disk space.
 pub(super) const DISK_FULL: &str = "the disk of the leader is full";
 
-impl State {
-    /// Where to ask instead.
+impl ReplicaState {
+    /// Returns the answer that redirects a request to the leader.
     pub(super) fn not_leader(&self) -> Body {
         let own = self.node.id();
         let leader = self.node.leader().filter(|id| *id != own);
@@ -33,9 +33,7 @@
         })
     }
 
-    /// Grants a lease, if this replica surely leads and has applied all that
-    /// any leader before it acknowledged: a lease says that the note it names
-    /// is the newest.
+    /// Renews the lease of one node; see [`ReplicaState::renew_all`].
     pub(super) fn renew(&mut self, renew: Renew, reply: Reply, now: Instant) {
         let batch = RenewBatch {
             renewals: vec![renew],
@@ -55,8 +53,8 @@
         }));
     }
 
-    /// Grants the leases of several nodes that one of them has passed on. Each
-    /// stands for itself: its incarnation, its note and its lease are its own.
+    /// Renews the leases of several nodes whose requests one node has forwarded. Each
+    /// request is granted or refused on its own.
     pub(super) fn renew_batch(&mut self, batch: RenewBatch, reply: Reply, now: Instant) {
         match self.renew_all(batch, now) {
             Some(renewed) => reply.send(Body::RenewedBatch(renewed)),
@@ -64,39 +62,42 @@
         }
     }
 
+    /// Renews leases if this replica holds the leader lease and has applied everything
+    /// that earlier leaders acknowledged. Both are needed because a granted lease states
+    /// that the release note it names is the newest.
     fn renew_all(&mut self, batch: RenewBatch, now: Instant) -> Option<RenewedBatch> {
-        let surely = self.node.has_lease(now) && self.node.has_applied_in_term();
-        let roster = self.roster.as_mut().filter(|_| surely)?;
-        let known = self.machine.quarantine_message();
-        let granting = Granting {
-            note: self.machine.history().catalogue().number(),
-            lease: self.settings.timing.lease,
-            drained: self.machine.drained(),
-            quarantine: known.version,
+        let is_current = self.node.has_lease(now) && self.node.has_applied_in_term();
+        let node_leases = self.node_leases.as_mut().filter(|_| is_current)?;
+        let quarantine = self.state_machine.quarantine_message();
+        let context = RenewalContext {
+            note: self.state_machine.history().catalogue().number(),
+            lease: self.settings.timing.lease_duration,
+            drained: self.state_machine.drained(),
+            quarantine_version: quarantine.version,
         };
-        let mut renewed = granting.grant(roster, batch, now);
+        let mut renewed = context.renew(node_leases, batch, now);
         self.metrics.renewal_messages.inc();
         self.metrics.renewals.inc_by(renewed.renewals.len() as u64);
-        let asked = renewed.renewals.iter().any(|r| r.shared_quarantine);
-        renewed.quarantine = asked.then_some(known);
+        let is_needed = renewed.renewals.iter().any(|r| r.shared_quarantine);
+        renewed.quarantine = is_needed.then_some(quarantine);
         Some(renewed)
     }
 
-    /// Any replica may answer: what it has applied is committed.
+    /// Any replica may answer, because everything that it has applied is committed.
     pub(super) fn fetch_notes(&self, fetch: FetchNotes, reply: Reply) {
-        let newest = self.machine.history().catalogue().number();
+        let newest = self.state_machine.history().catalogue().number();
         if newest <= fetch.after && !self.node.is_leader() {
             return reply.send(self.not_leader());
         }
-        reply.send(Body::Notes(self.machine.notes_after(fetch.after)));
+        reply.send(Body::Notes(self.state_machine.notes_after(fetch.after)));
     }
 
     pub(super) fn propose(&mut self, command: Command, reply: Reply, now: Instant) {
         if !self.node.is_leader() {
             return reply.send(self.not_leader());
         }
-        match self.order(command, now) {
-            Ok(place) => self.commands.insert(place, reply, now),
+        match self.append_command(command, now) {
+            Ok(position) => self.commands.insert(position, reply, now),
             Err(answer) => {
                 self.metrics.refused_commands.inc();
                 reply.send(*answer);
@@ -104,64 +105,75 @@
         }
     }
 
-    /// Brings the bounds of the ledger to this leader's settings. They are
-    /// part of the replicated state: were each replica to go by its own, a
-    /// record would be gone on one and stand on another.
-    pub(super) fn keep_ledger_limits(&mut self, now: Instant) {
+    /// Proposes the ledger limits of this leader's settings if others are in force. The
+    /// limits are part of the replicated state: if each replica used its own, a record
+    /// could be expired on one and still present on another.
+    pub(super) fn propose_ledger_limits(&mut self, now: Instant) {
         let wanted = self.settings.ledger;
-        let Some(term) = self.roster.as_ref().map(Roster::term) else {
+        let Some(term) = self.node_leases.as_ref().map(NodeLeases::term) else {
             return;
         };
-        let known = self.node.has_lease(now) && self.node.has_applied_in_term();
-        let limits = self.machine.ledger().limits();
+        let is_current = self.node.has_lease(now) && self.node.has_applied_in_term();
+        let limits = self.state_machine.ledger().limits();
         let in_force = LedgerLimits {
             keep_ms: limits.keep_ms,
             running_ms: limits.running_ms,
             max_unproved: limits.max_unproved as u64,
         };
-        if !known || wanted == in_force || self.limits_ordered == Some(term) {
+        if !is_current || wanted == in_force || self.limits_proposed_in_term == Some(term) {
             return;
         }
         let body = Some(command::Body::LedgerLimits(wanted));
-        match self.order(Command { now_ms: 0, body }, now) {
-            Ok(_) => self.limits_ordered = Some(term),
-            Err(e) => log::debug!("the ledger's limits can't be set now: {e:?}"),
+        match self.append_command(Command { now_ms: 0, body }, now) {
+            Ok(_) => self.limits_proposed_in_term = Some(term),
+            Err(e) => log::debug!("cannot propose the ledger limits now: {e:?}"),
         }
     }
 
-    /// Whether as many replicas vote as are wanted.
+    /// Returns whether the cluster has the desired number of voters.
     ///
-    /// The founder of a cluster is its only voter at first, and could commit
-    /// alone: what it acknowledged would be gone with its disk.
-    fn is_complete(&self) -> bool {
-        let wanted = self.settings.forming.as_ref().map_or(0, |f| f.voters);
-        self.node.members().voters.len() >= wanted
+    /// The replica that bootstraps a cluster is its only voter at first and could commit
+    /// alone. Losing its disk would then lose acknowledged entries.
+    fn has_enough_voters(&self) -> bool {
+        let desired = self.settings.forming.as_ref().map_or(0, |f| f.voters);
+        self.node.members().voters.len() >= desired
     }
 
-    /// Orders a command, or says why it never will be.
-    fn order(&mut self, mut command: Command, now: Instant) -> Result<(u64, u64), Box<Body>> {
-        let for_now = |reason: &str| Err(Box::new(unavailable(reason, Commit::Never)));
-        let for_long = |reason: &str| Err(Box::new(unavailable_for_long(reason, Commit::Never)));
+    /// Appends a command to the log and returns its index and term.
+    ///
+    /// # Errors
+    ///
+    /// Returns the answer to send if the command is not appended; it will never be
+    /// committed.
+    fn append_command(
+        &mut self,
+        mut command: Command,
+        now: Instant,
+    ) -> Result<(u64, u64), Box<Body>> {
+        let refuse = |reason: &str| Err(Box::new(unavailable(reason, MayCommit::No)));
+        let refuse_lasting =
+            |reason: &str| Err(Box::new(unavailable_lasting(reason, MayCommit::No)));
         if self.fullness == Fullness::Full {
-            return for_long(DISK_FULL);
+            return refuse_lasting(DISK_FULL);
         }
         if self.commands.is_full() {
-            return for_now("too many commands wait");
+            return refuse("too many commands wait");
         }
-        if !self.is_complete() {
-            return for_now("the replicas have not all found each other yet");
+        if !self.has_enough_voters() {
+            return refuse("the replicas have not all found each other yet");
         }
-        // Before that this leader doesn't know all that was ordered, and when.
+        // Until a new leader has applied an entry of its own term, it may not have applied
+        // all earlier commands, and does not know the time of the last one.
         let Some(clock) = self.clock.filter(|_| self.node.has_applied_in_term()) else {
-            return for_now("the leader was elected just now");
+            return refuse("the leader was elected just now");
         };
         command.now_ms = clock.now_ms(now);
         let data = command.encode_to_vec();
-        if data.len() > MOST_COMMAND_BYTES {
-            return for_long("the command is too long");
+        if data.len() > MAX_COMMAND_BYTES {
+            return refuse_lasting("the command is too long");
         }
-        let ordered = self.node.propose(data.into(), now);
-        ordered.or_else(|e| for_now(&e.to_string()))
+        let proposed = self.node.propose(data.into(), now);
+        proposed.or_else(|e| refuse(&e.to_string()))
     }
 
     pub(super) fn query(&mut self, query: Query, reply: Reply) {
@@ -170,13 +182,13 @@
         }
         let token = self.reads.insert(query, reply);
         if self.node.read(token).is_err()
-            && let Some(reply) = self.reads.refused(token)
+            && let Some(reply) = self.reads.remove_unconfirmed(token)
         {
             reply.send(self.not_leader());
         }
     }
 
-    /// Answers the reads that the state machine has caught up with.
+    /// Answers the reads whose index the state machine has reached.
     pub(super) fn answer_reads(&mut self) {
         while let Some((query, reply)) = self.reads.next(self.applied) {
             let body = self.answer(query);
@@ -190,19 +202,19 @@
                 let status = self.status(Instant::now());
                 Answer::Json(status.to_string().into())
             }
-            Question::Quarantine(_) => Answer::Quarantine(self.machine.quarantine_message()),
+            Question::Quarantine(_) => Answer::Quarantine(self.state_machine.quarantine_message()),
             Question::Record(q) => {
-                let record = self.machine.record(&q.account, &q.key);
+                let record = self.state_machine.record(&q.account, &q.key);
                 Answer::Record(record.unwrap_or_default())
             }
-            Question::Ledger(_) => Answer::Json(self.machine.unproved().to_string().into()),
-            Question::Map(q) => Answer::Map(self.machine.map(&q.group)),
-            Question::RouteTable(_) => Answer::RouteTable(self.machine.route_table().clone()),
+            Question::Ledger(_) => Answer::Json(self.state_machine.unproved().to_string().into()),
+            Question::Map(q) => Answer::Map(self.state_machine.map(&q.group)),
+            Question::RouteTable(_) => Answer::RouteTable(self.state_machine.route_table().clone()),
             Question::Note(q) if q.number == 0 => {
-                Answer::Json(self.machine.history().catalogue().to_json().into())
+                Answer::Json(self.state_machine.history().catalogue().to_json().into())
             }
             Question::Note(q) => {
-                let content = self.machine.history().content(q.number);
+                let content = self.state_machine.history().content(q.number);
                 Answer::Json(content.cloned().unwrap_or_default())
             }
         })
--- a/crates/control/src/replica/pending.rs
+++ b/crates/control/src/replica/pending.rs
@@ -1,113 +1,117 @@
-//! What waits for the log.
+//! Commands and reads that wait for the log.
 
-use crate::reply::{Commit, Reply, unavailable, unavailable_for_long};
+use crate::reply::{MayCommit, Reply, unavailable, unavailable_lasting};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 use wire::proto::Query;
 use wire::proto::frame::Body;
 
-/// Commands that wait at a time; one more is refused at once.
-pub(super) const MOST_COMMANDS: usize = 16_384;
-/// Reads that wait at a time.
-pub(super) const MOST_READS: usize = 16_384;
+/// Maximum number of pending commands; further ones are refused at once.
+pub(super) const MAX_PENDING_COMMANDS: usize = 16_384;
+/// Maximum number of pending reads.
+pub(super) const MAX_PENDING_READS: usize = 16_384;
 
-/// A command that waits to be committed.
+/// A command that is waiting to be committed.
 #[derive(Debug)]
-struct Waiting {
+struct PendingCommand {
     term: u64,
     since: Instant,
     reply: Reply,
 }
 
-/// Commands that wait to be committed, by their place in the log.
+/// Commands that are waiting to be committed, by log index.
 #[derive(Debug, Default)]
-pub(super) struct Commands {
-    waiting: BTreeMap<u64, Waiting>,
+pub(super) struct PendingCommands {
+    by_index: BTreeMap<u64, PendingCommand>,
 }
 
-impl Commands {
+impl PendingCommands {
     pub(super) fn is_full(&self) -> bool {
-        self.waiting.len() >= MOST_COMMANDS
+        self.by_index.len() >= MAX_PENDING_COMMANDS
     }
 
-    pub(super) fn insert(&mut self, place: (u64, u64), reply: Reply, now: Instant) {
-        let (index, term) = place;
+    /// Adds a command that was appended at an index and term.
+    pub(super) fn insert(&mut self, position: (u64, u64), reply: Reply, now: Instant) {
+        let (index, term) = position;
         let since = now;
-        let waiting = Waiting { term, since, reply };
-        self.waiting.insert(index, waiting);
+        let command = PendingCommand { term, since, reply };
+        self.by_index.insert(index, command);
     }
 
-    /// Who waits for the entry that was applied. If it is another one than
-    /// was ordered, the command is lost for good and its sender is told so.
-    pub(super) fn applied(&mut self, index: u64, term: u64) -> Option<Reply> {
-        let waiting = self.waiting.remove(&index)?;
-        if waiting.term == term {
-            return Some(waiting.reply);
+    /// Removes the command at the index of an applied entry and returns its reply. If the
+    /// entry's term differs, the command was overwritten and will never be committed; its
+    /// sender is told so.
+    pub(super) fn take_applied(&mut self, index: u64, term: u64) -> Option<Reply> {
+        let command = self.by_index.remove(&index)?;
+        if command.term == term {
+            return Some(command.reply);
         }
         let reason = "another leader's entry took the place of the command";
-        waiting.reply.send(unavailable(reason, Commit::Never));
+        command.reply.send(unavailable(reason, MayCommit::No));
         None
     }
 
-    /// Gives up on all: whether they are committed is for others to say.
-    pub(super) fn give_up(&mut self, reason: &str) {
-        self.answer_all(&unavailable(reason, Commit::Perhaps));
+    /// Answers all commands as unavailable; they may still be committed.
+    pub(super) fn fail_all(&mut self, reason: &str) {
+        self.answer_all(&unavailable(reason, MayCommit::Yes));
     }
 
-    /// The same where nothing can be committed for a while.
-    pub(super) fn give_up_for_long(&mut self, reason: &str) {
-        self.answer_all(&unavailable_for_long(reason, Commit::Perhaps));
+    /// Like [`PendingCommands::fail_all`], for when an immediate retry would not help.
+    pub(super) fn fail_all_lasting(&mut self, reason: &str) {
+        self.answer_all(&unavailable_lasting(reason, MayCommit::Yes));
     }
 
     fn answer_all(&mut self, answer: &Body) {
-        for (_, waiting) in std::mem::take(&mut self.waiting) {
-            waiting.reply.send(answer.clone());
+        for (_, command) in std::mem::take(&mut self.by_index) {
+            command.reply.send(answer.clone());
         }
     }
 
-    pub(super) fn expire(&mut self, now: Instant, within: Duration) {
-        while let Some(first) = self.waiting.first_entry() {
-            if now.saturating_duration_since(first.get().since) < within {
+    pub(super) fn expire(&mut self, now: Instant, timeout: Duration) {
+        while let Some(first) = self.by_index.first_entry() {
+            if now.saturating_duration_since(first.get().since) < timeout {
                 return;
             }
             let reason = "not committed in time";
-            let waiting = first.remove();
-            waiting.reply.send(unavailable(reason, Commit::Perhaps));
+            let command = first.remove();
+            command.reply.send(unavailable(reason, MayCommit::Yes));
         }
     }
 }
 
-/// A read, before and after the log has said at which index it may be answered.
+/// Reads that wait for the log to confirm the index at which they may be answered, and
+/// then for the state machine to reach that index.
 #[derive(Debug, Default)]
-pub(super) struct Reads {
+pub(super) struct PendingReads {
     next_token: u64,
-    asked: BTreeMap<u64, (Query, Reply)>,
+    /// By token.
+    unconfirmed: BTreeMap<u64, (Query, Reply)>,
     /// By index, then token.
     confirmed: BTreeMap<(u64, u64), (Query, Reply)>,
 }
 
-impl Reads {
+impl PendingReads {
     pub(super) fn is_full(&self) -> bool {
-        self.asked.len() + self.confirmed.len() >= MOST_READS
+        self.unconfirmed.len() + self.confirmed.len() >= MAX_PENDING_READS
     }
 
     pub(super) fn insert(&mut self, query: Query, reply: Reply) -> u64 {
         self.next_token += 1;
-        self.asked.insert(self.next_token, (query, reply));
+        self.unconfirmed.insert(self.next_token, (query, reply));
         self.next_token
     }
 
-    pub(super) fn refused(&mut self, token: u64) -> Option<Reply> {
-        self.asked.remove(&token).map(|(_, reply)| reply)
+    pub(super) fn remove_unconfirmed(&mut self, token: u64) -> Option<Reply> {
+        self.unconfirmed.remove(&token).map(|(_, reply)| reply)
     }
 
     pub(super) fn confirm(&mut self, token: u64, index: u64) {
-        if let Some(read) = self.asked.remove(&token) {
+        if let Some(read) = self.unconfirmed.remove(&token) {
             self.confirmed.insert((index, token), read);
         }
     }
 
-    /// A read that may be answered now that `applied` is applied.
+    /// Removes and returns a read that may be answered once `applied` is applied.
     pub(super) fn next(&mut self, applied: u64) -> Option<(Query, Reply)> {
         let first = self.confirmed.first_entry()?;
         let (index, _) = *first.key();
--- /dev/null
+++ b/crates/control/src/replica/renewal_context.rs
@@ -0,0 +1,96 @@
+//! Renewal of leases in batches.
+
+use crate::node_leases::NodeLeases;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::{Duration, Instant};
+use wire::proto::{AccountPart, MemberView, Renew, RenewBatch, Renewed, RenewedBatch};
+
+/// State of the leader on which it renews leases.
+pub(super) struct RenewalContext<'a> {
+    /// Number of the newest release note.
+    pub(super) note: u64,
+    /// Duration of a lease.
+    pub(super) lease: Duration,
+    /// Targets that operators have drained.
+    pub(super) drained: &'a BTreeSet<String>,
+    /// Version of the quarantine.
+    pub(super) quarantine_version: u64,
+}
+
+impl RenewalContext<'_> {
+    /// Grants all leases first and builds the answers afterwards, so that all answers
+    /// lead to the same version of the view. Nodes that hold the same version share one
+    /// encoded view.
+    pub(super) fn renew(
+        &self,
+        node_leases: &mut NodeLeases,
+        batch: RenewBatch,
+        now: Instant,
+    ) -> RenewedBatch {
+        node_leases.expire(now);
+        let mut granted = Vec::new();
+        for mut renew in batch.renewals {
+            let lease = self.grant_lease(node_leases, &renew, now);
+            let parts = grant_quotas(node_leases, &mut renew, lease, now);
+            granted.push((renew, lease, parts));
+        }
+        let mut batch = RenewedBatch::default();
+        let mut positions: BTreeMap<(u64, u64), u32> = BTreeMap::new();
+        for (renew, lease, parts) in granted {
+            let held = (renew.view_term, renew.view_version);
+            let position = *positions.entry(held).or_insert_with(|| {
+                let view = node_leases.view_since(held.0, held.1, self.drained);
+                add_view(&mut batch.views, view)
+            });
+            batch.renewals.push(Renewed {
+                term: node_leases.term(),
+                note: self.note,
+                lease_ms: u32::try_from(lease.as_millis()).unwrap_or(u32::MAX),
+                shared_view: position,
+                parts,
+                shared_quarantine: renew.quarantine_version != self.quarantine_version,
+                ..Renewed::default()
+            });
+        }
+        batch
+    }
+
+    /// Grants a lease and returns its duration, which is zero if it is refused.
+    fn grant_lease(&self, node_leases: &mut NodeLeases, renew: &Renew, now: Instant) -> Duration {
+        let Some(info) = renew.node.clone() else {
+            return Duration::ZERO;
+        };
+        let name = info.name.clone();
+        match node_leases.renew_in_order(info, renew.note, renew.sequence, now) {
+            Ok(()) => self.lease,
+            Err(reason) => {
+                log::warn!("lease refused for {name}: {reason}");
+                Duration::ZERO
+            }
+        }
+    }
+}
+
+/// Grants an entry its quotas. An entry without a lease takes no new work, so it gets
+/// none.
+fn grant_quotas(
+    node_leases: &mut NodeLeases,
+    renew: &mut Renew,
+    lease: Duration,
+    now: Instant,
+) -> Vec<AccountPart> {
+    let entry = renew.node.take().filter(|_| !lease.is_zero());
+    let uses = std::mem::take(&mut renew.uses);
+    entry.map_or_else(Vec::new, |entry| {
+        node_leases.grant_quotas(&entry, renew.sequence, &uses, now)
+    })
+}
+
+/// Adds a view and returns its position, counted from 1; 0 means no view.
+fn add_view(views: &mut Vec<MemberView>, view: Option<MemberView>) -> u32 {
+    let Some(view) = view else {
+        return 0;
+    };
+    views.push(view);
+    u32::try_from(views.len()).unwrap_or(0)
+}
--- a/crates/control/src/replica/status.rs
+++ b/crates/control/src/replica/status.rs
@@ -1,36 +1,36 @@
-//! What a replica tells operators.
+//! Status of a replica, for operators.
 
-use super::State;
-use super::backlog::Backlog;
+use super::ReplicaState;
+use super::lag_tracker::LagTracker;
 use crate::disk::Fullness;
-use crate::roster::Roster;
+use crate::node_leases::NodeLeases;
 use member::{Capability, Member, Serves};
 use quorum::{ReplicaStatus, Status};
 use serde_json::{Value, json};
 use std::time::Instant;
 
-/// Nothing is left of a repair.
+/// State of a repair that is complete.
 const COMPLETE: &str = "complete";
-/// Parts of the status that only a leader knows.
-const LEADERS_PARTS: [&str; 4] = ["replicas", "repair", "nodes", "targets"];
-/// The same within the part on notes.
-const LEADERS_NOTES: [&str; 2] = ["in_force_everywhere", "lagging"];
+/// Fields of the status that only the leader knows.
+const LEADER_FIELDS: [&str; 4] = ["replicas", "repair", "nodes", "targets"];
+/// Fields of `notes` in the status that only the leader knows.
+const LEADER_NOTE_FIELDS: [&str; 2] = ["in_force_everywhere", "lagging"];
 
-/// Adds what only the leader knows to the status of another replica.
-pub(crate) fn add_leaders_part(own: &mut Value, leaders: &[u8]) {
-    let Ok(mut leaders) = serde_json::from_slice::<Value>(leaders) else {
+/// Adds the fields that only the leader knows to the status of another replica.
+pub(crate) fn add_leader_fields(own: &mut Value, leader_status: &[u8]) {
+    let Ok(mut leader_status) = serde_json::from_slice::<Value>(leader_status) else {
         return;
     };
-    for part in LEADERS_PARTS {
-        own[part] = leaders[part].take();
+    for field in LEADER_FIELDS {
+        own[field] = leader_status[field].take();
     }
-    for part in LEADERS_NOTES {
-        own["notes"][part] = leaders["notes"][part].take();
+    for field in LEADER_NOTE_FIELDS {
+        own["notes"][field] = leader_status["notes"][field].take();
     }
 }
 
-impl State {
-    /// What stands here, as a JSON document for operators.
+impl ReplicaState {
+    /// Returns the status of this replica, as a JSON document for operators.
     pub(super) fn status(&self, now: Instant) -> Value {
         let status = self.node.status(now);
         let leader = status.leader.and_then(|id| self.node.members().peer(id));
@@ -54,18 +54,18 @@
             "targets": self.targets(),
             "groups": self.groups(),
             "quarantine": self.quarantine(),
-            "drained": self.machine.drained(),
+            "drained": self.state_machine.drained(),
             "ledger": {
-                "records": self.machine.ledger().len(),
-                "bytes": self.machine.ledger().bytes(),
-                "unproved": self.machine.ledger().unproved_len(),
-                "most_unproved": self.machine.ledger().limits().max_unproved,
-                "time_ms": self.machine.now_ms(),
+                "records": self.state_machine.ledger().len(),
+                "bytes": self.state_machine.ledger().bytes(),
+                "unproved": self.state_machine.ledger().unproved_len(),
+                "most_unproved": self.state_machine.ledger().limits().max_unproved,
+                "time_ms": self.state_machine.now_ms(),
             },
         })
     }
 
-    /// What is left of a repair; only the leader knows.
+    /// Returns the state of the repair of the whole cluster; only the leader knows it.
     fn repair(&self, status: &Status) -> Value {
         if !self.node.has_committed_in_term() {
             return json!("unknown");
@@ -82,21 +82,21 @@
         }
     }
 
-    /// What is left of the repair of one replica.
+    /// Returns the state of the repair of one replica.
     ///
-    /// A link that breaks tells of a loss at once, the silence only after an
-    /// election timeout; a disk that comes back blank sooner than that would
-    /// be taken for one that never went.
+    /// A broken link shows a loss at once, whereas missing answers show it only after an
+    /// election timeout. Without checking the link, a replica that comes back on a blank
+    /// disk sooner than that would be taken for one that was never lost.
     fn repair_of(&self, row: &ReplicaStatus, status: &Status) -> &'static str {
         let Some(matched) = row.match_index else {
             return "unknown";
         };
-        let linked = row.id == status.id || self.peers.is_up(row.id);
-        let due = self
-            .backlog
+        let connected = row.id == status.id || self.peers.is_connected(row.id);
+        let required = self
+            .lag_tracker
             .as_ref()
-            .map_or(status.commit_index, Backlog::due);
-        match (row.active && linked, row.voter, matched >= due) {
+            .map_or(status.commit_index, LagTracker::required_index);
+        match (row.active && connected, row.voter, matched >= required) {
             (false, ..) => "silent",
             (true, false, false) => "catching up",
             (true, false, true) => "to be made a voter",
@@ -121,8 +121,8 @@
     }
 
     fn notes(&self, now: Instant) -> Value {
-        let accepted = self.machine.history().catalogue().number();
-        let progress = self.roster.as_ref().map(|r| r.progress(accepted, now));
+        let accepted = self.state_machine.history().catalogue().number();
+        let progress = self.node_leases.as_ref().map(|r| r.progress(accepted, now));
         let progress = progress.unwrap_or_default();
         json!({
             "accepted": accepted,
@@ -132,7 +132,7 @@
     }
 
     fn nodes(&self) -> Vec<Value> {
-        let members = self.roster.iter().flat_map(Roster::members);
+        let members = self.node_leases.iter().flat_map(NodeLeases::members);
         let row = |member: &Member| {
             let node = &member.node;
             json!({
@@ -153,10 +153,10 @@
     }
 
     fn targets(&self) -> Vec<Value> {
-        let catalogue = self.machine.history().catalogue();
-        let drained = self.machine.drained();
+        let catalogue = self.state_machine.history().catalogue();
+        let drained = self.state_machine.drained();
         let mut rows = Vec::new();
-        for member in self.roster.iter().flat_map(Roster::members) {
+        for member in self.node_leases.iter().flat_map(NodeLeases::members) {
             let Some(target) = &member.node.announcement else {
                 continue;
             };
@@ -182,12 +182,12 @@
 
     fn groups(&self) -> Vec<Value> {
         let mut rows = Vec::new();
-        for (group, standing) in self.machine.decisions().groups() {
-            let current = standing.current.as_ref();
+        for (group, state) in self.state_machine.decisions().groups() {
+            let current = state.current.as_ref();
             rows.push(json!({
                 "group": group,
-                "fencing": standing.fencing,
-                "coordinator": standing.agent,
+                "fencing": state.fencing,
+                "coordinator": state.agent,
                 "version": current.map(|d| d.version),
                 "barrier_step": current.map(|d| d.barrier_step),
                 "committed": current.map(|d| d.verdict == expert::Verdict::Commit),
@@ -197,7 +197,7 @@
     }
 
     fn quarantine(&self) -> Value {
-        let quarantine = self.machine.quarantine();
+        let quarantine = self.state_machine.quarantine();
         let suspects: Vec<String> = quarantine.suspects().map(ToString::to_string).collect();
         let convicted: Vec<String> = quarantine.convicted().map(ToString::to_string).collect();
         json!({ "suspects": suspects, "convicted": convicted })
--- a/crates/control/src/replicas.rs
+++ b/crates/control/src/replicas.rs
@@ -1,24 +1,27 @@
-//! Who the other replicas are, as this one knows it.
+//! The replicas of the cluster, as known to this one.
 
 use std::net::SocketAddr;
 
-/// The members of the replicated log, as this replica knows them.
+/// The members of the replicated log, as known to this replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Replicas {
-    /// How many vote.
+    /// Number of voters.
     pub(crate) voters: usize,
-    /// Where the links of all are accepted, in order.
+    /// Link addresses of all members, sorted.
     pub(crate) addresses: Vec<SocketAddr>,
 }
 
 impl Replicas {
-    pub(crate) fn of(members: &quorum::Members) -> Replicas {
+    pub(crate) fn from_members(members: &quorum::Members) -> Replicas {
         let peers = members.voters.values().chain(members.learners.values());
         let mut addresses: Vec<SocketAddr> = Vec::new();
         for peer in peers {
             match peer.address.parse() {
                 Ok(address) => addresses.push(address),
-                Err(e) => log::warn!("replica {} at {:?}: {e}", peer.name, peer.address),
+                Err(e) => {
+                    let address = &peer.address;
+                    log::warn!("invalid address {address:?} of replica {}: {e}", peer.name);
+                }
             }
         }
         addresses.sort_unstable();
@@ -28,7 +31,7 @@
         }
     }
 
-    /// Smallest number of replicas that is a majority.
+    /// Returns the smallest number of replicas that is a majority.
     pub(crate) fn majority(&self) -> usize {
         self.voters / 2 + 1
     }
--- a/crates/control/src/reply.rs
+++ b/crates/control/src/reply.rs
@@ -1,33 +1,33 @@
-//! The way back to who asked.
+//! Replies to requests.
 
 use tokio::sync::oneshot;
 use wire::Link;
 use wire::proto::frame::Body;
 use wire::proto::{Outcome, Unavailable, outcome};
 
-/// When to ask again during an election.
+/// Retry delay during an election, in milliseconds.
 const RETRY_SOON_MS: u32 = 200;
-/// When to ask again while somebody has to make room on a disk.
+/// Retry delay while a disk is full until someone frees space, in milliseconds.
 const RETRY_LATER_MS: u32 = 5_000;
 
-/// The way back to who asked.
+/// Where the reply to a request is sent.
 #[derive(Debug)]
 pub(crate) enum Reply {
-    /// Over a link, to the call of that number.
+    /// Over a link, as the reply to the call with this number; 0 expects no reply.
     Remote(Link, u64),
     /// Within this process.
     Local(oneshot::Sender<Body>),
 }
 
 impl Reply {
-    /// Sends the answer; who asked may be gone.
+    /// Sends the reply. The requester may no longer be there.
     pub(crate) fn send(self, body: Body) {
         match self {
             Reply::Remote(_, 0) => {}
             Reply::Remote(link, call) => {
                 tokio::spawn(async move {
                     if let Err(e) = link.reply(call, body).await {
-                        log::debug!("answer to {} is lost: {e}", link.peer().name);
+                        log::debug!("cannot answer {}: {e}", link.peer().name);
                     }
                 });
             }
@@ -36,28 +36,28 @@
     }
 }
 
-/// The answer to a command that was not carried out, or perhaps not. Whoever
-/// asks for an operator or a caller may ask again within its time.
-pub(crate) fn unavailable(reason: &str, commit: Commit) -> Body {
-    refusal(reason, commit, Lasting::No)
+/// Returns the answer to a command that was not carried out, or may not have been. A
+/// process that acts for an operator or a caller may retry within its timeout.
+pub(crate) fn unavailable(reason: &str, may_commit: MayCommit) -> Body {
+    refusal(reason, may_commit, RetryWhen::Soon)
 }
 
-/// As [`unavailable`], where asking again at once is of no use: whoever waits
-/// for the answer is told now, not when its time is over.
-pub(crate) fn unavailable_for_long(reason: &str, commit: Commit) -> Body {
-    refusal(reason, commit, Lasting::Yes)
+/// Like [`unavailable`], for when an immediate retry would not help: the operator or
+/// caller gets the answer now instead of after the whole timeout.
+pub(crate) fn unavailable_lasting(reason: &str, may_commit: MayCommit) -> Body {
+    refusal(reason, may_commit, RetryWhen::Later)
 }
 
-fn refusal(reason: &str, commit: Commit, lasting: Lasting) -> Body {
-    let retry_after_ms = match lasting {
-        Lasting::No => RETRY_SOON_MS,
-        Lasting::Yes => RETRY_LATER_MS,
+fn refusal(reason: &str, may_commit: MayCommit, retry: RetryWhen) -> Body {
+    let retry_after_ms = match retry {
+        RetryWhen::Soon => RETRY_SOON_MS,
+        RetryWhen::Later => RETRY_LATER_MS,
     };
     let unavailable = Unavailable {
         reason: reason.to_owned(),
-        maybe: commit == Commit::Perhaps,
+        maybe: may_commit == MayCommit::Yes,
         retry_after_ms,
-        lasting: lasting == Lasting::Yes,
+        lasting: retry == RetryWhen::Later,
     };
     Body::Outcome(Outcome {
         index: 0,
@@ -66,16 +66,16 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Lasting {
-    No,
-    Yes,
+enum RetryWhen {
+    Soon,
+    Later,
 }
 
-/// Whether a command that wasn't answered may still be committed.
+/// Whether a command that was not carried out may still be committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Commit {
-    /// It never will be.
-    Never,
-    /// It may be.
-    Perhaps,
+pub(crate) enum MayCommit {
+    /// It will never be committed.
+    No,
+    /// It may have been committed, or may be later.
+    Yes,
 }
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -1,36 +1,36 @@
 //! Settings of a replica.
 
 use crate::Timing;
-use crate::forming::Forming;
-use crate::machine::MOST_UNPROVED;
+use crate::cluster_formation::ClusterFormation;
+use crate::state_machine::MAX_UNPROVED;
 use cfg::{Findings, Reader};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use wire::proto::LedgerLimits;
 
-const MOST_REPLICAS: usize = 9;
+const MAX_REPLICAS: usize = 9;
 
-/// Name and address of a replica, as the settings list it.
+/// Name and address of a replica, as listed in the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaAddress {
-    /// Its name.
+    /// Name of the replica.
     pub name: String,
-    /// Where its links are accepted.
+    /// Address that it accepts links on.
     pub address: SocketAddr,
 }
 
 /// Settings of a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Name of this replica; it outlives its disk.
+    /// Name of this replica; it stays the same when the disk is replaced.
     pub name: String,
     /// Availability zone.
     pub zone: String,
-    /// Where links are accepted.
+    /// Address to accept links on.
     pub listen: SocketAddr,
-    /// Where others dial, if it differs from `listen`.
+    /// Address that other processes dial, if it differs from `listen`.
     pub advertise: Option<SocketAddr>,
-    /// Where operators' HTTP is served.
+    /// Address of the operators' HTTP server.
     pub http: SocketAddr,
     /// Data folder.
     pub data: PathBuf,
@@ -38,26 +38,26 @@
     pub cluster_key_file: PathBuf,
     /// File with the operators' token.
     pub operator_token_file: PathBuf,
-    /// All replicas, this one included; with `forming` none are listed.
+    /// All replicas, including this one; empty if `forming` is set.
     pub replicas: Vec<ReplicaAddress>,
-    /// How the replicas find each other where no list of them is known.
-    pub forming: Option<Forming>,
-    /// Entries applied between two snapshots.
+    /// How the replicas discover each other if they are not listed.
+    pub forming: Option<ClusterFormation>,
+    /// Number of log entries applied between two snapshots.
     pub snapshot_entries: u64,
-    /// Times.
+    /// Intervals and timeouts.
     pub timing: Timing,
-    /// Bounds of the ledger, the same on every replica of a cluster.
+    /// Limits of the ledger, the same on every replica of a cluster.
     pub ledger: LedgerLimits,
-    /// What is in force, defaults included.
+    /// Effective settings, including defaults.
     pub effective: serde_json::Value,
 }
 
 impl Settings {
-    /// Reads and checks settings.
+    /// Parses and validates settings.
     ///
     /// # Errors
     ///
-    /// All findings at once.
+    /// Fails if the settings are invalid, and reports all findings at once.
     ///
     /// ```
     /// let findings = control::Settings::from_slice(b"{}").unwrap_err();
@@ -74,8 +74,8 @@
         let data: Option<PathBuf> = r.required("data");
         let cluster_key_file: Option<PathBuf> = r.required("cluster_key_file");
         let operator_token_file: Option<PathBuf> = r.required("operator_token_file");
-        let formed = r.has("forming");
-        let forming = formed.then(|| Forming::read(r.section("forming")));
+        let has_forming = r.has("forming");
+        let forming = has_forming.then(|| ClusterFormation::read(r.section("forming")));
         let replicas = match &forming {
             None => read_replicas(&mut r, name.as_deref()),
             Some(_) => Vec::new(),
@@ -85,12 +85,12 @@
         let ledger = read_ledger(&mut r.section("ledger"));
         let effective = r.effective();
         r.finish()?;
-        let given = (name, zone, listen, http, data);
+        let values = (name, zone, listen, http, data);
         let files = (cluster_key_file, operator_token_file);
         let (
             (Some(name), Some(zone), Some(listen), Some(http), Some(data)),
             (Some(key), Some(token)),
-        ) = (given, files)
+        ) = (values, files)
         else {
             return Err(cfg::Finding::new("", "incomplete").into());
         };
@@ -114,23 +114,23 @@
 }
 
 impl Settings {
-    /// Where other processes dial this replica.
+    /// Address at which other processes dial this replica.
     pub(crate) fn advertised(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.listen)
     }
 }
 
 fn read_ledger(r: &mut Reader) -> LedgerLimits {
-    const LONGEST_MS: u64 = 365 * 24 * 60 * 60 * 1000;
+    const MAX_MS: u64 = 365 * 24 * 60 * 60 * 1000;
     let default = ledger::Limits::default();
     LedgerLimits {
-        running_ms: r.within("running_ms", default.running_ms, 100..=LONGEST_MS),
-        keep_ms: r.within("keep_ms", default.keep_ms, 100..=LONGEST_MS),
-        max_unproved: r.within("unproved", default.max_unproved as u64, 1..=MOST_UNPROVED),
+        running_ms: r.within("running_ms", default.running_ms, 100..=MAX_MS),
+        keep_ms: r.within("keep_ms", default.keep_ms, 100..=MAX_MS),
+        max_unproved: r.within("unproved", default.max_unproved as u64, 1..=MAX_UNPROVED),
     }
 }
 
-fn read_replicas(r: &mut Reader, own: Option<&str>) -> Vec<ReplicaAddress> {
+fn read_replicas(r: &mut Reader, own_name: Option<&str>) -> Vec<ReplicaAddress> {
     let mut replicas: Vec<ReplicaAddress> = Vec::new();
     for mut row in r.sections("replicas") {
         let name: Option<String> = row.required("name");
@@ -143,11 +143,11 @@
         }
         replicas.push(ReplicaAddress { name, address });
     }
-    if replicas.len() > MOST_REPLICAS {
+    if replicas.len() > MAX_REPLICAS {
         r.finding("replicas", "must be 9 at most");
     }
-    let listed = |own: &str| replicas.iter().any(|other| other.name == own);
-    if own.is_some_and(|own| !listed(own)) {
+    let is_listed = |name: &str| replicas.iter().any(|replica| replica.name == name);
+    if own_name.is_some_and(|name| !is_listed(name)) {
         r.finding("replicas", "must list this replica as well");
     }
     replicas
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/state_machine.rs
@@ -7,7 +7,7 @@
 mod snapshot;
 mod table;
 
-pub(crate) use calls::MOST_UNPROVED;
+pub(crate) use calls::MAX_UNPROVED;
 use expert::Decisions;
 use ledger::{Ledger, Limits};
 use note::History;
@@ -17,15 +17,16 @@
 use wire::proto::{Command, Drain, DrainOutcome, RouteTable, Unavailable, outcome};
 
 /// The durable state: release notes, the ledger of non-repeatable calls, the
-/// quarantine, expert-map decisions, drains and the route table.
+/// quarantine, expert-map decisions, drained targets and the route table.
 ///
-/// Replicas that apply the same commands in the same order are equal.
+/// It is deterministic: replicas that apply the same commands in the same order
+/// hold equal states.
 ///
 /// ```
-/// use control::Machine;
+/// use control::StateMachine;
 /// use wire::proto::{Command, SubmitNote, command, outcome};
 ///
-/// let mut machine = Machine::default();
+/// let mut machine = StateMachine::default();
 /// let note = SubmitNote { json: r#"{"number": 1}"#.into(), operator: "anna".into() };
 /// let body = Some(command::Body::SubmitNote(note));
 /// let outcome = machine.apply(Command { now_ms: 1, body });
@@ -33,7 +34,7 @@
 /// assert_eq!(machine.history().catalogue().number(), 1);
 /// ```
 #[derive(Clone, Debug, PartialEq)]
-pub struct Machine {
+pub struct StateMachine {
     now_ms: u64,
     history: History,
     ledger: Ledger,
@@ -43,9 +44,9 @@
     route_table: RouteTable,
 }
 
-impl Default for Machine {
+impl Default for StateMachine {
     fn default() -> Self {
-        Machine {
+        StateMachine {
             now_ms: 0,
             history: History::default(),
             ledger: Ledger::new(Limits::default()),
@@ -57,12 +58,13 @@
     }
 }
 
-impl Machine {
-    /// Applies a committed command. Its time is the leader's that ordered it;
-    /// one that lies before an earlier command's counts as that one's.
+impl StateMachine {
+    /// Applies a committed command. Its time in milliseconds is set by the leader
+    /// that proposed it. A time before that of an earlier command is replaced by
+    /// the earlier command's time.
     ///
     /// ```
-    /// let mut machine = control::Machine::default();
+    /// let mut machine = control::StateMachine::default();
     /// machine.apply(wire::proto::Command { now_ms: 9, body: None });
     /// assert_eq!(machine.now_ms(), 9);
     /// ```
@@ -83,14 +85,14 @@
             Some(Body::Forget(forget)) => self.forget(&forget),
             Some(Body::LedgerLimits(limits)) => self.set_ledger_limits(limits),
             Some(Body::RouteTable(table)) => {
-                outcome::Body::RouteTable(self.take_route_table(table))
+                outcome::Body::RouteTable(self.replace_route_table(table))
             }
             Some(Body::Batch(batch)) => self.apply_all(batch.commands),
             None => malformed("command without a body"),
         }
     }
 
-    /// The outcome is that of the last command.
+    /// Applies commands in order and returns the outcome of the last one.
     fn apply_all(&mut self, commands: Vec<Command>) -> outcome::Body {
         let outcomes = commands.into_iter().map(|command| self.apply(command));
         let last = outcomes.last();
@@ -110,10 +112,10 @@
         }
     }
 
-    /// The accepted notes.
+    /// Returns the accepted release notes.
     ///
     /// ```
-    /// let machine = control::Machine::default();
+    /// let machine = control::StateMachine::default();
     /// assert_eq!(machine.history().catalogue().number(), 0);
     /// ```
     #[must_use]
@@ -121,10 +123,10 @@
         &self.history
     }
 
-    /// The ledger of non-repeatable calls.
+    /// Returns the ledger of non-repeatable calls.
     ///
     /// ```
-    /// let machine = control::Machine::default();
+    /// let machine = control::StateMachine::default();
     /// assert!(machine.ledger().is_empty());
     /// ```
     #[must_use]
@@ -132,10 +134,10 @@
         &self.ledger
     }
 
-    /// Requests that crash targets.
+    /// Returns the quarantine of requests that crash targets.
     ///
     /// ```
-    /// let machine = control::Machine::default();
+    /// let machine = control::StateMachine::default();
     /// assert_eq!(machine.quarantine().suspects().count(), 0);
     /// ```
     #[must_use]
@@ -143,10 +145,10 @@
         &self.quarantine
     }
 
-    /// Expert-map decisions.
+    /// Returns the expert-map decisions.
     ///
     /// ```
-    /// let machine = control::Machine::default();
+    /// let machine = control::StateMachine::default();
     /// assert_eq!(machine.decisions().groups().count(), 0);
     /// ```
     #[must_use]
@@ -154,10 +156,10 @@
         &self.decisions
     }
 
-    /// Targets that an operator drains.
+    /// Returns the targets that operators have drained.
     ///
     /// ```
-    /// let machine = control::Machine::default();
+    /// let machine = control::StateMachine::default();
     /// assert!(machine.drained().is_empty());
     /// ```
     #[must_use]
@@ -165,10 +167,11 @@
         &self.drained
     }
 
-    /// Latest time of a command, by the [`Clock`](crate::Clock) of its leader.
+    /// Returns the latest time of a command, in milliseconds on the
+    /// [`Clock`](crate::Clock) of its leader.
     ///
     /// ```
-    /// let machine = control::Machine::default();
+    /// let machine = control::StateMachine::default();
     /// assert_eq!(machine.now_ms(), 0);
     /// ```
     #[must_use]
@@ -177,7 +180,8 @@
     }
 }
 
-/// The outcome of a command that a faulty process sent: nothing changed.
+/// Outcome of a malformed command, which changes nothing. Only a faulty process
+/// sends one.
 fn malformed(reason: &str) -> outcome::Body {
     outcome::Body::Unavailable(Unavailable {
         reason: reason.to_owned(),
--- a/crates/control/src/machine/calls.rs
+++ b/crates/control/src/state_machine/calls.rs
@@ -1,6 +1,6 @@
-//! Non-repeatable calls.
+//! Commands and queries on the ledger of non-repeatable calls.
 
-use super::{Machine, malformed};
+use super::{StateMachine, malformed};
 use bytes::Bytes;
 use ledger::{Attempt, CallKey, CallOutcome, Digest, Holder, KeyStatus, UnprovedCall};
 use serde_json::{Value, json};
@@ -10,13 +10,13 @@
     LedgerLimits, Release, ReleaseOutcome, finish, outcome,
 };
 
-/// Calls that a list for operators has at most: the oldest.
-const MOST_LISTED: usize = 1000;
+/// Maximum number of calls in a list for operators; the oldest are listed.
+const MAX_LISTED_CALLS: usize = 1000;
 
-/// Bound of the limit of calls that nobody proved to have ended.
-pub(crate) const MOST_UNPROVED: u64 = 100_000;
+/// Upper bound of the configurable limit on calls not proved to have ended.
+pub(crate) const MAX_UNPROVED: u64 = 100_000;
 
-impl Machine {
+impl StateMachine {
     pub(super) fn claim(&mut self, claim: Claim) -> outcome::Body {
         let Some(digest) = Digest::from_slice(&claim.digest) else {
             return malformed("digest is not 32 bytes");
@@ -31,15 +31,15 @@
             target: claim.target,
             incarnation: claim.incarnation,
         };
-        let claimed = self.ledger.claim(claim, self.now_ms);
-        outcome::Body::Claim(claim_outcome(claimed).unwrap_or_default())
+        let status = self.ledger.claim(claim, self.now_ms);
+        outcome::Body::Claim(claim_outcome(status).unwrap_or_default())
     }
 
     pub(super) fn finish(&mut self, finish: Finish) -> outcome::Body {
         let Some(attempt) = Attempt::from_slice(&finish.attempt) else {
             return malformed("attempt is not 16 bytes");
         };
-        let verdict = match finish.result {
+        let outcome = match finish.result {
             Some(finish::Result::Answer(answer)) => match parse_answer(answer) {
                 Some(answer) => CallOutcome::Answer(answer),
                 None => return malformed("status of the answer is out of range"),
@@ -48,10 +48,10 @@
             None => return malformed("finish without a result"),
         };
         let key = CallKey::new(finish.account, finish.key);
-        let (stored, stands) = self.ledger.finish(&key, attempt, verdict, self.now_ms);
+        let (stored, status) = self.ledger.finish(&key, attempt, outcome, self.now_ms);
         outcome::Body::Finish(FinishOutcome {
             stored,
-            record: claim_outcome(stands),
+            record: claim_outcome(status),
         })
     }
 
@@ -60,10 +60,10 @@
             return malformed("attempt is not 16 bytes");
         };
         let key = CallKey::new(release.account.clone(), release.key.clone());
-        let (released, stands) = self.ledger.release(&key, attempt, self.now_ms);
+        let (released, status) = self.ledger.release(&key, attempt, self.now_ms);
         outcome::Body::Release(ReleaseOutcome {
             released,
-            record: claim_outcome(stands),
+            record: claim_outcome(status),
         })
     }
 
@@ -83,7 +83,7 @@
     }
 
     pub(super) fn set_ledger_limits(&mut self, limits: LedgerLimits) -> outcome::Body {
-        let unproved = limits.max_unproved.clamp(1, MOST_UNPROVED);
+        let unproved = limits.max_unproved.clamp(1, MAX_UNPROVED);
         self.ledger.set_limits(ledger::Limits {
             keep_ms: limits.keep_ms,
             running_ms: limits.running_ms,
@@ -93,11 +93,11 @@
         outcome::Body::LedgerLimits(limits)
     }
 
-    /// The calls of which nobody proved that they ended, for operators.
+    /// Returns the calls not proved to have ended, as JSON for operators.
     pub(crate) fn unproved(&self) -> Value {
         let mut calls: Vec<_> = self.ledger.unproved().collect();
         calls.sort_by_key(|call| call.since_ms);
-        let rows = calls.iter().take(MOST_LISTED);
+        let rows = calls.iter().take(MAX_LISTED_CALLS);
         let rows: Vec<Value> = rows.map(|call| self.unproved_row(call)).collect();
         json!({
             "unproved": calls.len(),
@@ -117,23 +117,23 @@
         })
     }
 
-    /// What stands for a call.
+    /// Returns the ledger's record of a call.
     pub(crate) fn record(&self, account: &str, key: &Bytes) -> Option<ClaimOutcome> {
         let key = CallKey::new(account, key.clone());
         claim_outcome(self.ledger.status(&key))
     }
 }
 
-fn claim_outcome(claimed: KeyStatus) -> Option<ClaimOutcome> {
+fn claim_outcome(status: KeyStatus) -> Option<ClaimOutcome> {
     let empty = ClaimOutcome::default();
-    Some(match claimed {
+    Some(match status {
         KeyStatus::Absent => return None,
         KeyStatus::Claimed => of_kind(Kind::Claimed),
         KeyStatus::Mismatch => of_kind(Kind::Mismatch),
         KeyStatus::Full => of_kind(Kind::Full),
         KeyStatus::Running(holder) => ClaimOutcome {
             kind: Kind::Running.into(),
-            ..held(holder)
+            ..holder_outcome(holder)
         },
         KeyStatus::Finished(answer) => ClaimOutcome {
             kind: Kind::Finished.into(),
@@ -143,12 +143,12 @@
         KeyStatus::Unknown(unknown) => ClaimOutcome {
             kind: Kind::Unknown.into(),
             reason: unknown.reason,
-            ..unknown.holder.map(held).unwrap_or_default()
+            ..unknown.holder.map(holder_outcome).unwrap_or_default()
         },
     })
 }
 
-fn held(holder: Holder) -> ClaimOutcome {
+fn holder_outcome(holder: Holder) -> ClaimOutcome {
     ClaimOutcome {
         attempt: Bytes::copy_from_slice(&holder.attempt.to_bytes()),
         target: holder.target,
--- a/crates/control/src/machine/crashes.rs
+++ b/crates/control/src/state_machine/crashes.rs
@@ -1,11 +1,11 @@
-//! Requests that crash targets.
+//! Commands and queries on the quarantine of requests that crash targets.
 
-use super::{Machine, malformed};
+use super::{StateMachine, malformed};
 use bytes::Bytes;
 use route::Fingerprint;
 use wire::proto::{Crashed, CrashedOutcome, Pardon, PardonOutcome, Quarantine, outcome};
 
-impl Machine {
+impl StateMachine {
     pub(super) fn crashed(&mut self, crashed: &Crashed) -> outcome::Body {
         let parse = |bytes: &Bytes| Fingerprint::from_slice(bytes);
         let parsed: Option<Vec<_>> = crashed.fingerprints.iter().map(parse).collect();
@@ -29,7 +29,7 @@
         outcome::Body::Pardon(PardonOutcome { known })
     }
 
-    /// The quarantine as nodes are told of it.
+    /// Returns the quarantine as a message for nodes.
     pub(crate) fn quarantine_message(&self) -> Quarantine {
         Quarantine {
             version: self.quarantine.version(),
--- a/crates/control/src/machine/maps.rs
+++ b/crates/control/src/state_machine/maps.rs
@@ -1,15 +1,15 @@
-//! Expert-map decisions.
+//! Commands and queries on expert-map decisions.
 
-use super::Machine;
+use super::StateMachine;
 use bytes::Bytes;
 use expert::{Decision, GroupState, Verdict};
 use wire::proto::{CoordinatorOutcome, DecideMap, MapDecision, OpenCoordinator};
 
-impl Machine {
+impl StateMachine {
     pub(super) fn open_coordinator(&mut self, open: &OpenCoordinator) -> CoordinatorOutcome {
         let decisions = &mut self.decisions;
-        let standing = decisions.open_coordinator(&open.group, &open.agent, open.incarnation);
-        coordinator_outcome(&open.group, &standing)
+        let state = decisions.open_coordinator(&open.group, &open.agent, open.incarnation);
+        coordinator_outcome(&open.group, &state)
     }
 
     pub(super) fn decide_map(&mut self, decide: DecideMap) -> MapDecision {
@@ -34,20 +34,20 @@
         }
     }
 
-    /// What stands for a group.
+    /// Returns the coordinator and the decisions of a group.
     pub(crate) fn map(&self, group: &str) -> CoordinatorOutcome {
-        let standing = self.decisions.group_state(group);
-        standing.map_or_else(CoordinatorOutcome::default, |standing| {
-            coordinator_outcome(group, standing)
+        let state = self.decisions.group_state(group);
+        state.map_or_else(CoordinatorOutcome::default, |state| {
+            coordinator_outcome(group, state)
         })
     }
 }
 
-fn coordinator_outcome(group: &str, standing: &GroupState) -> CoordinatorOutcome {
-    let current = standing.current.as_ref();
-    let committed = standing.committed.iter();
+fn coordinator_outcome(group: &str, state: &GroupState) -> CoordinatorOutcome {
+    let current = state.current.as_ref();
+    let committed = state.committed.iter();
     CoordinatorOutcome {
-        fencing: standing.fencing,
+        fencing: state.fencing,
         current: current.map(|decision| map_decision(group, decision)),
         committed: committed.map(|d| map_decision(group, d)).collect(),
     }
--- a/crates/control/src/machine/notes.rs
+++ b/crates/control/src/state_machine/notes.rs
@@ -1,37 +1,43 @@
-//! Release notes.
+//! Commands and queries on release notes.
 
-use super::Machine;
+use super::StateMachine;
 use bytes::Bytes;
 use note::{Accepted, Submission};
 use wire::proto::note_outcome::Kind;
 use wire::proto::{Finding, NoteOutcome, Notes, SubmitNote};
 
-/// Bytes of notes in one answer at most; beyond it the catalogue is shorter.
-const MOST_NOTE_BYTES: usize = 4 << 20;
+/// Maximum size of the notes in one answer, in bytes. Beyond it the whole catalogue
+/// is shorter and is sent instead.
+const MAX_NOTE_BYTES: usize = 4 << 20;
 
-impl Machine {
+impl StateMachine {
     pub(super) fn submit_note(&mut self, note: &SubmitNote) -> NoteOutcome {
         let submission = self.history.submit(&note.json, &note.operator);
         let newest = self.history.catalogue().number();
         match submission {
-            Submission::Accepted(by) => held(Kind::Accepted, newest, Some(&by)),
-            Submission::Repeated(by) => held(Kind::Repeated, number_of(&note.json), Some(&by)),
-            Submission::Conflict(by) => held(Kind::Conflict, number_of(&note.json), by.as_ref()),
-            Submission::Gap(next) => held(Kind::Gap, next, None),
+            Submission::Accepted(accepted) => note_outcome(Kind::Accepted, newest, Some(&accepted)),
+            Submission::Repeated(first) => {
+                note_outcome(Kind::Repeated, number_of(&note.json), Some(&first))
+            }
+            Submission::Conflict(first) => {
+                note_outcome(Kind::Conflict, number_of(&note.json), first.as_ref())
+            }
+            Submission::Gap(next) => note_outcome(Kind::Gap, next, None),
             Submission::Invalid(findings) => NoteOutcome {
                 findings: findings.iter().map(finding).collect(),
-                ..held(Kind::Invalid, newest, None)
+                ..note_outcome(Kind::Invalid, newest, None)
             },
         }
     }
 
-    /// The notes after a number, or the whole catalogue to one far behind.
+    /// Returns the notes after a number, or the whole catalogue if they are no
+    /// longer kept or too large.
     pub(crate) fn notes_after(&self, after: u64) -> Notes {
         let number = self.history.catalogue().number();
         let notes = self.history.after(after).unwrap_or_default();
         let size: usize = notes.iter().map(Bytes::len).sum();
-        let whole = after.saturating_add(notes.len() as u64) == number;
-        if after >= number || whole && size <= MOST_NOTE_BYTES {
+        let complete = after.saturating_add(notes.len() as u64) == number;
+        if after >= number || complete && size <= MAX_NOTE_BYTES {
             return Notes {
                 notes,
                 snapshot: Bytes::new(),
@@ -46,14 +52,12 @@
     }
 }
 
-fn held(kind: Kind, number: u64, by: Option<&Accepted>) -> NoteOutcome {
+fn note_outcome(kind: Kind, number: u64, accepted: Option<&Accepted>) -> NoteOutcome {
     NoteOutcome {
         kind: kind.into(),
         number,
-        operator: by.map(|by| by.operator.clone()).unwrap_or_default(),
-        digest: by.map_or_else(Bytes::new, |by| {
-            Bytes::copy_from_slice(by.digest.as_bytes())
-        }),
+        operator: accepted.map(|a| a.operator.clone()).unwrap_or_default(),
+        digest: accepted.map_or_else(Bytes::new, |a| Bytes::copy_from_slice(a.digest.as_bytes())),
         findings: Vec::new(),
     }
 }
--- a/crates/control/src/machine/snapshot.rs
+++ b/crates/control/src/state_machine/snapshot.rs
@@ -1,6 +1,6 @@
-//! The whole state as bytes.
+//! Serialisation of the whole state.
 
-use super::Machine;
+use super::StateMachine;
 use bytes::Bytes;
 use expert::Decisions;
 use eyre::Result;
@@ -10,12 +10,12 @@
 use route::Quarantine;
 use wire::proto::DurableState;
 
-impl Machine {
-    /// The whole state, the same bytes for the same state.
+impl StateMachine {
+    /// Serialises the whole state. Equal states give equal bytes.
     ///
     /// ```
-    /// let machine = control::Machine::default();
-    /// let copy = control::Machine::from_bytes(machine.to_bytes()).unwrap();
+    /// let machine = control::StateMachine::default();
+    /// let copy = control::StateMachine::from_bytes(machine.to_bytes()).unwrap();
     /// assert_eq!(copy, machine);
     /// ```
     #[must_use]
@@ -32,21 +32,22 @@
         state.encode_to_vec().into()
     }
 
-    /// Reads what [`Machine::to_bytes`] wrote; no bytes are the first state.
+    /// Parses the output of [`StateMachine::to_bytes`]. Empty input gives the
+    /// initial state.
     ///
     /// # Errors
     ///
-    /// The bytes are no such state; the message names the part.
+    /// Fails if the bytes are not a valid state; the message names the invalid part.
     ///
     /// ```
-    /// assert!(control::Machine::from_bytes("no state".into()).is_err());
+    /// assert!(control::StateMachine::from_bytes("no state".into()).is_err());
     /// ```
-    pub fn from_bytes(bytes: Bytes) -> Result<Machine> {
+    pub fn from_bytes(bytes: Bytes) -> Result<StateMachine> {
         if bytes.is_empty() {
-            return Ok(Machine::default());
+            return Ok(StateMachine::default());
         }
         let state = DurableState::decode(bytes)?;
-        Ok(Machine {
+        Ok(StateMachine {
             now_ms: state.now_ms,
             history: History::from_json(&state.notes)?,
             ledger: Ledger::from_slice(&state.ledger)?,
--- a/crates/control/src/timing.rs
+++ b/crates/control/src/timing.rs
@@ -1,37 +1,40 @@
-//! Times of a replica.
+//! Intervals and timeouts of a replica.
 
 use cfg::Reader;
 use std::time::Duration;
 
-/// Times of a replica; the same on every replica of a cluster.
+/// Intervals and timeouts of a replica, the same on every replica of a cluster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// Between two heartbeats of the leader.
-    pub heartbeat: Duration,
-    /// Shortest election timeout.
-    pub election: Duration,
-    /// Lease of a node.
-    pub lease: Duration,
-    /// Heartbeat of a link; three without a byte close it.
-    pub link_beat: Duration,
-    /// Longest pause before another replica is dialled again.
-    pub redial_most: Duration,
-    /// After this a command that isn't committed is answered as unknown.
-    pub commit: Duration,
-    /// A replica that lacks what was committed so long ago is behind.
-    pub lag: Duration,
+    /// Interval between two heartbeats of the leader.
+    pub heartbeat_interval: Duration,
+    /// Minimum election timeout.
+    pub election_timeout: Duration,
+    /// Duration of a node's lease.
+    pub lease_duration: Duration,
+    /// Heartbeat interval of a link; a link that receives nothing for three
+    /// intervals is closed.
+    pub link_heartbeat: Duration,
+    /// Maximum delay before another replica is dialled again.
+    pub max_redial_delay: Duration,
+    /// Time after which a command that is not committed is answered with an
+    /// unknown outcome.
+    pub commit_timeout: Duration,
+    /// A replica that lacks an entry committed longer ago than this counts as
+    /// behind.
+    pub max_lag: Duration,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Timing {
-            heartbeat: Duration::from_millis(100),
-            election: Duration::from_secs(1),
-            lease: Duration::from_secs(3),
-            link_beat: Duration::from_millis(500),
-            redial_most: Duration::from_secs(1),
-            commit: Duration::from_secs(5),
-            lag: Duration::from_secs(2),
+            heartbeat_interval: Duration::from_millis(100),
+            election_timeout: Duration::from_secs(1),
+            lease_duration: Duration::from_secs(3),
+            link_heartbeat: Duration::from_millis(500),
+            max_redial_delay: Duration::from_secs(1),
+            commit_timeout: Duration::from_secs(5),
+            max_lag: Duration::from_secs(2),
         }
     }
 }
@@ -40,33 +43,33 @@
     pub(crate) fn read(mut r: Reader) -> Timing {
         let default = Timing::default();
         let timing = Timing {
-            heartbeat: r.or("heartbeat_ms", default.heartbeat),
-            election: r.or("election_ms", default.election),
-            lease: r.or("lease_ms", default.lease),
-            link_beat: r.or("link_beat_ms", default.link_beat),
-            redial_most: r.or("redial_most_ms", default.redial_most),
-            commit: r.or("commit_ms", default.commit),
-            lag: r.or("lag_ms", default.lag),
+            heartbeat_interval: r.or("heartbeat_ms", default.heartbeat_interval),
+            election_timeout: r.or("election_ms", default.election_timeout),
+            lease_duration: r.or("lease_ms", default.lease_duration),
+            link_heartbeat: r.or("link_beat_ms", default.link_heartbeat),
+            max_redial_delay: r.or("redial_most_ms", default.max_redial_delay),
+            commit_timeout: r.or("commit_ms", default.commit_timeout),
+            max_lag: r.or("lag_ms", default.max_lag),
         };
         timing.check(&mut r);
         timing
     }
 
     fn check(&self, r: &mut Reader) {
-        const BEATS_IN_ELECTION: u32 = 3;
-        if self.heartbeat.is_zero() {
+        const MIN_HEARTBEATS_PER_ELECTION: u32 = 3;
+        if self.heartbeat_interval.is_zero() {
             r.finding("heartbeat_ms", "must be above 0");
         }
-        if self.election < self.heartbeat * BEATS_IN_ELECTION {
+        if self.election_timeout < self.heartbeat_interval * MIN_HEARTBEATS_PER_ELECTION {
             r.finding("election_ms", "must be at least three times heartbeat_ms");
         }
-        if self.lease < self.election {
+        if self.lease_duration < self.election_timeout {
             r.finding("lease_ms", "must be at least election_ms");
         }
-        if self.link_beat.is_zero() {
+        if self.link_heartbeat.is_zero() {
             r.finding("link_beat_ms", "must be above 0");
         }
-        if self.commit < self.election {
+        if self.commit_timeout < self.election_timeout {
             r.finding("commit_ms", "must be at least election_ms");
         }
     }
--- a/crates/control/tests/machine.rs
+++ b/crates/control/tests/machine.rs
@@ -1,7 +1,7 @@
 //! The state machine: equal on all replicas, whatever commands come.
 
 use bytes::Bytes;
-use control::Machine;
+use control::StateMachine;
 use prost::Message;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use wire::proto::command::Body;
@@ -125,11 +125,11 @@
 #[test]
 fn apply_from_any_snapshot() {
     fn equal(before: Vec<Any>, after: Vec<Any>) -> bool {
-        let mut whole = Machine::default();
+        let mut whole = StateMachine::default();
         for Any(command) in before {
             whole.apply(command);
         }
-        let mut caught_up = Machine::from_bytes(whole.to_bytes()).unwrap();
+        let mut caught_up = StateMachine::from_bytes(whole.to_bytes()).unwrap();
         for Any(command) in after {
             assert_eq!(caught_up.apply(command.clone()), whole.apply(command));
         }
@@ -147,9 +147,9 @@
 fn decode_any_bytes() {
     fn survives(bytes: Vec<u8>) -> bool {
         if let Ok(command) = Command::decode(bytes.as_slice()) {
-            Machine::default().apply(command);
+            StateMachine::default().apply(command);
         }
-        let _ = Machine::from_bytes(bytes.into());
+        let _ = StateMachine::from_bytes(bytes.into());
         true
     }
     QuickCheck::new()
--- a/crates/control/tests/roster.rs
+++ b/crates/control/tests/roster.rs
@@ -1,6 +1,6 @@
 //! When a note is in force everywhere, and what the view shows.
 
-use control::Roster;
+use control::NodeLeases;
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 use wire::proto::{Announcement, NodeInfo, Role};
@@ -29,7 +29,7 @@
 #[test]
 fn progress_lagging_node() {
     let start = Instant::now();
-    let mut roster = Roster::new(1, LEASE, start);
+    let mut roster = NodeLeases::new(1, LEASE, start);
     let now = start + LEASE;
     roster.renew(agent("desk-01", 1), 4, now).unwrap();
     roster.renew(agent("desk-02", 1), 5, now + MOMENT).unwrap();
@@ -46,7 +46,7 @@
 #[test]
 fn progress_new_leader() {
     let start = Instant::now();
-    let roster = Roster::new(1, LEASE, start);
+    let roster = NodeLeases::new(1, LEASE, start);
     assert_eq!(roster.progress(5, start + ALMOST).everywhere, None);
     assert_eq!(roster.progress(5, start + LEASE).everywhere, Some(5));
 }
@@ -56,7 +56,7 @@
 #[test]
 fn progress_former_incarnation() {
     let start = Instant::now();
-    let mut roster = Roster::new(1, LEASE, start);
+    let mut roster = NodeLeases::new(1, LEASE, start);
     let now = start + LEASE;
     roster.renew(agent("desk-01", 1), 4, now).unwrap();
     roster.renew(agent("desk-01", 2), 5, now + MOMENT).unwrap();
@@ -71,11 +71,11 @@
 #[test]
 fn view_drained_target() {
     let now = Instant::now();
-    let mut roster = Roster::new(1, LEASE, now);
+    let mut roster = NodeLeases::new(1, LEASE, now);
     roster.renew(agent("desk-01", 1), 4, now).unwrap();
     let before = roster.view(&BTreeSet::new());
     assert!(!before.nodes[0].leaving);
-    roster.drained();
+    roster.drained_targets_changed();
     let after = roster.view(&BTreeSet::from(["desk-01".to_owned()]));
     assert!(after.nodes[0].leaving && after.version > before.version);
 }
@@ -84,7 +84,7 @@
 #[test]
 fn view_same_as_told() {
     let now = Instant::now();
-    let mut roster = Roster::new(1, LEASE, now);
+    let mut roster = NodeLeases::new(1, LEASE, now);
     let mut told = agent("desk-01", 1);
     told.zone = "allgaeu".to_owned();
     told.link_address = "127.0.0.1:9".to_owned();
