--- a/crates/control/tests/machine.rs
+++ b/crates/control/tests/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine: equal on all replicas, whatever commands come.
+//! The state machine is deterministic for arbitrary commands.
 
 use bytes::Bytes;
 use control::StateMachine;
@@ -11,13 +11,13 @@
 };
 
 #[derive(Clone, Debug)]
-struct Any(Command);
+struct ArbitraryCommand(Command);
 
 fn text(g: &mut Gen) -> String {
     (*g.choose(&["", "a", "b", "desk-01"]).unwrap()).to_owned()
 }
 
-/// Mostly of the length that is asked for.
+/// A digest that in most cases has the given length.
 fn digest(g: &mut Gen, length: usize) -> Bytes {
     let length = if u8::arbitrary(g) % 8 == 0 { 3 } else { length };
     vec![u8::arbitrary(g) % 3; length].into()
@@ -113,36 +113,36 @@
     Command { now_ms, body }
 }
 
-impl Arbitrary for Any {
-    fn arbitrary(g: &mut Gen) -> Any {
-        Any(command(g, 2))
+impl Arbitrary for ArbitraryCommand {
+    fn arbitrary(g: &mut Gen) -> ArbitraryCommand {
+        ArbitraryCommand(command(g, 2))
     }
 }
 
-/// A replica catches up by a snapshot in the midst of the commands, another
-/// one by the commands alone. Were their states not equal, operators and
-/// callers would get other answers after each change of the leader.
+/// One replica catches up from a snapshot and the commands after it, another from the
+/// commands alone. If their states differed, operators and callers would get different
+/// answers after a change of the leader.
 #[test]
 fn apply_from_any_snapshot() {
-    fn equal(before: Vec<Any>, after: Vec<Any>) -> bool {
-        let mut whole = StateMachine::default();
-        for Any(command) in before {
-            whole.apply(command);
+    fn equal(before: Vec<ArbitraryCommand>, after: Vec<ArbitraryCommand>) -> bool {
+        let mut reference = StateMachine::default();
+        for ArbitraryCommand(command) in before {
+            reference.apply(command);
         }
-        let mut caught_up = StateMachine::from_bytes(whole.to_bytes()).unwrap();
-        for Any(command) in after {
-            assert_eq!(caught_up.apply(command.clone()), whole.apply(command));
+        let mut caught_up = StateMachine::from_bytes(reference.to_bytes()).unwrap();
+        for ArbitraryCommand(command) in after {
+            assert_eq!(caught_up.apply(command.clone()), reference.apply(command));
         }
-        caught_up == whole && caught_up.to_bytes() == whole.to_bytes()
+        caught_up == reference && caught_up.to_bytes() == reference.to_bytes()
     }
     QuickCheck::new()
         .tests(2_000)
         .rng(Gen::from_size_and_seed(80, 31))
-        .quickcheck(equal as fn(Vec<Any>, Vec<Any>) -> bool);
+        .quickcheck(equal as fn(Vec<ArbitraryCommand>, Vec<ArbitraryCommand>) -> bool);
 }
 
-/// A faulty process sends bytes that are no command, or a snapshot is not one:
-/// both are told, and nothing ends.
+/// A faulty process sends bytes that are not a valid command, or a snapshot is
+/// malformed. Neither may panic.
 #[test]
 fn decode_any_bytes() {
     fn survives(bytes: Vec<u8>) -> bool {
--- a/crates/control/tests/roster.rs
+++ b/crates/control/tests/roster.rs
@@ -1,4 +1,4 @@
-//! When a note is in force everywhere, and what the view shows.
+//! Tests of node leases: when a release note is in force everywhere, and the member view.
 
 use control::NodeLeases;
 use std::collections::BTreeSet;
@@ -6,9 +6,9 @@
 use wire::proto::{Announcement, NodeInfo, Role};
 
 const LEASE: Duration = Duration::from_secs(3);
-/// A moment before the end of a lease.
-const ALMOST: Duration = Duration::from_millis(2_999);
-const MOMENT: Duration = Duration::from_millis(1);
+/// Just before the end of a lease.
+const ALMOST_LEASE: Duration = Duration::from_millis(2_999);
+const STEP: Duration = Duration::from_millis(1);
 
 fn agent(name: &str, incarnation: u64) -> NodeInfo {
     NodeInfo {
@@ -24,77 +24,77 @@
     }
 }
 
-/// A node stays at the former note. Until its lease has run out it may take
-/// work by it, so the newest is not in force everywhere.
+/// The previous note is still in force on one node. Until its lease has expired it may
+/// take work under that note, so the newest is not in force everywhere.
 #[test]
 fn progress_lagging_node() {
     let start = Instant::now();
-    let mut roster = NodeLeases::new(1, LEASE, start);
+    let mut leases = NodeLeases::new(1, LEASE, start);
     let now = start + LEASE;
-    roster.renew(agent("desk-01", 1), 4, now).unwrap();
-    roster.renew(agent("desk-02", 1), 5, now + MOMENT).unwrap();
-    let progress = roster.progress(5, now + MOMENT);
+    leases.renew(agent("desk-01", 1), 4, now).unwrap();
+    leases.renew(agent("desk-02", 1), 5, now + STEP).unwrap();
+    let progress = leases.progress(5, now + STEP);
     assert_eq!(progress.everywhere, Some(4));
     assert_eq!(progress.lagging, ["agent desk-01"]);
-    let progress = roster.progress(5, now + LEASE);
+    let progress = leases.progress(5, now + LEASE);
     assert_eq!(progress.everywhere, Some(5));
     assert!(progress.lagging.is_empty());
 }
 
-/// A new leader has heard from nobody. Leases of the former one may still
-/// run, of nodes that it doesn't know, so it must not say anything yet.
+/// No node has contacted the new leader yet. Nodes unknown to it may still hold leases
+/// from the previous leader, so it must not report any note as in force everywhere.
 #[test]
 fn progress_new_leader() {
     let start = Instant::now();
-    let roster = NodeLeases::new(1, LEASE, start);
-    assert_eq!(roster.progress(5, start + ALMOST).everywhere, None);
-    assert_eq!(roster.progress(5, start + LEASE).everywhere, Some(5));
+    let leases = NodeLeases::new(1, LEASE, start);
+    assert_eq!(leases.progress(5, start + ALMOST_LEASE).everywhere, None);
+    assert_eq!(leases.progress(5, start + LEASE).everywhere, Some(5));
 }
 
-/// A host was given the name of another that still runs. The former one loses
-/// its place, but works until the end of its lease, by its own note.
+/// A host was started under the name of another that is still running. The older
+/// process is superseded, but may take work under its own note until its lease ends.
 #[test]
-fn progress_former_incarnation() {
+fn progress_superseded_incarnation() {
     let start = Instant::now();
-    let mut roster = NodeLeases::new(1, LEASE, start);
+    let mut leases = NodeLeases::new(1, LEASE, start);
     let now = start + LEASE;
-    roster.renew(agent("desk-01", 1), 4, now).unwrap();
-    roster.renew(agent("desk-01", 2), 5, now + MOMENT).unwrap();
-    let progress = roster.progress(5, now + ALMOST);
+    leases.renew(agent("desk-01", 1), 4, now).unwrap();
+    leases.renew(agent("desk-01", 2), 5, now + STEP).unwrap();
+    let progress = leases.progress(5, now + ALMOST_LEASE);
     assert_eq!(progress.everywhere, Some(4));
-    assert!(roster.renew(agent("desk-01", 1), 5, now).is_err());
-    assert_eq!(roster.progress(5, now + LEASE).everywhere, Some(5));
+    assert!(leases.renew(agent("desk-01", 1), 5, now).is_err());
+    assert_eq!(leases.progress(5, now + LEASE).everywhere, Some(5));
 }
 
-/// An operator drains a target: the view must change at once and show it as
-/// leaving, or entries would go on sending it new work.
+/// An operator drains a target. The view must change at once and mark it as leaving, or
+/// entries would keep sending it new work.
 #[test]
 fn view_drained_target() {
     let now = Instant::now();
-    let mut roster = NodeLeases::new(1, LEASE, now);
-    roster.renew(agent("desk-01", 1), 4, now).unwrap();
-    let before = roster.view(&BTreeSet::new());
+    let mut leases = NodeLeases::new(1, LEASE, now);
+    leases.renew(agent("desk-01", 1), 4, now).unwrap();
+    let before = leases.view(&BTreeSet::new());
     assert!(!before.nodes[0].leaving);
-    roster.drained_targets_changed();
-    let after = roster.view(&BTreeSet::from(["desk-01".to_owned()]));
+    leases.drained_targets_changed();
+    let after = leases.view(&BTreeSet::from(["desk-01".to_owned()]));
     assert!(after.nodes[0].leaving && after.version > before.version);
 }
 
-/// What a node tells of itself comes out in the view as it went in.
+/// The view shows a node exactly as the node described itself in its renewal.
 #[test]
-fn view_same_as_told() {
+fn view_matches_renewal() {
     let now = Instant::now();
-    let mut roster = NodeLeases::new(1, LEASE, now);
-    let mut told = agent("desk-01", 1);
-    told.zone = "allgaeu".to_owned();
-    told.link_address = "127.0.0.1:9".to_owned();
-    told.leaving = true;
-    let target = told.target.as_mut().unwrap();
+    let mut leases = NodeLeases::new(1, LEASE, now);
+    let mut info = agent("desk-01", 1);
+    info.zone = "allgaeu".to_owned();
+    info.link_address = "127.0.0.1:9".to_owned();
+    info.leaving = true;
+    let target = info.target.as_mut().unwrap();
     target.ranks = vec![3, 4];
     target.models = vec!["burl-notes".to_owned()];
     target.can_resume = true;
     target.checks_fencing = true;
     target.healthy = true;
-    roster.renew(told.clone(), 4, now).unwrap();
-    assert_eq!(roster.view(&BTreeSet::new()).nodes, [told]);
+    leases.renew(info.clone(), 4, now).unwrap();
+    assert_eq!(leases.view(&BTreeSet::new()).nodes, [info]);
 }
--- a/crates/control/tests/settings.rs
+++ b/crates/control/tests/settings.rs
@@ -1,4 +1,4 @@
-//! What settings mean where they leave something out.
+//! Defaults of the settings.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use control::Settings;
@@ -14,7 +14,8 @@
     settings.forming.unwrap().voters
 }
 
-/// A deployment of one replica would wait for two more for ever.
+/// The default number of voters must not exceed the number of seeds: otherwise a
+/// deployment of one replica would wait forever for two more.
 #[test]
 fn forming_voters_by_default() {
     let seeds = |count: usize| {
@@ -27,8 +28,8 @@
         forming["losses"] = json!(losses);
         voters(&forming)
     };
-    // Two disks may be lost at once: of three voters one would be left, which may
-    // not hold what the other two have acknowledged.
+    // To survive the loss of two disks at once, three voters are not enough: the one that
+    // remains may lack entries that the other two have acknowledged.
     assert_eq!([0, 1, 2].map(|losses| with_losses(3, losses)), [3, 3, 5]);
     assert_eq!(with_losses(1, 2), 1);
     assert_eq!(
