--- a/crates/control/benches/durable.rs
+++ b/crates/control/benches/durable.rs
@@ -1,11 +1,11 @@
-//! What the durable state costs: commits against plain syncs on the same disk,
-//! the time without a leader, and the time to catch up.
+//! Benchmarks of the durable state: commits against plain syncs on the same disk, the time
+//! without a leader, and the time to catch up.
 //!
-//! `cargo bench -p lovageramp-control --bench durable`; the data folders lie
-//! where `TMPDIR` says.
+//! Run with `cargo bench -p lovageramp-control --bench durable`; the data folders are
+//! created under `TMPDIR`.
 
 #[path = "../tests/replicas/cluster.rs"]
-#[allow(dead_code, reason = "the tests use the rest")]
+#[allow(dead_code, reason = "some functions are used by tests only")]
 mod cluster;
 
 use cluster::{Cluster, propose_to};
@@ -16,10 +16,10 @@
 use std::time::{Duration, Instant};
 use wire::proto::{Claim, command, outcome};
 
-const SPAN: Duration = Duration::from_secs(4);
+const MEASURE_TIME: Duration = Duration::from_secs(4);
 const LINKS: usize = 8;
 const KILLS: usize = 11;
-/// Election timeout of the replicas, as the tests set it.
+/// Election timeout of the replicas; must match `Cluster::settings`.
 const ELECTION: Duration = Duration::from_millis(500);
 
 fn main() {
@@ -33,14 +33,14 @@
     });
 }
 
-/// Appends of a record's size, each with its own sync.
+/// Returns the rate, per second, of appends of the size of a record with one sync each.
 fn plain_syncs() -> f64 {
     const RECORD: [u8; 256] = [7; 256];
     let folder = tempfile::tempdir().unwrap();
     let mut file = File::create(folder.path().join("plain")).unwrap();
     let begun = Instant::now();
     let mut count = 0_u32;
-    while begun.elapsed() < SPAN {
+    while begun.elapsed() < MEASURE_TIME {
         file.write_all(&RECORD).unwrap();
         file.sync_data().unwrap();
         count += 1;
@@ -64,6 +64,7 @@
     }
 }
 
+/// Returns the rate of commits per second.
 async fn commit_rate(cluster: &Cluster, callers: usize) -> f64 {
     let leader = cluster.leader().await;
     let mut links = Vec::new();
@@ -77,7 +78,7 @@
         let (link, done) = (links[caller % LINKS].clone(), Arc::clone(&done));
         tasks.spawn(async move {
             for call in 0_u64.. {
-                if begun.elapsed() > SPAN {
+                if begun.elapsed() > MEASURE_TIME {
                     return;
                 }
                 let outcome = propose_to(&link, claim(caller, call)).await;
@@ -104,21 +105,21 @@
     })
 }
 
-/// The leader ends without a word; until a command is committed again.
+/// Measures the time from the stop of the leader until a command is committed again.
 async fn without_leader() {
     let mut cluster = Cluster::start(3).await;
-    let mut spans = Vec::new();
+    let mut durations = Vec::new();
     for _ in 0..KILLS {
         let leader = cluster.leader().await;
-        cluster.down(&leader).await;
+        cluster.stop_replica(&leader).await;
         let begun = Instant::now();
         cluster.propose(claim(0, 0)).await;
-        spans.push(begun.elapsed().as_secs_f64() / ELECTION.as_secs_f64());
-        cluster.up(&leader).await;
-        cluster.repaired().await;
+        durations.push(begun.elapsed().as_secs_f64() / ELECTION.as_secs_f64());
+        cluster.start_replica(&leader).await;
+        cluster.wait_repaired().await;
     }
-    spans.sort_by(f64::total_cmp);
-    let (least, median, most) = (spans[0], spans[KILLS / 2], spans[KILLS - 1]);
+    durations.sort_by(f64::total_cmp);
+    let (least, median, most) = (durations[0], durations[KILLS / 2], durations[KILLS - 1]);
     println!();
     println!("Without a leader after a kill, in election timeouts of {ELECTION:?}, {KILLS} kills:");
     println!("least {least:.2}, median {median:.2}, most {most:.2}");
@@ -126,25 +127,25 @@
 
 async fn catch_up(notes: u64) {
     for snapshot_entries in [1_000_000, 100] {
-        let mut cluster = Cluster::prepared(3).await;
+        let mut cluster = Cluster::prepare(3).await;
         cluster.snapshot_entries = snapshot_entries;
-        cluster.begin().await;
+        cluster.init_and_start().await;
         let leader = cluster.leader().await;
         let names = cluster.names();
         let behind = names.iter().find(|name| **name != leader).unwrap();
-        cluster.down(behind).await;
+        cluster.stop_replica(behind).await;
         cluster.submit_fast(notes).await;
         let begun = Instant::now();
-        cluster.up(behind).await;
+        cluster.start_replica(behind).await;
         cluster.wait_for_note(behind, notes).await;
-        let way = if snapshot_entries == 100 {
+        let method = if snapshot_entries == 100 {
             "snapshot and tail"
         } else {
             "log"
         };
         println!();
         println!(
-            "Catch-up {notes} notes behind by {way}, start of the process included: {:?}",
+            "Catch-up {notes} notes behind by {method}, start of the process included: {:?}",
             begun.elapsed()
         );
     }
--- a/crates/control/tests/replicas/cluster.rs
+++ b/crates/control/tests/replicas/cluster.rs
@@ -1,4 +1,4 @@
-//! A few replicas in one process, with real sockets and data folders.
+//! A cluster of replicas in one process, with real sockets and data folders.
 
 use control::{Control, Listeners, Settings};
 use fake::Relay;
@@ -17,48 +17,48 @@
 use wire::proto::{Command, Propose, Query, SubmitNote, command, outcome, query, query_reply};
 use wire::{ClusterKey, Identity, Incoming, Link, LinkSettings, Role};
 
-/// Bound on any wait; a machine that is much slower still passes.
-pub const PATIENCE: Duration = Duration::from_mins(1);
-const PAUSE: Duration = Duration::from_millis(20);
+/// Timeout of every wait; generous, so that tests also pass on a slow host.
+pub const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A few replicas of one cluster.
+/// The replicas of one cluster.
 pub struct Cluster {
     folder: TempDir,
     addresses: BTreeMap<String, SocketAddr>,
     running: BTreeMap<String, Control>,
-    /// From one replica to another.
+    /// Relays of links, by the names of the dialling and the accepting replica.
     relays: BTreeMap<(String, String), Relay>,
     pub snapshot_entries: u64,
     pub lag_ms: u64,
 }
 
 impl Cluster {
-    /// Replicas `r1` to `rN`, of which the first is initialised.
+    /// Starts replicas `r1` to `rN`; the first one is initialised.
     pub async fn start(size: usize) -> Cluster {
-        let mut cluster = Cluster::prepared(size).await;
-        cluster.begin().await;
+        let mut cluster = Cluster::prepare(size).await;
+        cluster.init_and_start().await;
         cluster
     }
 
     /// Initialises the first replica and starts all.
-    pub async fn begin(&mut self) {
+    pub async fn init_and_start(&mut self) {
         control::init(&self.settings("r1")).unwrap();
         for name in self.names() {
-            self.up(&name).await;
+            self.start_replica(&name).await;
         }
-        self.repaired().await;
+        self.wait_repaired().await;
     }
 
-    /// Addresses and key, and nothing that runs.
-    pub async fn prepared(size: usize) -> Cluster {
+    /// Prepares addresses, keys and relays without starting a replica.
+    pub async fn prepare(size: usize) -> Cluster {
         let folder = tempfile::tempdir().unwrap();
         fs::write(folder.path().join("key"), "0123456789abcdef").unwrap();
         fs::write(folder.path().join("token"), "operators-token-of-tests").unwrap();
-        let (host, relay_host) = own_hosts();
+        let (host, relay_host) = unique_hosts();
         let mut addresses = BTreeMap::new();
-        for place in 1..=size {
+        for number in 1..=size {
             let listener = listen(SocketAddr::new(host, 0)).await;
-            addresses.insert(format!("r{place}"), listener.local_addr().unwrap());
+            addresses.insert(format!("r{number}"), listener.local_addr().unwrap());
         }
         let mut relays = BTreeMap::new();
         for from in addresses.keys() {
@@ -107,11 +107,11 @@
         Settings::from_slice(settings.to_string().as_bytes()).unwrap()
     }
 
-    pub async fn up(&mut self, name: &str) {
-        self.up_with(name, Ops::default()).await;
+    pub async fn start_replica(&mut self, name: &str) {
+        self.start_replica_with(name, Ops::default()).await;
     }
 
-    pub async fn up_with(&mut self, name: &str, ops: Ops) {
+    pub async fn start_replica_with(&mut self, name: &str, ops: Ops) {
         let listeners = Listeners {
             links: listen(self.addresses[name]).await,
             http: listen("127.0.0.1:0".parse().unwrap()).await,
@@ -121,14 +121,14 @@
         self.running.insert(name.to_owned(), control);
     }
 
-    pub async fn down(&mut self, name: &str) {
+    pub async fn stop_replica(&mut self, name: &str) {
         if let Some(control) = self.running.remove(name) {
             control.shutdown().await;
         }
     }
 
-    /// Cuts the links between a replica and the others, both ways.
-    pub async fn cut_off(&self, name: &str) {
+    /// Cuts the links between a replica and the others in both directions.
+    pub async fn isolate(&self, name: &str) {
         for relay in self.relays_of(name) {
             relay.cut();
             wait_for("connections to break", async || {
@@ -148,8 +148,8 @@
         own.map(|(_, relay)| relay)
     }
 
-    /// Loses the disk of a replica that is down.
-    pub fn wipe(&self, name: &str) {
+    /// Deletes the data folder of a stopped replica.
+    pub fn wipe_disk(&self, name: &str) {
         fs::remove_dir_all(self.data(name)).unwrap();
     }
 
@@ -157,7 +157,7 @@
         &self.running[name]
     }
 
-    /// Status of the leader, once one leads for sure.
+    /// Returns the status of the leader, once there is one that holds the leader lease.
     pub async fn leader_status(&self) -> Value {
         let found = async |cluster: &Cluster| {
             for control in cluster.running.values() {
@@ -176,22 +176,22 @@
         status["replica"].as_str().unwrap().to_owned()
     }
 
-    /// Waits until the leader reports that all replicas are voters that hold
-    /// all that is committed.
-    pub async fn repaired(&self) {
+    /// Waits until the leader reports that all replicas are voters and hold all committed
+    /// entries.
+    pub async fn wait_repaired(&self) {
         let names = self.names();
         wait_for("the repair", async || {
             let status = self.leader_status().await;
             let rows = status["replicas"].as_array().unwrap();
-            let whole = status["repair"] == "complete" && rows.len() == names.len();
-            whole.then_some(())
+            let complete = status["repair"] == "complete" && rows.len() == names.len();
+            complete.then_some(())
         })
         .await;
     }
 
-    /// Waits until a replica has another disk than in that status, and the
+    /// Waits until a replica has a different disk than in the status `before`, and the
     /// leader reports the repair as complete.
-    pub async fn repaired_on_new_disk(&self, name: &str, before: &Value) {
+    pub async fn wait_repaired_on_new_disk(&self, name: &str, before: &Value) {
         let disk_in = |status: &Value| {
             let rows = status["replicas"].as_array().unwrap();
             let row = rows.iter().find(|row| row["name"] == name).unwrap();
@@ -205,8 +205,8 @@
         .await;
     }
 
-    /// Waits until a replica has applied as much as the leader has committed.
-    pub async fn caught_up(&self, name: &str) {
+    /// Waits until a replica has applied everything that the leader has committed.
+    pub async fn wait_caught_up(&self, name: &str) {
         wait_for("a replica to catch up", async || {
             let commit = self.leader_status().await["commit"].as_u64();
             let own = self.control(name).status().await.ok()?;
@@ -220,7 +220,7 @@
         wait_for("a link", async || dial(address).await).await
     }
 
-    /// A link as a node keeps it, with what comes over it unasked.
+    /// Opens a link as a node does, and returns it with the messages received on it.
     pub async fn dial_as_node(&self, name: &str) -> (Link, mpsc::Receiver<Incoming>) {
         let key = ClusterKey::from_bytes(b"0123456789abcdef").unwrap();
         let me = Identity::new(Role::Agent, "desk-01", 1);
@@ -234,11 +234,11 @@
         wait_for("a link", async || dial_as(address, me.clone()).await).await
     }
 
-    /// The leader among the replicas besides one.
-    pub async fn leader_besides(&self, besides: &str) -> String {
+    /// Waits until a replica other than the given one leads.
+    pub async fn leader_other_than(&self, excluded: &str) -> String {
         wait_for("another leader", async || {
             let leader = self.leader().await;
-            (leader != besides).then_some(leader)
+            (leader != excluded).then_some(leader)
         })
         .await
     }
@@ -267,7 +267,7 @@
         }
     }
 
-    /// Submits empty notes up to a number over one link.
+    /// Submits empty notes from 1 up to a number over a single link.
     pub async fn submit_fast(&self, last: u64) {
         let link = self.dial(&self.leader().await).await;
         for number in 1..=last {
@@ -279,7 +279,8 @@
             );
         }
     }
-    /// Has a command committed, whoever leads; sent again until answered.
+
+    /// Commits a command at the current leader, and retries until it is answered.
     pub async fn propose(&self, body: command::Body) -> outcome::Body {
         wait_for("a commit", async || {
             let leader = self.leader().await;
@@ -306,7 +307,7 @@
             let query = Body::Query(Query {
                 body: Some(body.clone()),
             });
-            let answer = link.call(query, PATIENCE).await;
+            let answer = link.call(query, WAIT_TIMEOUT).await;
             link.close();
             match answer {
                 Ok(Body::QueryReply(reply)) => reply.body,
@@ -324,14 +325,14 @@
     })
 }
 
-/// One try at one replica; `None` unless it answers with an outcome.
+/// Proposes a command once at one replica; `None` unless it answers with an outcome.
 pub async fn propose_to(link: &Link, body: command::Body) -> Option<outcome::Body> {
     let command = Some(Command {
         now_ms: 0,
         body: Some(body),
     });
     let propose = Body::Propose(Propose { command });
-    match link.call(propose, PATIENCE).await {
+    match link.call(propose, WAIT_TIMEOUT).await {
         Ok(Body::Outcome(outcome)) => outcome.body,
         _ => None,
     }
@@ -345,17 +346,17 @@
     let key = ClusterKey::from_bytes(b"0123456789abcdef").unwrap();
     let dialled = wire::dial(address, &me, &key, &LinkSettings::default()).await;
     let (link, mut rx) = dialled.ok()?;
-    // Hints of new notes are of no use here, but must not fill the queue.
+    // Hints of new notes are not used here, but must not fill the queue.
     tokio::spawn(async move { while rx.recv().await.is_some() {} });
     Some(link)
 }
 
-/// Loopback addresses of this cluster alone, for replicas and for relays: the
-/// port of a replica that is down can't be given to anybody else.
-fn own_hosts() -> (IpAddr, IpAddr) {
-    const FREE: u32 = 250;
+/// Returns loopback addresses used by this cluster alone, for replicas and for relays,
+/// so that the port of a stopped replica cannot be assigned to another process.
+fn unique_hosts() -> (IpAddr, IpAddr) {
+    const ADDRESS_RANGE: u32 = 250;
     static CLUSTERS: AtomicU8 = AtomicU8::new(0);
-    let process = u8::try_from(std::process::id() % FREE).unwrap() + 1;
+    let process = u8::try_from(std::process::id() % ADDRESS_RANGE).unwrap() + 1;
     let cluster = CLUSTERS.fetch_add(1, Ordering::Relaxed);
     let host = |last| IpAddr::V4(Ipv4Addr::new(127, process, cluster, last));
     (host(1), host(2))
@@ -365,14 +366,14 @@
     wait_for("a port", async || TcpListener::bind(address).await.ok()).await
 }
 
-/// Polls until there is a value.
+/// Polls until there is a value; panics after [`WAIT_TIMEOUT`].
 pub async fn wait_for<T>(what: &str, mut poll: impl AsyncFnMut() -> Option<T>) -> T {
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(value) = poll().await {
             return value;
         }
-        assert!(Instant::now() < until, "no sign of {what}");
-        tokio::time::sleep(PAUSE).await;
+        assert!(Instant::now() < deadline, "timed out waiting for {what}");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/control/tests/replicas/disks.rs
+++ b/crates/control/tests/replicas/disks.rs
@@ -1,6 +1,6 @@
-//! Disks that are full or fail, under a running cluster.
+//! Disks that become full, fail or stall under a running cluster.
 
-use crate::cluster::{Cluster, PATIENCE, note_command, propose_to, wait_for};
+use crate::cluster::{Cluster, WAIT_TIMEOUT, note_command, propose_to, wait_for};
 use serde_json::json;
 use std::io;
 use std::sync::Arc;
@@ -10,38 +10,38 @@
 use tokio::time::timeout;
 use wire::proto::{NoteQuery, outcome, query};
 
-/// The disk of the leader is full. It takes no note and says so, answers
-/// reads, and goes on when there is room.
+/// The disk of the leader is full. It refuses notes with the reason, still answers reads,
+/// and accepts notes again once there is free space.
 #[tokio::test(flavor = "multi_thread")]
 async fn leader_disk_full() {
-    let mut cluster = Cluster::prepared(1).await;
+    let mut cluster = Cluster::prepare(1).await;
     control::init(&cluster.settings("r1")).unwrap();
     let full = Arc::new(AtomicBool::new(false));
-    let asked = Arc::clone(&full);
+    let is_full = Arc::clone(&full);
     let real = Ops::default();
     let ops = Ops {
         write: Arc::new(move |path, file, bytes| {
-            if asked.load(Ordering::Relaxed) {
+            if is_full.load(Ordering::Relaxed) {
                 return Err(io::ErrorKind::StorageFull.into());
             }
             (real.write)(path, file, bytes)
         }),
         ..Ops::default()
     };
-    cluster.up_with("r1", ops).await;
+    cluster.start_replica_with("r1", ops).await;
     cluster.submit_up_to(1).await;
     full.store(true, Ordering::Relaxed);
     let link = cluster.dial("r1").await;
     let note = note_command(&json!({"number": 2}), "anna");
     let answer = propose_to(&link, note.clone()).await;
     let Some(outcome::Body::Unavailable(unknown)) = answer else {
-        panic!("taken: {answer:?}");
+        panic!("accepted: {answer:?}");
     };
     assert!(unknown.maybe && unknown.reason.contains("full"));
     assert_eq!(cluster.leader_status().await["disk_full"], true);
     let answer = propose_to(&link, note).await;
     let Some(outcome::Body::Unavailable(refused)) = answer else {
-        panic!("taken: {answer:?}");
+        panic!("accepted: {answer:?}");
     };
     assert!(!refused.maybe && refused.reason.contains("full"));
     cluster
@@ -55,124 +55,124 @@
     cluster.submit_up_to(3).await;
 }
 
-/// A sync fails at the leader. It must stop, since nobody knows what is on
-/// its disk; the others go on, and hold all that was acknowledged.
+/// A sync fails at the leader. It must stop, because the contents of its disk are unknown.
+/// The others continue and hold every acknowledged entry.
 #[tokio::test(flavor = "multi_thread")]
 async fn leader_sync_fails() {
     let mut cluster = Cluster::start(3).await;
     cluster.submit_up_to(2).await;
     let leader = cluster.leader().await;
-    cluster.down(&leader).await;
+    cluster.stop_replica(&leader).await;
     let failing = Arc::new(AtomicBool::new(false));
-    let asked = Arc::clone(&failing);
+    let is_failing = Arc::clone(&failing);
     let real = Ops::default();
     let ops = Ops {
         sync: Arc::new(move |path, file| {
-            if asked.load(Ordering::Relaxed) {
+            if is_failing.load(Ordering::Relaxed) {
                 return Err(io::Error::other("input/output error"));
             }
             (real.sync)(path, file)
         }),
         ..Ops::default()
     };
-    cluster.up_with(&leader, ops).await;
-    cluster.repaired().await;
+    cluster.start_replica_with(&leader, ops).await;
+    cluster.wait_repaired().await;
     failing.store(true, Ordering::Relaxed);
     cluster.submit_up_to(5).await;
     let stopped = cluster.control(&leader).stopped();
-    assert!(timeout(PATIENCE, stopped).await.is_ok());
-    cluster.leader_besides(&leader).await;
+    assert!(timeout(WAIT_TIMEOUT, stopped).await.is_ok());
+    cluster.leader_other_than(&leader).await;
     cluster.submit_up_to(6).await;
 }
 
-/// A replica is asked to stop while its disk is slow. The operator who then
-/// copies or removes the data folder must not meet files that still appear in
-/// it, so the stop is not over before the disk's last write is.
+/// A replica is shut down while its disk is slow. An operator who then copies or removes
+/// the data folder must not find files still being created there, so the shutdown must not
+/// complete before the last write does.
 #[tokio::test(flavor = "multi_thread")]
 async fn shutdown_waits_for_disk() {
-    let mut cluster = Cluster::prepared(1).await;
+    let mut cluster = Cluster::prepare(1).await;
     control::init(&cluster.settings("r1")).unwrap();
     let slow = Arc::new(AtomicBool::new(false));
-    let held = Arc::new(AtomicBool::new(false));
-    let (asked, holding) = (Arc::clone(&slow), Arc::clone(&held));
+    let blocked = Arc::new(AtomicBool::new(false));
+    let (is_slow, is_blocked) = (Arc::clone(&slow), Arc::clone(&blocked));
     let real = Ops::default();
     let ops = Ops {
         sync: Arc::new(move |path, file| {
-            while asked.load(Ordering::Relaxed) {
-                holding.store(true, Ordering::Relaxed);
+            while is_slow.load(Ordering::Relaxed) {
+                is_blocked.store(true, Ordering::Relaxed);
                 std::thread::sleep(Duration::from_millis(5));
             }
             (real.sync)(path, file)
         }),
         ..Ops::default()
     };
-    cluster.up_with("r1", ops).await;
+    cluster.start_replica_with("r1", ops).await;
     cluster.submit_up_to(1).await;
     slow.store(true, Ordering::Relaxed);
     let link = cluster.dial("r1").await;
     let note = note_command(&json!({"number": 2}), "anna");
     let unanswered = tokio::spawn(async move { propose_to(&link, note).await });
     wait_for("a sync", async || {
-        held.load(Ordering::Relaxed).then_some(())
+        blocked.load(Ordering::Relaxed).then_some(())
     })
     .await;
     let control = cluster.control("r1").clone();
     let mut stop = tokio::spawn(async move { control.shutdown().await });
     assert!(timeout(Duration::from_secs(1), &mut stop).await.is_err());
     slow.store(false, Ordering::Relaxed);
-    timeout(PATIENCE, stop).await.unwrap().unwrap();
+    timeout(WAIT_TIMEOUT, stop).await.unwrap().unwrap();
     unanswered.abort();
-    cluster.wipe("r1");
+    cluster.wipe_disk("r1");
 }
 
-/// The disk of one replica stands still for a moment while notes go on. An
-/// operator who waits for the end of a repair under such a load must see it,
-/// though one replica always lacks the newest entry.
+/// The disk of one replica stalls briefly while notes are accepted. An operator who waits
+/// for a repair to complete under such a load must see it complete, although one replica
+/// always lacks the newest entry.
 #[tokio::test(flavor = "multi_thread")]
 async fn repair_complete_under_load() {
-    let hour = 3_600_000;
-    let (cluster, _held) = one_disk_held(hour).await;
+    const HOUR_MS: u64 = 3_600_000;
+    let (cluster, _stalled) = cluster_with_stalled_disk(HOUR_MS).await;
     assert_eq!(cluster.leader_status().await["repair"], "complete");
 }
 
-/// The disk of one replica stands still for good. It holds its links up, so
-/// that only the report on what it lacks tells.
+/// The disk of one replica stalls permanently while its links stay open, so only its
+/// missing entries reveal the fault.
 #[tokio::test(flavor = "multi_thread")]
-async fn repair_behind_for_long() {
-    let (cluster, behind) = one_disk_held(50).await;
-    wait_for("the report", async || {
+async fn repair_reports_stalled_disk() {
+    let (cluster, behind) = cluster_with_stalled_disk(50).await;
+    wait_for("the replica to be reported as behind", async || {
         let repair = cluster.leader_status().await["repair"].clone();
         (repair == format!("{behind}: behind")).then_some(())
     })
     .await;
 }
 
-/// Three replicas; the disk of a follower syncs no more, and two notes were
-/// accepted since.
-async fn one_disk_held(lag_ms: u64) -> (Cluster, String) {
-    let mut cluster = Cluster::prepared(3).await;
+/// Starts three replicas, stalls every sync of a follower's disk and then submits two
+/// notes. Returns the cluster and the name of the follower.
+async fn cluster_with_stalled_disk(lag_ms: u64) -> (Cluster, String) {
+    let mut cluster = Cluster::prepare(3).await;
     cluster.lag_ms = lag_ms;
-    cluster.begin().await;
+    cluster.init_and_start().await;
     let leader = cluster.leader().await;
     let names = cluster.names();
     let follower = names.into_iter().find(|name| *name != leader).unwrap();
-    cluster.down(&follower).await;
-    let hold = Arc::new(AtomicBool::new(false));
-    let asked = Arc::clone(&hold);
+    cluster.stop_replica(&follower).await;
+    let stalled = Arc::new(AtomicBool::new(false));
+    let is_stalled = Arc::clone(&stalled);
     let real = Ops::default();
     let ops = Ops {
         sync: Arc::new(move |path, file| {
-            while asked.load(Ordering::Relaxed) {
+            while is_stalled.load(Ordering::Relaxed) {
                 std::thread::sleep(Duration::from_millis(5));
             }
             (real.sync)(path, file)
         }),
         ..Ops::default()
     };
-    cluster.up_with(&follower, ops).await;
-    cluster.repaired().await;
-    cluster.caught_up(&follower).await;
-    hold.store(true, Ordering::Relaxed);
+    cluster.start_replica_with(&follower, ops).await;
+    cluster.wait_repaired().await;
+    cluster.wait_caught_up(&follower).await;
+    stalled.store(true, Ordering::Relaxed);
     cluster.submit_up_to(2).await;
     (cluster, follower)
 }
--- a/crates/control/tests/replicas/http.rs
+++ b/crates/control/tests/replicas/http.rs
@@ -1,4 +1,4 @@
-//! Operators' HTTP of a replica.
+//! Operators' HTTP server of a replica.
 
 use crate::cluster::{Cluster, wait_for};
 use serde_json::{Value, json};
@@ -6,8 +6,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A request on a connection of its own; gives the status and the body.
-async fn ask(host: SocketAddr, line: &str, token: &str, body: &str) -> Option<(u16, String)> {
+/// Sends a request on a new connection; returns the status and the body.
+async fn send_request(
+    host: SocketAddr,
+    line: &str,
+    token: &str,
+    body: &str,
+) -> Option<(u16, String)> {
     let mut stream = TcpStream::connect(host).await.ok()?;
     let length = body.len();
     let head = format!(
@@ -24,8 +29,8 @@
 
 const TOKEN: &str = "operators-token-of-tests";
 
-/// Any control may be asked: a follower passes commands and reads on to the
-/// leader, and its status has what only the leader knows.
+/// Any control replica accepts operators' requests: a follower forwards commands and reads
+/// to the leader, and its status includes the fields that only the leader knows.
 #[tokio::test(flavor = "multi_thread")]
 async fn operate_at_follower() {
     let cluster = Cluster::start(3).await;
@@ -36,14 +41,14 @@
 
     let note =
         json!({"number": 1, "added": [{"kind": "model", "name": "burl-notes", "versions": ["1"]}]});
-    let sent = ask(host, "POST /v1/operator/notes", TOKEN, &note.to_string()).await;
+    let sent = send_request(host, "POST /v1/operator/notes", TOKEN, &note.to_string()).await;
     assert_eq!(sent.unwrap().0, 200);
-    let read = ask(host, "GET /v1/operator/notes/1", TOKEN, "")
+    let read = send_request(host, "GET /v1/operator/notes/1", TOKEN, "")
         .await
         .unwrap();
     assert_eq!((read.0, read.1.contains("burl-notes")), (200, true));
-    let status = wait_for("the leader's part", async || {
-        let (_, body) = ask(host, "GET /v1/operator/status", TOKEN, "").await?;
+    let status = wait_for("the leader's fields in the status", async || {
+        let (_, body) = send_request(host, "GET /v1/operator/status", TOKEN, "").await?;
         let status: Value = serde_json::from_str(&body).ok()?;
         (status["repair"] == "complete").then_some(status)
     })
@@ -54,28 +59,40 @@
     assert_eq!(status["leads"], false);
 }
 
-/// Health, readiness and metrics need no token; operators' pages do, and a
-/// replica without a leader says that it isn't ready.
+/// Health, readiness and metrics need no token, operators' pages do. A replica without a
+/// leader reports that it is not ready.
 #[tokio::test(flavor = "multi_thread")]
 async fn pages_and_token() {
     let mut cluster = Cluster::start(3).await;
     let names = cluster.names();
     let host = cluster.control(&names[0]).http_address();
-    assert_eq!(ask(host, "GET /healthz", "", "").await.unwrap().0, 200);
-    assert_eq!(ask(host, "GET /readyz", "", "").await.unwrap().0, 200);
-    let metrics = ask(host, "GET /metrics", "", "").await.unwrap();
+    assert_eq!(
+        send_request(host, "GET /healthz", "", "").await.unwrap().0,
+        200
+    );
+    assert_eq!(
+        send_request(host, "GET /readyz", "", "").await.unwrap().0,
+        200
+    );
+    let metrics = send_request(host, "GET /metrics", "", "").await.unwrap();
     assert!(
         metrics.1.contains("lovageramp_control_term"),
         "{}",
         metrics.1
     );
-    let refused = ask(host, "GET /v1/operator/status", "wrong", "").await;
+    let refused = send_request(host, "GET /v1/operator/status", "wrong", "").await;
     assert_eq!(refused.unwrap().0, 401);
-    assert_eq!(ask(host, "GET /nowhere", TOKEN, "").await.unwrap().0, 404);
-    cluster.down(&names[1]).await;
-    cluster.down(&names[2]).await;
+    assert_eq!(
+        send_request(host, "GET /nowhere", TOKEN, "")
+            .await
+            .unwrap()
+            .0,
+        404
+    );
+    cluster.stop_replica(&names[1]).await;
+    cluster.stop_replica(&names[2]).await;
     wait_for("the replica to be unready", async || {
-        let (status, _) = ask(host, "GET /readyz", "", "").await?;
+        let (status, _) = send_request(host, "GET /readyz", "", "").await?;
         (status == 503).then_some(())
     })
     .await;
--- a/crates/control/tests/replicas/leaders.rs
+++ b/crates/control/tests/replicas/leaders.rs
@@ -1,4 +1,4 @@
-//! Leaders that are lost, cut off, or speak late.
+//! Leaders that are lost or isolated, and delayed messages of old leaders.
 
 use crate::cluster::{Cluster, note_command, propose_to, wait_for};
 use serde_json::json;
@@ -9,36 +9,36 @@
 };
 use wire::{Identity, Role};
 
-/// The leader is cut off from the others for long, but not from an operator,
-/// and believes that it leads. What it can't commit it must not acknowledge
-/// and what it reads is old, so it refuses both; afterwards it holds what the
-/// others have accepted, and its own note is gone.
+/// The leader is isolated from the other replicas but not from an operator, and believes
+/// that it still leads. It cannot commit, and its reads would be stale, so it must refuse
+/// both. After the partition heals it holds the notes that the others accepted, and its
+/// own note is gone.
 #[tokio::test(flavor = "multi_thread")]
-async fn propose_at_cut_off_leader() {
+async fn propose_at_isolated_leader() {
     let cluster = Cluster::start(3).await;
     cluster.submit_up_to(2).await;
     let old = cluster.leader().await;
     let link = cluster.dial(&old).await;
-    cluster.cut_off(&old).await;
-    let lost = note_command(&json!({"number": 3, "added": []}), "anna");
-    let answer = propose_to(&link, lost.clone()).await;
-    let Some(outcome::Body::Unavailable(given_up)) = answer else {
+    cluster.isolate(&old).await;
+    let uncommitted = note_command(&json!({"number": 3, "added": []}), "anna");
+    let answer = propose_to(&link, uncommitted.clone()).await;
+    let Some(outcome::Body::Unavailable(unavailable)) = answer else {
         panic!("acknowledged: {answer:?}");
     };
     // The final answer comes with the step-down, not after a timeout.
     let reasons = ["the leader was replaced", "no majority of replicas answers"];
     assert!(
-        reasons.contains(&given_up.reason.as_str()),
+        reasons.contains(&unavailable.reason.as_str()),
         "{}",
-        given_up.reason
+        unavailable.reason
     );
 
-    cluster.leader_besides(&old).await;
+    cluster.leader_other_than(&old).await;
     let body = query::Body::Status(StatusQuery {});
     let query = Body::Query(Query { body: Some(body) });
-    let read = link.call(query, crate::cluster::PATIENCE).await;
+    let read = link.call(query, crate::cluster::WAIT_TIMEOUT).await;
     assert!(matches!(read, Ok(Body::NotLeader(_))), "{read:?}");
-    let refused = propose_to(&link, lost).await;
+    let refused = propose_to(&link, uncommitted).await;
     assert!(
         matches!(refused, None | Some(outcome::Body::Unavailable(_))),
         "{refused:?}"
@@ -55,19 +55,19 @@
     assert_eq!(again.operator, "bojan");
 }
 
-/// A leader was replaced long ago, and its messages arrive now: entries in
-/// the place of committed ones, a snapshot of an older state, a vote. The
-/// replicas answer with the newer term and hold what they held.
+/// Messages of a leader that was replaced arrive late: entries that conflict with
+/// committed ones, a snapshot of an older state, and a vote. The replicas must reject them
+/// and keep their state. The same holds for a message forged in the new leader's name.
 #[tokio::test(flavor = "multi_thread")]
-async fn messages_of_old_leader_late() {
+async fn late_messages_of_old_leader() {
     let mut cluster = Cluster::start(3).await;
     cluster.submit_up_to(3).await;
     let old = cluster.leader().await;
     let status = cluster.leader_status().await;
     let old_disk = u64::from_str_radix(status["disk"].as_str().unwrap(), 16).unwrap();
     let old_term = status["term"].as_u64().unwrap();
-    cluster.down(&old).await;
-    let new = cluster.leader_besides(&old).await;
+    cluster.stop_replica(&old).await;
+    let new = cluster.leader_other_than(&old).await;
     cluster.submit_up_to(6).await;
     let before = cluster.leader_status().await;
 
@@ -76,7 +76,7 @@
         let to = u64::from_str_radix(status["disk"].as_str().unwrap(), 16).unwrap();
         let me = Identity::new(Role::Control, &old, old_disk);
         let link = cluster.dial_as(name, me).await;
-        for body in late_bodies(old_term) {
+        for body in stale_bodies(old_term) {
             let (from, term, body) = (old_disk, old_term, Some(body));
             let message = QuorumMessage {
                 from,
@@ -86,10 +86,10 @@
             };
             link.send(Body::Quorum(message)).await.unwrap();
         }
-        // In the name of the new leader, by who isn't it.
+        // Sent in the name of the new leader by another replica.
         let from = u64::from_str_radix(before["disk"].as_str().unwrap(), 16).unwrap();
         let term = before["term"].as_u64().unwrap() + 5;
-        let body = late_bodies(term).pop();
+        let body = stale_bodies(term).pop();
         let forged = QuorumMessage {
             from,
             to,
@@ -112,7 +112,7 @@
     }
 }
 
-fn late_bodies(term: u64) -> Vec<QuorumBody> {
+fn stale_bodies(term: u64) -> Vec<QuorumBody> {
     let entry = |index| LogEntry {
         index,
         term,
@@ -142,35 +142,35 @@
     ]
 }
 
-/// The leader stops while operators send notes; each answered note stands at
-/// the next leader, in order.
+/// The leader stops repeatedly while operators submit notes. Every acknowledged note must
+/// be present at the next leader, in order.
 #[tokio::test(flavor = "multi_thread")]
 async fn leaders_lost_one_after_another() {
     let mut cluster = Cluster::start(3).await;
     for round in 1..=4 {
         cluster.submit_up_to(round * 5).await;
         let leader = cluster.leader().await;
-        cluster.down(&leader).await;
+        cluster.stop_replica(&leader).await;
         cluster.submit_up_to(round * 5 + 2).await;
-        cluster.up(&leader).await;
-        cluster.repaired().await;
+        cluster.start_replica(&leader).await;
+        cluster.wait_repaired().await;
     }
     for name in cluster.names() {
         cluster.wait_for_note(&name, 22).await;
     }
 }
 
-/// Only one replica of three is left: it must not lead alone, and it tells
-/// callers so at once. With a second one it goes on.
+/// Only one replica of three is left. It must not lead alone, and must tell callers so at
+/// once. When a second one is back, the cluster accepts commands again.
 #[tokio::test(flavor = "multi_thread")]
 async fn propose_without_majority() {
     let mut cluster = Cluster::start(3).await;
     cluster.submit_up_to(1).await;
     let names = cluster.names();
-    cluster.down(&names[0]).await;
-    cluster.down(&names[1]).await;
+    cluster.stop_replica(&names[0]).await;
+    cluster.stop_replica(&names[1]).await;
     let last = &names[2];
-    wait_for("the last one to give up", async || {
+    wait_for("the last replica to step down", async || {
         let status = cluster.control(last).status().await.ok()?;
         (status["leads"] == false && status["leader"].is_null()).then_some(())
     })
@@ -184,15 +184,15 @@
     let propose = Body::Propose(wire::proto::Propose {
         command: Some(body),
     });
-    let answer = link.call(propose, crate::cluster::PATIENCE).await;
+    let answer = link.call(propose, crate::cluster::WAIT_TIMEOUT).await;
     assert!(matches!(answer, Ok(Body::NotLeader(_))), "{answer:?}");
-    cluster.up(&names[0]).await;
+    cluster.start_replica(&names[0]).await;
     cluster.submit_up_to(2).await;
 }
 
-/// The wall clock of a control host is years off. Records of non-repeatable
-/// calls are kept for a time that must not depend on it, or they would all
-/// expire when that host comes to lead, and a resend would run again.
+/// The wall clock of a control host may be years off. The retention of records of
+/// non-repeatable calls must not depend on it: otherwise all records would expire when that
+/// host becomes the leader, and a resent call would run again.
 #[tokio::test(flavor = "multi_thread")]
 async fn time_is_not_wall_time() {
     const HOUR_MS: u64 = 3_600_000;
@@ -205,7 +205,7 @@
     let before = time(&cluster).await;
     assert!(before < HOUR_MS, "{before}");
     let leader = cluster.leader().await;
-    cluster.down(&leader).await;
+    cluster.stop_replica(&leader).await;
     cluster.submit_up_to(2).await;
     let after = time(&cluster).await;
     assert!(
--- a/crates/control/tests/replicas/leases.rs
+++ b/crates/control/tests/replicas/leases.rs
@@ -1,6 +1,6 @@
-//! Leases of nodes, and when a note is in force everywhere.
+//! Leases of nodes, and when a release note is in force everywhere.
 
-use crate::cluster::{Cluster, PATIENCE, wait_for};
+use crate::cluster::{Cluster, WAIT_TIMEOUT, wait_for};
 use serde_json::Value;
 use tokio::time::timeout;
 use wire::Link;
@@ -24,7 +24,7 @@
         note,
         ..Renew::default()
     };
-    match link.call(Body::Renew(renew), PATIENCE).await {
+    match link.call(Body::Renew(renew), WAIT_TIMEOUT).await {
         Ok(Body::Renewed(renewed)) => Some(renewed),
         _ => None,
     }
@@ -34,9 +34,9 @@
     cluster.leader_status().await["notes"].clone()
 }
 
-/// An entry stays at an older note, as when its link brings nothing. The note
-/// must not be reported as in force everywhere while it may take work, and it
-/// is as soon as its lease has run out, though nobody heard from it again.
+/// An entry remains on an older note, for example because its link is stalled. The newer
+/// note must not be reported as in force everywhere while that entry may take work, and
+/// must be once its lease has expired, even without further contact.
 #[tokio::test(flavor = "multi_thread")]
 async fn in_force_waits_for_lease() {
     let cluster = Cluster::start(1).await;
@@ -50,7 +50,7 @@
     assert!(granted.lease_ms > 0 && granted.note == 1);
     cluster.submit_up_to(2).await;
     let status = notes(&cluster).await;
-    // A slow machine may come here only after the lease.
+    // On a slow host the lease may already have expired here.
     if status["in_force_everywhere"] != 2 {
         assert_eq!(status["in_force_everywhere"], 1);
         assert_eq!(status["lagging"][0], "entry entry-1");
@@ -61,10 +61,10 @@
     .await;
 }
 
-/// A process was restarted, and its former incarnation speaks once more. It
-/// gets no lease, and the view keeps the new one.
+/// A process was restarted, and a message of its previous incarnation arrives late. That
+/// incarnation gets no lease, and the view keeps the new one.
 #[tokio::test(flavor = "multi_thread")]
-async fn renew_former_incarnation() {
+async fn renew_superseded_incarnation() {
     let cluster = Cluster::start(1).await;
     let link = cluster.dial("r1").await;
     assert!(renew(&link, entry("entry-1", 7), 0).await.unwrap().lease_ms > 0);
@@ -75,11 +75,10 @@
     assert_eq!(view.nodes[0].incarnation, 8);
 }
 
-/// A leader that is cut off from the others must grant no lease any more: its
-/// node would work by an old note, and another leader report the next one as
-/// in force everywhere.
+/// An isolated leader must not grant leases any more: its node would take work under an
+/// old note while another leader reports the next note as in force everywhere.
 #[tokio::test(flavor = "multi_thread")]
-async fn renew_at_cut_off_leader() {
+async fn renew_at_isolated_leader() {
     let cluster = Cluster::start(3).await;
     let old = cluster.leader().await;
     let link = cluster.dial(&old).await;
@@ -88,8 +87,8 @@
     })
     .await;
     assert!(granted.lease_ms > 0);
-    cluster.cut_off(&old).await;
-    cluster.leader_besides(&old).await;
+    cluster.isolate(&old).await;
+    cluster.leader_other_than(&old).await;
     assert!(renew(&link, entry("entry-1", 7), 0).await.is_none());
     cluster.submit_up_to(1).await;
     wait_for("the note to be in force", async || {
@@ -98,7 +97,8 @@
     .await;
 }
 
-/// A node that isn't one, or tells nonsense, gets no lease and harms nothing.
+/// A renewal without a name, with an invalid address or from a process that is not a node
+/// gets no lease and has no other effect.
 #[tokio::test(flavor = "multi_thread")]
 async fn renew_malformed() {
     let cluster = Cluster::start(1).await;
@@ -114,8 +114,8 @@
     cluster.submit_up_to(1).await;
 }
 
-/// A request has crashed a target. Until a node hears of it the same request
-/// may crash the next, so nodes are hinted at it before their next renewal.
+/// A request has crashed a target. Until a node learns of it, the same request may crash
+/// the next target, so nodes are sent a hint before their next renewal.
 #[tokio::test(flavor = "multi_thread")]
 async fn hint_quarantine_changed() {
     let cluster = Cluster::start(1).await;
@@ -126,9 +126,9 @@
         fingerprints: vec![vec![1; 32].into()],
     };
     cluster.propose(command::Body::Crashed(crashed)).await;
-    let hint = timeout(PATIENCE, rx.recv()).await.unwrap().unwrap();
+    let hint = timeout(WAIT_TIMEOUT, rx.recv()).await.unwrap().unwrap();
     assert!(matches!(hint.body, Body::Renewed(_)) && hint.call == 0);
     cluster.submit_up_to(1).await;
-    let hint = timeout(PATIENCE, rx.recv()).await.unwrap().unwrap();
+    let hint = timeout(WAIT_TIMEOUT, rx.recv()).await.unwrap().unwrap();
     assert!(matches!(hint.body, Body::Notes(notes) if notes.number == 1));
 }
--- a/crates/control/tests/replicas/main.rs
+++ b/crates/control/tests/replicas/main.rs
@@ -1,4 +1,4 @@
-//! Replicas in one process, with real sockets and data folders.
+//! Tests of replicas in one process, with real sockets and data folders.
 
 mod cluster;
 mod disks;
--- a/crates/control/tests/replicas/operators.rs
+++ b/crates/control/tests/replicas/operators.rs
@@ -1,20 +1,16 @@
-//! Operators who race, and who lose answers.
+//! Concurrent operators, and operators whose answers are lost.
 
 use crate::cluster::{Cluster, note_command, propose_to};
 use serde_json::{Value, json};
 use wire::proto::note_outcome::Kind;
-use wire::proto::{NoteOutcome, outcome};
+use wire::proto::outcome;
 
 fn note_with(number: u64, model: &str) -> Value {
     json!({"number": number, "added": [{"kind": "model", "name": model, "versions": ["1"]}]})
 }
 
-async fn kind_at(cluster: &Cluster, note: &Value, operator: &str) -> NoteOutcome {
-    cluster.submit(note, operator).await
-}
-
-/// Two operators send different notes with the same number at the same time.
-/// One of them is in force, and the other is told whose.
+/// Two operators send different notes with the same number at the same time. One note is
+/// accepted, and the other operator is told whose.
 #[tokio::test(flavor = "multi_thread")]
 async fn submit_same_number_two_operators() {
     let cluster = Cluster::start(3).await;
@@ -24,8 +20,8 @@
             note_with(number, &format!("b{number}")),
         );
         let (anna, bojan) = tokio::join!(
-            kind_at(&cluster, &annas, "anna"),
-            kind_at(&cluster, &bojans, "bojan")
+            cluster.submit(&annas, "anna"),
+            cluster.submit(&bojans, "bojan")
         );
         let (winner, loser, name) = match anna.kind() {
             Kind::Accepted => (anna, bojan, "anna"),
@@ -38,9 +34,9 @@
     }
 }
 
-/// An operator's connection breaks just after the note was sent, and the
-/// leader is lost as well. The operator sends it again, for ever so often:
-/// it counts once and each answer is the first one.
+/// An operator's connection breaks just after the note was sent, and the leader is lost
+/// as well. However often the operator resends the note, it is accepted once, and every
+/// answer matches the first.
 #[tokio::test(flavor = "multi_thread")]
 async fn submit_resent_after_lost_answer() {
     let mut cluster = Cluster::start(3).await;
@@ -51,7 +47,7 @@
         link.close();
     });
     assert!(sent.is_none());
-    cluster.down(&leader).await;
+    cluster.stop_replica(&leader).await;
     let first = cluster.submit(&note, "anna").await;
     assert!(matches!(first.kind(), Kind::Accepted | Kind::Repeated));
     cluster.submit(&note_with(2, "figure-notes"), "bojan").await;
@@ -61,8 +57,8 @@
     assert_eq!(again.digest, first.digest);
 }
 
-/// A note with a gap, an invalid one and bytes that are no note: each is
-/// refused with the reason, and nothing of it is in force.
+/// A note that leaves a gap, an invalid note and bytes that are not a note: each is
+/// refused with the reason and has no effect.
 #[tokio::test(flavor = "multi_thread")]
 async fn submit_refused() {
     let cluster = Cluster::start(1).await;
@@ -77,7 +73,7 @@
     assert_eq!(cluster.leader_status().await["notes"]["accepted"], 0);
 }
 
-/// A note that is far too long is refused at once and doesn't hold up others.
+/// A note above the size limit is refused at once and does not block others.
 #[tokio::test(flavor = "multi_thread")]
 async fn submit_too_long() {
     let cluster = Cluster::start(1).await;
--- a/crates/control/tests/replicas/path.rs
+++ b/crates/control/tests/replicas/path.rs
@@ -1,4 +1,4 @@
-//! The plain path through a cluster of three.
+//! The normal path of a command through a cluster of three replicas.
 
 use crate::cluster::Cluster;
 use serde_json::json;
@@ -12,12 +12,12 @@
         json!({"number": 1, "added": [{"kind": "model", "name": "burl-notes", "versions": ["1"]}]});
     let outcome = cluster.submit(&note, "anna").await;
     assert_eq!(outcome.kind(), Kind::Accepted);
-    let whole = query::Body::Note(NoteQuery { number: 0 });
-    let query_reply::Body::Json(json) = cluster.query(whole).await else {
+    let catalogue = query::Body::Note(NoteQuery { number: 0 });
+    let query_reply::Body::Json(json) = cluster.query(catalogue).await else {
         panic!("no JSON");
     };
     assert!(String::from_utf8_lossy(&json).contains("burl-notes"));
     for name in cluster.names() {
-        cluster.caught_up(&name).await;
+        cluster.wait_caught_up(&name).await;
     }
 }
