--- a/crates/entry/src/http/mod.rs
+++ b/crates/entry/src/http/mod.rs
@@ -3,9 +3,9 @@
 mod addresses;
 mod auth;
 mod chat;
-mod front;
+mod frontend;
 mod headers;
 mod reply;
 mod service;
 
-pub(crate) use front::Front;
+pub(crate) use frontend::Front;
--- a/crates/entry/src/work/mod.rs
+++ b/crates/entry/src/work/mod.rs
@@ -2,9 +2,9 @@
 
 mod answer;
 mod attempt;
-mod course;
 mod cx;
 mod events;
+mod execution;
 mod failure;
 mod once;
 mod open;
@@ -14,8 +14,8 @@
 mod whole;
 
 pub(crate) use answer::{Answer, Streamed};
-pub(crate) use course::{Course, convicted};
 pub(crate) use cx::Cx;
+pub(crate) use execution::{Course, convicted};
 pub(crate) use once::{OnceJob, refuse_once, run_once};
 pub(crate) use pump::run_stream;
 pub(crate) use whole::run_whole;
--- a/crates/entry/src/work/once.rs
+++ b/crates/entry/src/work/once.rs
@@ -14,8 +14,8 @@
 
 use super::answer::Answer;
 use super::attempt::{Attempt, Joined, Started};
-use super::course::Course;
 use super::cx::Cx;
+use super::execution::Course;
 use super::failure::Failure;
 use super::open::start_of;
 use super::records::{Records, Stood};
--- a/crates/entry/src/work/pump.rs
+++ b/crates/entry/src/work/pump.rs
@@ -13,8 +13,8 @@
 
 use super::answer::{EventBody, Streamed};
 use super::attempt::Next;
-use super::course::{Course, Live};
 use super::events::Events;
+use super::execution::{Course, Live};
 use super::failure::Failure;
 use super::whole::{finish_whole, tokens_of};
 use crate::placement::StartAt;
--- a/crates/entry/src/work/told.rs
+++ b/crates/entry/src/work/told.rs
@@ -6,7 +6,7 @@
 use wire::proto::claim_outcome::Kind;
 
 use super::answer::Answer;
-use super::course::RETRY_AFTER;
+use super::execution::RETRY_AFTER;
 
 /// What a caller of a non-repeatable call is told.
 pub(super) type Called = Result<Answer, Problem>;
--- a/crates/entry/src/work/whole.rs
+++ b/crates/entry/src/work/whole.rs
@@ -10,7 +10,7 @@
 
 use super::answer::Answer;
 use super::attempt::{Attempt, Next};
-use super::course::{Course, Live};
+use super::execution::{Course, Live};
 use super::failure::Failure;
 use crate::placement::StartAt;
 
