--- a/crates/entry/src/http/addresses.rs
+++ b/crates/entry/src/http/addresses.rs
@@ -7,8 +7,8 @@
 
 use crate::Settings;
 
-/// Answers with the entries that serve, those of the caller's availability
-/// zone first. `query` may state `zone`; else it is the entry's own.
+/// Lists the active entries, those of the caller's availability zone first. The `zone`
+/// parameter of `query` names that zone; the default is the zone of this entry.
 pub(super) fn response(settings: &Settings, view: &MemberView, query: Option<&str>) -> Response {
     let zone = query.and_then(zone_parameter);
     let zone = zone.unwrap_or(&settings.zone);
--- a/crates/entry/src/http/auth.rs
+++ b/crates/entry/src/http/auth.rs
@@ -1,11 +1,11 @@
-//! Which client account a request belongs to.
+//! Authentication of client accounts.
 
 use admin::Problem;
 use hyper::HeaderMap;
 use hyper::header::AUTHORIZATION;
 use note::{Account, Catalogue};
 
-/// The account whose bearer key the request carries.
+/// Returns the account whose bearer key the request carries.
 pub(super) fn authenticate<'a>(
     headers: &HeaderMap,
     catalogue: &'a Catalogue,
--- a/crates/entry/src/http/chat.rs
+++ b/crates/entry/src/http/chat.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/chat/completions`: what a request's JSON says.
+//! `POST /v1/chat/completions`: the fields of the request body that routing uses.
 
 use admin::Problem;
 use bytes::Bytes;
@@ -9,10 +9,10 @@
 use serde_json::Value;
 use sha2::{Digest, Sha256};
 
-/// Bytes of JSON that are taken for one token.
+/// Average number of JSON bytes per token, used for estimates.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// What routing needs to know of a chat completion request.
+/// The fields of a chat completion request that routing uses.
 #[derive(Debug, Deserialize)]
 pub(super) struct Chat {
     pub(super) model: String,
@@ -29,7 +29,7 @@
 }
 
 impl Chat {
-    /// Reads the request; malformed JSON is told with its place.
+    /// Parses the request. The error for malformed JSON contains the line and column.
     pub(super) fn from_slice(body: &Bytes) -> Result<Self, Problem> {
         serde_json::from_slice(body).map_err(|error| {
             let detail = format!("malformed chat completion request: {error}");
@@ -37,7 +37,8 @@
         })
     }
 
-    /// Checks that the note in force offers what is asked for.
+    /// Checks that the release note in force offers the requested model, adapter and
+    /// version.
     pub(super) fn check_offered(&self, catalogue: &Catalogue) -> Result<(), Problem> {
         let Some(model) = catalogue.model(&self.model) else {
             return Err(unknown_name("model", &self.model));
@@ -51,14 +52,14 @@
         Ok(())
     }
 
-    /// Tokens that the answer may have, estimated.
+    /// Maximum number of answer tokens.
     pub(super) fn answer_tokens(&self, default: u32) -> u32 {
         let max = self.max_completion_tokens.or(self.max_tokens);
         max.unwrap_or(default)
     }
 
-    /// The leading part of the prompt, which requests have in common: its
-    /// first message.
+    /// Returns the prefix of the prompt that requests are likely to share: the first
+    /// message.
     pub(super) fn prefix(&self) -> Option<Prefix> {
         let first = self.messages.first()?.to_string();
         let digest = Sha256::digest(first.as_bytes());
@@ -71,7 +72,7 @@
     }
 }
 
-/// Tokens of so many bytes of text, estimated.
+/// Estimates the number of tokens in `bytes` bytes of text.
 pub(super) fn estimate_tokens(bytes: usize) -> u32 {
     u32::try_from(bytes / BYTES_PER_TOKEN + 1).unwrap_or(u32::MAX)
 }
--- a/crates/entry/src/http/frontend.rs
+++ b/crates/entry/src/http/frontend.rs
@@ -1,4 +1,4 @@
-//! What callers can ask of an entry.
+//! HTTP request handling.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -25,7 +25,7 @@
     run_at_most_once, run_buffered, run_stream,
 };
 
-/// Answers callers and operators; clones share everything.
+/// Handles the HTTP requests of callers and operators; clones share their state.
 #[derive(Clone)]
 pub(crate) struct Frontend {
     pub(crate) settings: Arc<Settings>,
@@ -34,7 +34,7 @@
     pub(crate) operators: Option<Operators>,
 }
 
-/// A request whose caller is known.
+/// The head of an authenticated request.
 struct AuthenticatedRequest {
     id: String,
     arrived: Instant,
@@ -47,7 +47,7 @@
 }
 
 impl Frontend {
-    /// Answers one request.
+    /// Handles one HTTP request.
     pub(crate) async fn handle(self, req: Request<Incoming>) -> Response {
         let path = req.uri().path();
         if let Some(page) = self.pages.answer(req.method(), path) {
@@ -196,7 +196,7 @@
         run_buffered(execution).await.map(reply::buffered)
     }
 
-    /// A call that may not be repeated.
+    /// Runs a non-repeatable call.
     async fn at_most_once(&self, mut job: Job, key: Bytes) -> Result<Response, Problem> {
         let quarantine_check = self.check_quarantine(&mut job).await;
         let digest = digest(&[job.method.as_bytes(), job.path.as_bytes(), &job.body]);
@@ -213,15 +213,16 @@
         answer.map(reply::buffered)
     }
 
-    /// Refuses a request that has crashed targets before, and notes whether
-    /// it may have. Of a suspect the newest is asked first: it may have been
-    /// convicted a moment ago, and would take down another target.
+    /// Refuses a request that is quarantined because it crashed targets, and records in
+    /// the job whether it is suspected of that. For a suspect, the quarantine is
+    /// refreshed first: the request may have been convicted since, and running it would
+    /// crash another target.
     async fn check_quarantine(&self, job: &mut Job) -> Result<(), Problem> {
         let placement = &self.context.placement;
         let mut quarantine_status = placement.quarantine_status(&job.fingerprint);
         if quarantine_status == QuarantineStatus::Allowed(Suspicion::Suspect) {
             let timeout = self.settings.timing.start;
-            // Without an answer, what is known counts.
+            // If the refresh fails, the last known quarantine applies.
             let _ = tokio::time::timeout(timeout, self.context.follower.refresh()).await;
             placement.set_quarantine(&self.context.follower.quarantine());
             quarantine_status = placement.quarantine_status(&job.fingerprint);
@@ -235,8 +236,8 @@
         }
     }
 
-    /// Lets a request in, if this entry may take new work and its account may
-    /// send it.
+    /// Admits a request if this entry may accept new work and the limits of the account
+    /// allow it.
     #[tracing::instrument(name = "admission", skip_all, fields(request = %job.id))]
     async fn admit(&self, job: &Job) -> Result<Permit, Problem> {
         if !self.context.follower.leased(Instant::now()) {
@@ -277,7 +278,8 @@
 }
 
 impl AuthenticatedRequest {
-    /// The job of a plain call; what only chat completions have is added.
+    /// Creates the job of a service call. For chat completions, the caller adds the
+    /// model-specific fields.
     fn job(&self, pool: PoolName, body: &Bytes, deadline: Instant) -> Job {
         let method = self.method.as_str().to_owned();
         let body_digest = digest(&[method.as_bytes(), self.path.as_bytes(), body]);
@@ -310,8 +312,8 @@
     }
 }
 
-/// Counts a request as closed however it ends, also when its caller goes
-/// away and its future is dropped.
+/// Decrements the gauge of open requests on drop, and thus also if the caller
+/// disconnects and the future is dropped.
 struct OpenRequestGuard(prometheus_client::metrics::gauge::Gauge);
 
 impl Drop for OpenRequestGuard {
@@ -346,8 +348,8 @@
     Problem::new(StatusCode::METHOD_NOT_ALLOWED, detail)
 }
 
-/// SHA-256 over parts, each with its length, so that no two lists of parts
-/// have the same bytes.
+/// SHA-256 over length-prefixed parts. The prefixes keep different lists of parts from
+/// having the same input.
 fn digest(parts: &[&[u8]]) -> [u8; 32] {
     let mut hasher = Sha256::new();
     for part in parts {
--- a/crates/entry/src/http/headers.rs
+++ b/crates/entry/src/http/headers.rs
@@ -1,4 +1,4 @@
-//! Headers that pass through, and those that don't.
+//! Forwarded and reserved HTTP headers.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 use hyper::{HeaderMap, StatusCode};
 use wire::proto::Header;
 
-/// Headers that the entry or the agent sets itself.
+/// Headers that are set by the entry or the agent and not forwarded.
 const RESERVED: [&str; 10] = [
     "authorization",
     "expect",
@@ -21,7 +21,7 @@
     "x-resume-events",
 ];
 
-/// Headers of a caller that go to the target.
+/// Headers of a caller's request that are forwarded to the target.
 pub(super) fn forwarded(headers: &HeaderMap) -> Vec<Header> {
     let named = named_by_connection(headers);
     let forwarded = headers.iter().filter(|(name, _)| {
@@ -34,7 +34,7 @@
     forwarded.collect()
 }
 
-/// Whether a header of a target's answer goes to the caller.
+/// Whether a header of a target's answer is returned to the caller.
 pub(super) fn is_returned(name: &str) -> bool {
     is_forwarded(&name.to_ascii_lowercase())
 }
@@ -43,7 +43,8 @@
     !HOP_HEADERS.contains(&name) && !RESERVED.contains(&name)
 }
 
-/// The deadline that the caller asks for, or the default.
+/// Computes the deadline from the `x-request-timeout-ms` header, or from `default`
+/// without it. Timeouts are capped at `max`.
 pub(super) fn deadline(
     headers: &HeaderMap,
     now: Instant,
@@ -66,7 +67,7 @@
     }
 }
 
-/// The caller's trace context, if it is one.
+/// Returns the caller's trace context, or an empty string if it is absent or invalid.
 pub(super) fn traceparent(headers: &HeaderMap) -> String {
     let value = headers.get("traceparent").and_then(|v| v.to_str().ok());
     value
--- a/crates/entry/src/http/mod.rs
+++ b/crates/entry/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! Callers' HTTP. Nothing beyond this module knows a URL or a header.
+//! HTTP interface for callers. URLs and headers are handled in this module only.
 
 mod addresses;
 mod auth;
--- a/crates/entry/src/http/reply.rs
+++ b/crates/entry/src/http/reply.rs
@@ -1,4 +1,4 @@
-//! Answers of targets as HTTP responses.
+//! Conversion of answers of targets to HTTP responses.
 
 use admin::{Body, Problem, Response, full};
 use http_body_util::BodyExt;
@@ -32,7 +32,7 @@
     for header in headers.iter().filter(|header| is_returned(&header.name)) {
         let name = HeaderName::from_bytes(header.name.as_bytes());
         let value = HeaderValue::from_bytes(&header.value);
-        // A header that HTTP can't carry is left out.
+        // Headers that are invalid in HTTP are dropped.
         if let (Ok(name), Ok(value)) = (name, value) {
             response.headers_mut().append(name, value);
         }
--- a/crates/entry/src/http/service.rs
+++ b/crates/entry/src/http/service.rs
@@ -1,20 +1,20 @@
-//! `/s/{service}/...`: which service, and which path there.
+//! Paths and headers of service calls, `/s/{service}/...`.
 
 use admin::Problem;
 use bytes::Bytes;
 use hyper::{HeaderMap, StatusCode};
 
-/// Bytes of an idempotency key.
+/// Maximum length of an idempotency key in bytes.
 const MAX_KEY_BYTES: usize = 256;
 
-/// Splits a path into the service's name and the path at the service.
+/// Splits a path into the name of the service and the path at the service.
 pub(super) fn split_path(path: &str) -> Option<(&str, String)> {
     let rest = path.strip_prefix("/s/")?;
     let (name, rest) = rest.split_once('/').unwrap_or((rest, ""));
     (!name.is_empty()).then(|| (name, format!("/{rest}")))
 }
 
-/// The idempotency key that a non-repeatable call must carry.
+/// Returns the idempotency key, which a non-repeatable call must carry.
 pub(super) fn idempotency_key(headers: &HeaderMap) -> Result<Bytes, Problem> {
     let bad_request = |detail: &str| Problem::new(StatusCode::BAD_REQUEST, detail);
     let Some(key) = headers.get("idempotency-key") else {
