--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -1,4 +1,4 @@
-//! A running entry.
+//! A running entry node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,8 +21,8 @@
 use crate::work::ExecutionContext;
 use crate::{Listeners, Settings};
 
-/// A running entry: callers' HTTP, admission, choice of target, retries and
-/// streams. It holds nothing that must survive.
+/// A running entry node: serves callers over HTTP, admits requests, selects targets,
+/// retries and streams answers. It holds no durable state.
 pub struct Entry {
     http: SocketAddr,
     settings: Arc<Settings>,
@@ -33,28 +33,29 @@
 }
 
 impl Entry {
-    /// Starts an entry on the runtime that this is called on.
+    /// Starts an entry on the current Tokio runtime.
     ///
     /// # Errors
-    /// Fails when the key or token file can't be read.
+    ///
+    /// Fails if the cluster key file or the operator token file cannot be read.
     pub async fn start(settings: Settings, listeners: Listeners) -> eyre::Result<Entry> {
         let http = listeners.http.local_addr()?;
         let settings = Arc::new(settings);
         let key = ClusterKey::from_file(&settings.cluster_key_file)
             .wrap_err_with(|| format!("cluster key {}", settings.cluster_key_file.display()))?;
-        let me = Identity::new(Role::Entry, &settings.name, rand::random());
+        let identity = Identity::new(Role::Entry, &settings.name, rand::random());
         let link = LinkSettings {
             beat: settings.timing.beat,
             ..LinkSettings::default()
         };
-        let info = info(&settings, &me, http);
+        let info = info(&settings, &identity, http);
         let follower = FollowerSettings {
             controls: settings.controls.clone(),
             renew: settings.timing.renew,
             key: key.clone(),
             link: link.clone(),
         };
-        let follower = Follower::spawn(me.clone(), info, follower);
+        let follower = Follower::spawn(identity.clone(), info, follower);
         let seed = rand::random();
         let placement = Placement::new(&settings.zone, &settings.limits, &settings.timing, seed);
         let placement = Arc::new(placement);
@@ -62,7 +63,7 @@
         let link_manager = LinkManagerArguments {
             follower: follower.clone(),
             placement: Arc::clone(&placement),
-            me,
+            identity,
             key,
             link,
             pool_metrics: metrics.pools.clone(),
@@ -86,7 +87,7 @@
         let (ended_tx, ended) = watch::channel(false);
         let server = serve(listeners, frontend, link_manager, stop.clone(), ended_tx);
         tokio::spawn(server);
-        log::info!("entry {} serves callers at {http}", settings.name);
+        log::info!("entry {} listening on {http}", settings.name);
         Ok(Entry {
             http,
             settings,
@@ -97,17 +98,17 @@
         })
     }
 
-    /// Where callers and operators connect.
+    /// Address on which callers and operators connect.
     #[must_use]
     pub fn http_address(&self) -> SocketAddr {
         self.http
     }
 
-    /// Shuts the entry down without cutting off a request.
+    /// Shuts the entry down without interrupting running requests.
     ///
-    /// It leaves the address list at once and goes on serving until the lists
-    /// that callers have kept have run out; then it waits for the requests in
-    /// progress, within a bound. Calling it again joins the first call.
+    /// The entry is removed from the address list at once. It keeps serving until the
+    /// lists that callers have cached expire, and then waits for the running requests,
+    /// at most for the drain timeout. Further calls wait for the same shutdown.
     pub async fn shutdown(&self) {
         if !self.shutting_down.swap(true, Ordering::Relaxed) {
             self.follower.set_leaving(true);
@@ -118,21 +119,21 @@
             });
         }
         let mut ended = self.ended.clone();
-        // An error means that the server is gone too.
+        // An error means that the server task has ended as well.
         let _ = ended.wait_for(|ended| *ended).await;
     }
 }
 
-fn info(settings: &Settings, me: &Identity, http: SocketAddr) -> NodeInfo {
-    // Port 0 in the settings means the port that the kernel chose.
+fn info(settings: &Settings, identity: &Identity, http: SocketAddr) -> NodeInfo {
+    // Port 0 in the settings stands for the port that the kernel assigned.
     let mut advertise = settings.advertise;
     if advertise.port() == 0 {
         advertise.set_port(http.port());
     }
     NodeInfo {
         role: Role::Entry.into(),
-        name: me.name.clone(),
-        incarnation: me.incarnation,
+        name: identity.name.clone(),
+        incarnation: identity.incarnation,
         zone: settings.zone.clone(),
         caller_address: advertise.to_string(),
         ..NodeInfo::default()
@@ -166,8 +167,8 @@
     operators: Option<Operators>,
     shutting_down: &Arc<AtomicBool>,
 ) -> Frontend {
-    let (follower, shutting_down_flag) = (context.follower.clone(), Arc::clone(shutting_down));
-    let pages = Pages::new(registry, move || ready(&follower, &shutting_down_flag));
+    let (follower, is_shutting_down) = (context.follower.clone(), Arc::clone(shutting_down));
+    let pages = Pages::new(registry, move || ready(&follower, &is_shutting_down));
     Frontend {
         settings: Arc::clone(settings),
         context,
@@ -176,7 +177,7 @@
     }
 }
 
-/// Why the entry takes no new work, if so.
+/// Checks whether the entry accepts new requests; the error is the reason why not.
 fn ready(follower: &Follower, shutting_down: &AtomicBool) -> Result<(), String> {
     if shutting_down.load(Ordering::Relaxed) {
         return Err("leaving".to_owned());
@@ -210,7 +211,7 @@
     tracker.close();
     if tokio::time::timeout(drain, tracker.wait()).await.is_err() {
         let open = tracker.len();
-        log::warn!("{open} non-repeatable calls were still followed at the end");
+        log::warn!("shutdown timeout expired with {open} non-repeatable calls still running");
     }
     link_manager.stop(None);
     ended.send_replace(true);
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,12 +1,12 @@
-//! Callers HTTP, admission, choice of target, retries and streams.
+//! HTTP for callers, admission, target selection, retries and streams.
 //!
-//! An [`Entry`] takes the requests of callers, chooses a target for each, has
-//! the target's agent run it, and gives the answer back whole or says what is
-//! known of it. It holds nothing that must survive: what must is asked of the
-//! control replicas through [`node::Follower`].
+//! An [`Entry`] accepts the requests of callers, selects a target for each and has
+//! the agent of the target run it. It returns the complete answer, or an error that
+//! says whether the request has run. It holds no durable state; that is kept by the
+//! control replicas and accessed through [`node::Follower`].
 //!
-//! Settings come from JSON, see [`Settings::from_slice`]; then [`Entry::start`]
-//! serves until [`Entry::shutdown`].
+//! Settings are parsed from JSON by [`Settings::from_slice`]. [`Entry::start`] then
+//! serves callers until [`Entry::shutdown`].
 
 mod entry;
 mod http;
--- a/crates/entry/src/links/agent.rs
+++ b/crates/entry/src/links/agent.rs
@@ -1,4 +1,4 @@
-//! One incarnation of an agent, and the connection to it.
+//! An incarnation of an agent and the connection to it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,12 +11,12 @@
 use wire::Link;
 use wire::proto::frame::Body;
 
-/// One incarnation of an agent.
+/// An incarnation of an agent.
 ///
-/// The connection comes and goes beneath it; attempts watch [`Agent::link`]
-/// and attach anew. Once the incarnation is known to be over, `gone` ends
-/// whatever ran there. The connection is held only while the agent is wanted:
-/// as one of the entry's subset, or by somebody who needs just this one.
+/// The connection may be lost and re-established; attempts watch [`Agent::link`] and
+/// reattach. `ended` is cancelled once the incarnation is known to have ended, which
+/// fails all its attempts. The connection is kept only while it is needed: because the
+/// agent belongs to the subset of the entry, or for an attempt at this agent.
 #[derive(Debug)]
 pub(crate) struct Agent {
     pub(crate) name: String,
@@ -28,17 +28,17 @@
     subscriptions: Mutex<Subscriptions>,
 }
 
-/// Who waits for the frames of each attempt. There may be several: a call
-/// that is sent again joins the attempt that runs already.
+/// Receivers of the frames of each attempt. An attempt can have several: a call that is
+/// sent again joins the running attempt.
 #[derive(Debug, Default)]
 struct Subscriptions {
     by_attempt: BTreeMap<Bytes, BTreeMap<SubscriptionId, mpsc::UnboundedSender<Body>>>,
     next_id: u64,
-    /// When the connection was last asked for or used.
+    /// When the connection was last requested or used.
     last_used: Option<Instant>,
 }
 
-/// One of those who wait for the frames of an attempt.
+/// Identifies a receiver of the frames of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SubscriptionId(u64);
 
@@ -55,12 +55,12 @@
         }
     }
 
-    /// The connection, as it comes and goes.
+    /// Watches the connection.
     pub(crate) fn link(&self) -> watch::Receiver<Option<Link>> {
         self.link.subscribe()
     }
 
-    /// The connection, if it is up now.
+    /// Returns the connection if it is up.
     pub(crate) fn current_link(&self) -> Option<Link> {
         let link = self.link.borrow();
         link.clone().filter(|link| !link.is_closed())
@@ -74,12 +74,12 @@
         self.link.send_replace(link);
     }
 
-    /// Whether the connection is to be held, as that changes.
+    /// Watches whether the connection is needed.
     pub(super) fn link_wanted(&self) -> watch::Receiver<bool> {
         self.link_wanted.subscribe()
     }
 
-    /// Has the connection dialled and held.
+    /// Requests that the connection is established and kept.
     pub(super) fn request_link(&self) {
         let mut subscriptions = self.subscriptions();
         subscriptions.last_used = Some(Instant::now());
@@ -87,10 +87,11 @@
             .send_if_modified(|link_wanted| !std::mem::replace(link_wanted, true));
     }
 
-    /// Lets the connection go once nobody has used it for `linger`: what runs
-    /// there finishes first, and who has just chosen the target still gets to it.
+    /// Gives up the connection if it has been unused for `idle_timeout` and no attempt
+    /// uses it. The timeout gives a request that has just selected the target time to
+    /// use it.
     pub(super) fn release_if_idle(&self, now: Instant, idle_timeout: Duration) {
-        // Under the lock, so that nobody asks for it in between.
+        // The lock is held so that no request for the connection comes in between.
         let subscriptions = self.subscriptions();
         let last_used = subscriptions.last_used.unwrap_or(now);
         let idle = subscriptions.by_attempt.is_empty();
@@ -100,29 +101,29 @@
         }
     }
 
-    /// Ends the connection, if there is one.
+    /// Closes the connection, if there is one.
     pub(super) fn close_link(&self) {
         if let Some(link) = self.link.send_replace(None) {
             link.close();
         }
     }
 
-    /// The connection as soon as there is one, within a bound. It is dialled if the
-    /// agent is not one of the entry's subset.
+    /// Waits until the connection is up, at most for `timeout`. Requests the connection
+    /// if the agent does not belong to the subset of the entry.
     pub(crate) async fn wait_for_link(&self, timeout: Duration) -> Option<Link> {
         self.request_link();
         let mut link = self.link();
-        let up = link.wait_for(|link| link.as_ref().is_some_and(|link| !link.is_closed()));
+        let connected = link.wait_for(|link| link.as_ref().is_some_and(|link| !link.is_closed()));
         tokio::select! {
             () = self.ended.cancelled() => None,
-            up = tokio::time::timeout(timeout, up) => up.ok()?.ok()?.clone(),
+            link = tokio::time::timeout(timeout, connected) => link.ok()?.ok()?.clone(),
         }
     }
 
-    /// Registers somebody who waits for the frames of an attempt.
+    /// Subscribes to the frames of an attempt.
     ///
-    /// The channel has no bound of its own: an agent sends at most a window
-    /// of bytes beyond what the attempt has acknowledged.
+    /// The channel is unbounded, as an agent sends at most one window of bytes beyond
+    /// the acknowledged offset.
     pub(crate) fn subscribe(
         &self,
         attempt: Bytes,
@@ -151,20 +152,19 @@
         self.subscriptions().by_attempt.is_empty()
     }
 
-    /// Hands a frame to those who wait for its attempt. Frames of attempts
-    /// that are over come late, or doubled after a fresh connection, and are
-    /// dropped.
+    /// Delivers a frame to the subscribers of its attempt. Frames of ended attempts,
+    /// which can arrive late or again after a reconnect, are dropped.
     pub(crate) fn dispatch(&self, attempt: &Bytes, frame: &Body) {
         if let Some(by_attempt) = self.subscriptions().by_attempt.get(attempt) {
             for tx in by_attempt.values() {
-                // The receiver goes only together with the entry in the map.
+                // A receiver is dropped only together with its map entry.
                 let _ = tx.send(frame.clone());
             }
         }
     }
 
     fn subscriptions(&self) -> MutexGuard<'_, Subscriptions> {
-        // Nothing panics under the lock; a poisoned map is whole.
+        // No code panics while it holds the lock, so a poisoned map is consistent.
         self.subscriptions
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/crates/entry/src/links/announced_target.rs
+++ b/crates/entry/src/links/announced_target.rs
@@ -1,11 +1,11 @@
-//! An agent's announcement, as the member view tells it.
+//! A target as announced by its agent in the member view.
 
 use std::net::SocketAddr;
 
 use note::Offer;
 use wire::proto::{MemberView, NodeInfo, Role};
 
-/// What a live agent announces.
+/// A target as announced by its live agent.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct AnnouncedTarget {
     pub(crate) target: String,
@@ -22,7 +22,7 @@
 }
 
 impl AnnouncedTarget {
-    /// Reads a node; `None` when it is no agent or announces nothing usable.
+    /// Converts a node; `None` if it is not an agent or its announcement is invalid.
     pub(crate) fn from_node(node: &NodeInfo) -> Option<Self> {
         if node.role() != Role::Agent {
             return None;
@@ -48,7 +48,7 @@
         })
     }
 
-    /// All agents of a view.
+    /// Converts all agents of a view.
     pub(crate) fn from_view(view: &MemberView) -> Vec<Self> {
         view.nodes.iter().filter_map(Self::from_node).collect()
     }
--- a/crates/entry/src/links/connection.rs
+++ b/crates/entry/src/links/connection.rs
@@ -1,4 +1,4 @@
-//! Keeps the connection to one agent up and passes on what comes.
+//! Maintains the connection to an agent and forwards its messages.
 
 use std::sync::Arc;
 
@@ -10,11 +10,10 @@
 use super::Agent;
 use super::event::LinkEvent;
 
-/// Keeps the connection up while the agent is wanted, until its incarnation is
-/// over.
+/// Keeps the connection up while it is needed, until the incarnation of the agent ends.
 pub(super) async fn maintain_link(
     agent: Arc<Agent>,
-    me: Identity,
+    identity: Identity,
     key: ClusterKey,
     cfg: LinkSettings,
     link_manager: ActorRef<LinkEvent>,
@@ -28,12 +27,12 @@
             .is_ok()
         {
             let (link_agent, link_events) = (Arc::clone(&agent), link_manager.clone());
-            let (me, key, cfg) = (me.clone(), key.clone(), cfg.clone());
-            let connect = wire::redial(agent.address, me, key, cfg, move |link, rx| {
+            let (identity, key, cfg) = (identity.clone(), key.clone(), cfg.clone());
+            let connect = wire::redial(agent.address, identity, key, cfg, move |link, rx| {
                 serve_link(Arc::clone(&link_agent), link, rx, link_events.clone())
             });
             let released = async {
-                // An error means that the agent is gone too.
+                // An error means that the agent has been dropped.
                 let _ = link_wanted.wait_for(|link_wanted| !*link_wanted).await;
             };
             tokio::select! {
@@ -55,8 +54,8 @@
 ) {
     let peer = link.peer();
     if peer.name != agent.name || peer.incarnation != agent.incarnation {
-        // An incarnation never comes back: its attempts are lost, and to wait
-        // for them would keep their callers waiting for nothing.
+        // An ended incarnation never comes back. Its attempts are failed at once, as
+        // waiting for them would only delay their callers.
         notify(
             &link_manager,
             LinkEvent::IncarnationEnded(Arc::clone(&agent)),
@@ -96,6 +95,6 @@
 }
 
 fn notify(link_manager: &ActorRef<LinkEvent>, event: LinkEvent) {
-    // Fails only while the entry shuts down.
+    // Fails only during the shutdown of the entry.
     let _ = link_manager.send_message(event);
 }
--- a/crates/entry/src/links/event.rs
+++ b/crates/entry/src/links/event.rs
@@ -1,4 +1,4 @@
-//! What the roster is told.
+//! Messages to the link manager.
 
 use std::sync::Arc;
 
@@ -6,20 +6,20 @@
 
 use super::Agent;
 
-/// What the roster is told.
+/// Message to the link manager.
 #[derive(Debug)]
 pub(crate) enum LinkEvent {
-    /// Something changed.
+    /// The member view, the release note or a link has changed.
     Changed,
-    /// A while has passed.
+    /// The tick interval has passed.
     Tick,
-    /// Another process answers at the agent's address, or a later run of it:
-    /// this incarnation is over.
+    /// A different process or a later incarnation answers at the agent's address: this
+    /// incarnation has ended.
     IncarnationEnded(Arc<Agent>),
-    /// The agent takes no new work.
+    /// The agent accepts no new work.
     Leaving(Arc<Agent>),
-    /// The target's load.
+    /// Load report of the target.
     LoadReport(Arc<Agent>, LoadReport),
-    /// What the target's prefix cache holds.
+    /// Changes of the target's prefix cache.
     CacheEvents(Arc<Agent>, CacheEvents),
 }
--- a/crates/entry/src/links/manager.rs
+++ b/crates/entry/src/links/manager.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the links to all agents.
+//! The actor that manages the links to all agents.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,21 +19,21 @@
 use crate::metrics::{LinkMetrics, PoolMetrics};
 use crate::placement::{LiveTarget, Placement};
 
-/// Between two looks at who waits for a place, if nothing changed.
+/// Interval for advancing the admission queues if nothing else triggers it.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// An agent that is no longer of the subset keeps its link for so many heartbeats
-/// after its last use. A change that is soon taken back then moves no link.
+/// Heartbeat intervals without use after which the link to an agent outside the subset
+/// is closed. A short-lived change of the subset thus closes no links.
 const IDLE_HEARTBEATS: u32 = 10;
 
-/// Owns the links to all agents and keeps the pools as the member view, the
-/// note in force and the links themselves say.
+/// Manages the links to all agents and updates the pools from the member view, the
+/// release note in force and the state of the links.
 pub(crate) struct LinkManager;
 
-/// What the actor is started with.
+/// Startup arguments of the actor.
 pub(crate) struct LinkManagerArguments {
     pub(crate) follower: Follower,
     pub(crate) placement: Arc<Placement>,
-    pub(crate) me: Identity,
+    pub(crate) identity: Identity,
     pub(crate) key: ClusterKey,
     pub(crate) link: LinkSettings,
     pub(crate) pool_metrics: PoolMetrics,
@@ -42,12 +42,12 @@
     pub(crate) subset: SubsetSettings,
 }
 
-/// What the actor keeps.
+/// State of the actor.
 pub(crate) struct LinkManagerState {
     args: LinkManagerArguments,
     agents: BTreeMap<String, KnownAgent>,
     subsets: Subsets,
-    /// When an agent will have been out of reach for too long.
+    /// When the next unavailable agent exceeds the grace period.
     next_reconcile: Option<Instant>,
     timer: JoinHandle<()>,
 }
@@ -55,11 +55,12 @@
 struct KnownAgent {
     agent: Arc<Agent>,
     task: JoinHandle<()>,
-    /// It said on its link that it leaves, which the member view tells later.
+    /// Whether the agent has announced on its link that it is leaving. The member view
+    /// shows this later.
     leaving: bool,
-    /// It is one of the targets to link.
+    /// Whether the agent is selected for a link.
     selected: bool,
-    /// Since when it is chosen and can't be given work.
+    /// When the agent became unavailable while selected.
     unavailable_since: Option<Instant>,
 }
 
@@ -74,7 +75,7 @@
         args: LinkManagerArguments,
     ) -> Result<LinkManagerState, ActorProcessingErr> {
         let timer = tokio::spawn(run_timer(myself, args.follower.clone()));
-        let subsets = Subsets::new(args.subset, &args.me.name, &args.zone);
+        let subsets = Subsets::new(args.subset, &args.identity.name, &args.zone);
         Ok(LinkManagerState {
             args,
             agents: BTreeMap::new(),
@@ -120,14 +121,14 @@
     }
 }
 
-/// Has the roster look at each change of what the follower holds.
+/// Sends an event on each change of the follower state, and ticks in between.
 async fn run_timer(link_manager: ActorRef<LinkEvent>, follower: Follower) {
     let mut changed = follower.changed();
     let mut event = LinkEvent::Changed;
     while link_manager.send_message(event).is_ok() {
         event = match timeout(TICK_INTERVAL, changed.changed()).await {
             Ok(Ok(())) => LinkEvent::Changed,
-            // The follower is gone, and so is the entry in a moment.
+            // The follower ends only shortly before the entry itself.
             Ok(Err(_)) => return,
             Err(_) => LinkEvent::Tick,
         };
@@ -161,7 +162,7 @@
         self.args.link_metrics.agents.set(to_i64(self.agents.len()));
     }
 
-    /// Brings links and pools in line with the member view and the note.
+    /// Updates links and pools from the member view and the release note.
     fn reconcile(&mut self, myself: &ActorRef<LinkEvent>) {
         let now = Instant::now();
         let view = self.args.follower.view();
@@ -190,7 +191,7 @@
         placement.set_agents(known_agents);
     }
 
-    /// Chooses the agents to link, and has them dialled.
+    /// Selects the agents to link and requests connections to them.
     fn select_agents(
         &mut self,
         now: Instant,
@@ -218,8 +219,8 @@
                 continue;
             };
             if row.leaving && known.selected {
-                // What runs there finishes, and a target less is no reason to
-                // let others wait for a connection.
+                // Attempts there may finish. One target less is no reason to make
+                // requests for other targets wait for new connections.
                 linked.insert(row.target.clone(), 1);
             }
             let selected = linked.contains_key(&row.target);
@@ -235,7 +236,7 @@
         linked
     }
 
-    /// Sees to it that the announced incarnation is linked.
+    /// Ensures that the announced incarnation is the one that is linked.
     fn ensure_agent(&mut self, row: &AnnouncedTarget, myself: &ActorRef<LinkEvent>) {
         if let Some(known) = self.agents.get(&row.target) {
             let same = known.agent.incarnation == row.incarnation;
@@ -249,7 +250,7 @@
         let agent = Arc::new(agent);
         let task = tokio::spawn(maintain_link(
             Arc::clone(&agent),
-            self.args.me.clone(),
+            self.args.identity.clone(),
             self.args.key.clone(),
             self.args.link.clone(),
             myself.clone(),
@@ -264,9 +265,9 @@
         self.agents.insert(row.target.clone(), known);
     }
 
-    /// Ends the links to agents that are no longer announced and have neither
-    /// a connection nor an attempt left. As long as the connection lives, the
-    /// agent is only cut off from control, and what runs there finishes.
+    /// Removes agents that are no longer announced and have neither a connection nor a
+    /// running attempt. An agent whose connection is up may only be cut off from
+    /// control, so its attempts may finish.
     fn remove_unreachable(&mut self, announced: &[AnnouncedTarget]) {
         self.agents.retain(|name, known| {
             let is_announced = announced.iter().any(|row| row.target == *name);
@@ -318,7 +319,7 @@
         });
         let mut ranks: Vec<RankLoadReport> = ranks.collect();
         if ranks.is_empty() {
-            // A plain service reports itself as a whole.
+            // A service has no ranks and reports its total load.
             ranks.push(RankLoadReport {
                 running: report.running,
                 ..RankLoadReport::default()
@@ -335,13 +336,13 @@
 }
 
 impl KnownAgent {
-    /// Notes since when it can't be given the work that it is chosen for.
+    /// Updates the time at which the agent became unavailable while selected.
     fn update_unavailable_since(&mut self, now: Instant, row: &AnnouncedTarget) {
         let since = self.unavailable_since.unwrap_or(now);
         self.unavailable_since = (self.selected && !self.is_available(row)).then_some(since);
     }
 
-    /// Whether the target can be given work, but for its leaving.
+    /// Whether the target can accept work, disregarding that it may be leaving.
     fn is_available(&self, row: &AnnouncedTarget) -> bool {
         row.healthy && self.agent.is_connected() && !self.agent.ended.is_cancelled()
     }
--- a/crates/entry/src/links/mod.rs
+++ b/crates/entry/src/links/mod.rs
@@ -1,4 +1,4 @@
-//! Links to agents: who they are, and the one connection to each that is wanted.
+//! Links to agents: discovery and one connection to each selected agent.
 
 mod agent;
 mod announced_target;
--- a/crates/entry/src/links/subsets.rs
+++ b/crates/entry/src/links/subsets.rs
@@ -1,4 +1,4 @@
-//! Which agents this entry keeps links to.
+//! Selection of the agents to which this entry keeps links.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,12 +11,12 @@
 use crate::placement::pool_of;
 use crate::pool_name::PoolName;
 
-/// The subsets of this entry, one for each class of targets.
+/// The subsets of targets of this entry, one for each class of targets.
 pub(super) struct Subsets {
     cfg: SubsetSettings,
     name: String,
     zone: String,
-    /// What the classes were worked out from.
+    /// The view and release note from which the classes were computed.
     source: Option<(Arc<MemberView>, Arc<Catalogue>)>,
     settled: bool,
     classes: Vec<TargetClass>,
@@ -27,9 +27,9 @@
     subset: Subset,
 }
 
-/// Targets that can stand in for each other. A request may need a version or an
-/// adapter that only some targets of its pool have, so each profile is a class of
-/// its own; among the picks of a whole pool there might be none that fits.
+/// Properties of a class of interchangeable targets. A request may need a version or an
+/// adapter that only some targets of its pool have. With one subset for the whole pool,
+/// it might contain none of them, so each profile has a subset of its own.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Profile<'a> {
     pool: Result<PoolName, &'a Offer>,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Works the classes out anew if the view or the note is another one.
+    /// Recomputes the classes if the view or the release note has changed.
     pub(super) fn update(
         &mut self,
         view: &Arc<MemberView>,
@@ -90,7 +90,7 @@
         self.classes = classes.collect();
     }
 
-    /// The targets to link now, and how many entries link each of them.
+    /// Returns the targets to link, and for each the number of entries that link it.
     pub(super) fn linked(
         &self,
         reachability: impl Fn(&str) -> Reachability,
@@ -107,8 +107,9 @@
         linked
     }
 
-    /// Entries that serve callers, this one included: it may not be in the view
-    /// yet, or may be leaving and still serve those who hold its address.
+    /// Entries that serve callers, including this one. This entry may be missing from
+    /// the view when it starts, or leaving and still serving callers that have cached
+    /// its address.
     fn entries<'a>(&'a self, view: &'a MemberView) -> Vec<ZonedNode<'a>> {
         let nodes = view.nodes.iter();
         let others = nodes.filter(|node| {
@@ -127,9 +128,10 @@
         entries
     }
 
-    /// At a common start the first views lack most entries. If those few took all
-    /// targets between them, each of hundreds of entries would dial each target
-    /// within the first second. Their own picks do until one view was whole.
+    /// When all nodes start together, the first views lack most entries. If the few
+    /// that are visible divided all targets among them, each of hundreds of entries
+    /// would connect to each target within the first second. Until the view has been
+    /// complete once, each entry links only its own selection.
     fn cfg(&self) -> SubsetSettings {
         let entries = if self.settled { self.cfg.entries } else { 0 };
         SubsetSettings {
