--- a/crates/entry/src/placement/inner.rs
+++ b/crates/entry/src/placement/inner.rs
@@ -1,4 +1,4 @@
-//! The state behind the lock.
+//! The state protected by the lock of `Placement`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -33,31 +33,31 @@
     convicted: BTreeSet<Fingerprint>,
     suspects: BTreeSet<Fingerprint>,
     quarantine_version: u64,
-    /// Crashes that this entry saw requests cause or be near of, and when the
-    /// last one was.
+    /// Crashes that this entry saw while a request was running, and the time of the
+    /// last one.
     local_crashes: BTreeMap<Fingerprint, (u32, Instant)>,
     rng: SmallRng,
     zone: String,
     zone_distance: Duration,
     account_part: f64,
-    /// The part that this entry gives out of an account that it was granted none of.
-    default_part: f64,
+    /// Fraction of the limits of an account that this entry uses without a grant.
+    default_fraction: f64,
     admission: AdmissionSettings,
 }
 
-/// For how long own crashes count: until the quarantine must have heard of
-/// them. It has the last word, also when an operator pardons a request.
+/// Time for which locally observed crashes count. By then the quarantine knows of them;
+/// afterwards it alone decides, so that an operator can pardon a request.
 const LOCAL_CRASH_TTL: Duration = Duration::from_secs(10);
-/// Requests of which own crashes are remembered.
+/// Maximum number of requests with locally recorded crashes.
 const MAX_LOCAL_CRASHES: usize = 4096;
-/// Targets that one request may crash before it is refused.
+/// Number of crashed targets after which a request is refused.
 const CRASH_LIMIT: u32 = 2;
-/// A part that was granted is no longer acted on so long before its end: it is looked at
-/// at each tick only.
+/// Time before its expiry at which a grant is no longer used, as grants are checked
+/// only at each tick.
 const GRANT_MARGIN: Duration = Duration::from_millis(200);
-/// Accounts whose use control is told of with each renewal.
+/// Maximum number of accounts reported to control with each renewal.
 const MAX_REPORTED_ACCOUNTS: usize = 128;
-/// Network distance assumed within an availability zone.
+/// Network latency assumed within an availability zone.
 const SAME_ZONE_DISTANCE: Duration = Duration::from_micros(300);
 
 impl Inner {
@@ -73,7 +73,7 @@
             agents: BTreeMap::new(),
             budget: RetryBudget::new(limits.retry_ratio, limits.retry_reserve, now),
             accounts: BTreeMap::new(),
-            default_part: 1.0,
+            default_fraction: 1.0,
             convicted: BTreeSet::new(),
             suspects: BTreeSet::new(),
             quarantine_version: 0,
@@ -123,8 +123,8 @@
         self.withdraw_pools(now, &targets_by_pool);
     }
 
-    /// Empties the pools of what is no longer offered, and drops them once
-    /// nothing runs there.
+    /// Empties the pools of withdrawn models and services, and removes them once they
+    /// are idle.
     fn withdraw_pools(
         &mut self,
         now: Instant,
@@ -141,36 +141,36 @@
     }
 
     fn update_accounts(&mut self, now: Instant, catalogue: &Catalogue, entries: u32) {
-        self.default_part = if self.account_part > 0.0 {
+        self.default_fraction = if self.account_part > 0.0 {
             self.account_part
         } else {
             1.0 / f64::from(entries)
         };
         for account in catalogue.accounts() {
-            let part = self.default_part;
+            let fraction = self.default_fraction;
             let quota = self.accounts.entry(account.name.clone());
-            let quota = quota.or_insert_with(|| AccountQuota::new(account, part, now));
-            quota.set_account(account, part, now);
+            let quota = quota.or_insert_with(|| AccountQuota::new(account, fraction, now));
+            quota.set_account(account, fraction, now);
         }
         self.accounts.retain(|name, quota| {
             quota.limiter().active() > 0 || catalogue.account(name).is_some()
         });
     }
 
-    /// Acts on the parts of accounts' limits that were granted, and says what is used.
+    /// Applies the granted fractions of account limits and returns the usage to report.
     pub(super) fn exchange_quotas(&mut self, now: Instant, parts: &Parts) -> Vec<AccountUse> {
-        let soon = now + GRANT_MARGIN;
+        let margin_end = now + GRANT_MARGIN;
         let is_fixed = self.account_part > 0.0;
         let mut uses = Vec::new();
         for quota in self.accounts.values_mut() {
-            let part = parts.get(&quota.hash()).filter(|_| !is_fixed);
-            let part = part
-                .filter(|(_, until)| soon < *until)
-                .map(|(part, _)| *part);
-            quota.set_granted_part(part, self.default_part, now);
+            let fraction = parts.get(&quota.hash()).filter(|_| !is_fixed);
+            let fraction = fraction
+                .filter(|(_, until)| margin_end < *until)
+                .map(|(fraction, _)| *fraction);
+            quota.set_granted_fraction(fraction, self.default_fraction, now);
             uses.extend(quota.report(now).filter(|_| !is_fixed));
         }
-        uses.sort_by_key(|used| std::cmp::Reverse((used.demand, used.account)));
+        uses.sort_by_key(|usage| std::cmp::Reverse((usage.demand, usage.account)));
         uses.truncate(MAX_REPORTED_ACCOUNTS);
         uses
     }
@@ -189,7 +189,7 @@
         self.suspects = parse(&quarantine.suspects);
     }
 
-    /// Notes that a target crashed while the request ran there.
+    /// Records that a target crashed while it ran the request.
     pub(super) fn record_crash(&mut self, now: Instant, fingerprint: Fingerprint) {
         self.local_crashes
             .retain(|_, (_, at)| now.saturating_duration_since(*at) < LOCAL_CRASH_TTL);
@@ -267,7 +267,7 @@
         state.place(now, job, requirements, &mut self.rng)
     }
 
-    /// The refusal of a request for which there is no room.
+    /// Refusal of a request for which there is no capacity.
     pub(super) fn shed_refusal() -> Refusal {
         Refusal {
             reason: RefusalReason::Shed,
@@ -276,8 +276,8 @@
     }
 }
 
-/// The pool that an announced target belongs to, if the note offers it for
-/// just that group or service.
+/// Returns the pool of an announced target if the release note assigns the target to
+/// the announced group or service.
 pub(crate) fn pool_of(catalogue: &Catalogue, announced: &AnnouncedTarget) -> Option<PoolName> {
     let target = catalogue.target(&announced.target)?;
     if target.offer != announced.offer {
--- a/crates/entry/src/placement/live_target.rs
+++ b/crates/entry/src/placement/live_target.rs
@@ -1,4 +1,4 @@
-//! A live target that may belong to a pool.
+//! A live target.
 
 use std::sync::Arc;
 
@@ -6,12 +6,12 @@
 
 use crate::links::{Agent, AnnouncedTarget};
 
-/// A live target that may belong to a pool.
+/// A live target, a candidate for a pool.
 #[derive(Clone, Debug)]
 pub(crate) struct LiveTarget {
     pub(crate) agent: Arc<Agent>,
     pub(crate) announced: AnnouncedTarget,
     pub(crate) status: TargetStatus,
-    /// Entries that send it work, this one included.
+    /// Number of entries that send it work, including this one.
     pub(crate) entries: u32,
 }
--- a/crates/entry/src/placement/mod.rs
+++ b/crates/entry/src/placement/mod.rs
@@ -1,4 +1,4 @@
-//! The pools of targets, and who is let in to them.
+//! Pools of targets and admission to them.
 
 mod account_quota;
 mod inner;
@@ -28,17 +28,17 @@
 pub(crate) use placed_attempt::{AttemptRequirements, PlacedAttempt, StartAt};
 use pool_state::PoolState;
 
-/// The pools of targets, and who is let in to them: the shared state that the
-/// decisions of the `route` crate are taken on.
+/// Pools of targets and admission to them: the shared state on which the `route` crate
+/// bases its decisions.
 #[derive(Debug)]
 pub(crate) struct Placement {
     inner: Mutex<Inner>,
 }
 
-/// What the quarantine holds against a request.
+/// Quarantine status of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QuarantineStatus {
-    /// It may run, alone among suspects or freely.
+    /// It may run: freely, or as a suspect on a target without another suspect.
     Allowed(Suspicion),
     /// It is refused.
     Convicted,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Brings the pools in line with what is offered and who lives.
+    /// Updates the pools from the release note and the live targets.
     pub(crate) fn update(
         &self,
         now: Instant,
@@ -63,14 +63,15 @@
         self.lock().update(now, catalogue, live_targets, entries);
     }
 
-    /// Lets in whoever's turn it is and refuses whose time is over.
+    /// Admits queued requests whose turn has come and refuses those whose deadline has
+    /// passed.
     pub(crate) fn advance(&self, now: Instant) {
         for state in self.lock().pools.values_mut() {
             state.advance(now);
         }
     }
 
-    /// Shows the figures of all pools.
+    /// Updates the metrics of all pools.
     pub(crate) fn export_metrics(&self, now: Instant, metrics: &PoolMetrics) {
         for (name, state) in &self.lock().pools {
             state.export_metrics(name.as_str(), now, metrics);
@@ -85,7 +86,7 @@
         self.lock().quarantine_status(Instant::now(), fingerprint)
     }
 
-    /// Notes that a target crashed while the request ran there.
+    /// Records that a target crashed while it ran the request.
     pub(crate) fn record_crash(&self, fingerprint: Fingerprint) {
         self.lock().record_crash(Instant::now(), fingerprint);
     }
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Lets a request in, at once or when its turn comes before `until`.
+    /// Admits a request, at once or when its turn comes before `until`.
     pub(crate) async fn admit(
         self: &Arc<Self>,
         job: &Job,
@@ -121,15 +122,15 @@
         let (ticket, queued) = entered?;
         let permit = Permit::new(Arc::clone(self), job, ticket);
         if queued {
-            // The sender is kept with the ticket, and each ticket is either
-            // admitted or refused by its deadline.
+            // The sender is kept with the ticket, and each ticket is either admitted or
+            // refused by its deadline.
             let answer = rx.await.unwrap_or_else(|_| Err(Inner::shed_refusal()));
             answer?;
         }
         Ok(permit)
     }
 
-    /// Chooses a target for an attempt, if one has room.
+    /// Selects a target for an attempt if one has capacity.
     pub(crate) fn place(
         self: &Arc<Self>,
         job: &Job,
@@ -149,32 +150,32 @@
         self.lock().agents = named.collect();
     }
 
-    /// The agent of a target, whether or not new work is sent there: a call may run
-    /// there that another entry sent.
+    /// Returns the agent of a target, also if this entry sends it no new work: it may
+    /// run a call from another entry.
     pub(crate) fn agent(&self, target: &str) -> Option<Arc<Agent>> {
         self.lock().agents.get(target).cloned()
     }
 
-    /// Whether any target is offered and announced for the request, be it
-    /// out of reach just now.
+    /// Whether a target for the request is offered and announced, even if it is
+    /// unreachable at present.
     pub(crate) fn has_targets(&self, job: &Job) -> bool {
         let inner = self.lock();
         let state = inner.pools.get(&job.pool);
         state.is_some_and(PoolState::has_targets)
     }
 
-    /// Acts on the parts of accounts' limits that were granted, and says what is used.
+    /// Applies the granted fractions of account limits and returns the usage to report.
     pub(crate) fn exchange_quotas(&self, now: Instant, parts: &Parts) -> Vec<AccountUse> {
         self.lock().exchange_quotas(now, parts)
     }
 
-    /// Takes one retry from the budget, if there is one.
+    /// Withdraws a retry from the budget; `false` if the budget is exhausted.
     pub(crate) fn withdraw_retry(&self) -> bool {
         self.lock().budget.withdraw(Instant::now())
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        // Nothing panics half-way through a change; a poisoned state is whole.
+        // No code panics in the middle of an update, so a poisoned state is consistent.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/entry/src/placement/permit.rs
+++ b/crates/entry/src/placement/permit.rs
@@ -1,4 +1,4 @@
-//! The permission to run, given back when dropped.
+//! Admission permit, released on drop.
 
 use std::sync::Arc;
 
@@ -8,9 +8,9 @@
 use crate::job::Job;
 use crate::pool_name::PoolName;
 
-/// A request's place in admission. Dropping it, in whatever way the request
-/// ends, gives the place to the next one; a place that leaked would be lost
-/// to all callers until a restart.
+/// An admitted request's permit. It is released on drop, however the request ends, and
+/// its capacity goes to the next request. Leaked capacity would be lost until a
+/// restart.
 #[derive(Debug)]
 pub(crate) struct Permit {
     placement: Arc<Placement>,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Notes the tokens that the request used, as far as known.
+    /// Records the number of tokens that the request has used so far.
     pub(crate) fn set_used(&mut self, tokens: u32) {
         self.used = self.used.max(tokens);
     }
--- a/crates/entry/src/placement/placed_attempt.rs
+++ b/crates/entry/src/placement/placed_attempt.rs
@@ -1,4 +1,4 @@
-//! The place of one attempt at a target.
+//! An attempt assigned to a target.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -9,27 +9,27 @@
 use crate::links::Agent;
 use crate::pool_name::PoolName;
 
-/// What an attempt asks of its target beside room.
+/// Requirements of an attempt for its target, apart from capacity.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AttemptRequirements {
-    /// Targets that the request has failed on.
+    /// Targets at which the request has failed.
     pub(crate) avoid: Vec<String>,
-    /// How the stream is to go on.
+    /// Where the answer starts.
     pub(crate) start: StartAt,
 }
 
-/// Where the answer is to begin.
+/// Where an answer starts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum StartAt {
-    /// At its beginning.
+    /// At the beginning.
     #[default]
     Beginning,
-    /// After the events that the caller was given; the target must be able to
-    /// resume.
+    /// After this number of events, which the caller has received; requires a target
+    /// that can resume.
     Event(u64),
 }
 
-/// What the choice found.
+/// The selected target.
 #[derive(Debug)]
 pub(crate) struct Assignment {
     pub(crate) agent: Arc<Agent>,
@@ -38,8 +38,8 @@
     pub(crate) attempt: AttemptKey,
 }
 
-/// The place of one attempt; dropping it tells the pool that the attempt was
-/// given up.
+/// An attempt assigned to a target. If it is dropped without [`PlacedAttempt::end`],
+/// the pool counts the attempt as cancelled.
 #[derive(Debug)]
 pub(crate) struct PlacedAttempt {
     placement: Arc<Placement>,
@@ -70,7 +70,7 @@
         self.assignment.rank
     }
 
-    /// The first byte of the answer has arrived.
+    /// Records that the first byte of the answer has arrived.
     pub(crate) fn record_first_byte(&self) {
         let mut inner = self.placement.lock();
         if let Some(state) = inner.pools.get_mut(&self.pool) {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Ends the attempt.
+    /// Ends the attempt with `result`.
     pub(crate) fn end(mut self, result: AttemptResult) {
         self.result = Some(result);
     }
--- a/crates/entry/src/placement/pool_state.rs
+++ b/crates/entry/src/placement/pool_state.rs
@@ -1,4 +1,4 @@
-//! One pool with its targets' agents and its waiting requests.
+//! A pool with the agents of its targets and its queued requests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,10 +19,10 @@
 use crate::links::{Agent, AnnouncedTarget};
 use crate::metrics::{self, PoolMetrics};
 
-/// Tells a queued request that its turn has come, or that it never will.
+/// Notifies a queued request that it was admitted or refused.
 pub(super) type AdmissionSender = oneshot::Sender<Result<(), Refusal>>;
 
-/// One pool with its targets' agents and its waiting requests.
+/// A pool with the agents of its targets and its queued requests.
 #[derive(Debug)]
 pub(super) struct PoolState {
     pub(super) pool: Pool,
@@ -31,14 +31,15 @@
     targets: BTreeMap<String, PoolTarget>,
     waiters: BTreeMap<TicketKey, AdmissionSender>,
     created: Instant,
-    /// When the places were last counted.
+    /// When the capacity was last updated.
     capacity_updated: Option<Instant>,
 }
 
-/// Targets that are first heard of within this time ran before the pool did.
+/// Targets that are discovered within this time after the creation of the pool are
+/// assumed to have been running before.
 const DISCOVERY_PERIOD: Duration = Duration::from_secs(10);
-/// For how long a count of the places holds. Counting looks at each target,
-/// which at hundreds of them is too much for each request.
+/// Time for which a computed capacity is reused. Computing it visits each target, which
+/// is too expensive per request with hundreds of targets.
 const CAPACITY_MAX_AGE: Duration = Duration::from_millis(2);
 
 #[derive(Debug)]
@@ -78,7 +79,7 @@
         self.targets.is_empty() && self.admission.running() == 0 && self.admission.waiting() == 0
     }
 
-    /// Brings the targets in line with `members`.
+    /// Updates the targets from `live_targets`.
     pub(super) fn update(
         &mut self,
         now: Instant,
@@ -130,7 +131,8 @@
         });
     }
 
-    /// Asks for a request to be let in; `true` when it waits for `turn`.
+    /// Submits a request for admission. `true` means that it is queued and
+    /// `admission_tx` receives the decision.
     pub(super) fn submit(
         &mut self,
         now: Instant,
@@ -154,7 +156,7 @@
             route::AdmissionDecision::Admitted(ticket) => Ok((ticket, false)),
             route::AdmissionDecision::Queued(ticket) => {
                 self.waiters.insert(ticket, admission_tx);
-                // It may have shed another one.
+                // Queuing this request may have shed another one.
                 self.advance(now);
                 Ok((ticket, true))
             }
@@ -168,7 +170,7 @@
         self.advance(now);
     }
 
-    /// Shows the pool's figures.
+    /// Updates the metrics of the pool.
     pub(super) fn export_metrics(&self, name: &str, now: Instant, metrics: &PoolMetrics) {
         let label = metrics::PoolLabel {
             pool: name.to_owned(),
@@ -192,13 +194,14 @@
         }
     }
 
-    /// Lets in whoever's turn it is.
+    /// Admits queued requests whose turn has come and refuses those that have expired.
     pub(super) fn advance(&mut self, now: Instant) {
         self.refresh_capacity(now);
         let advance = self.admission.advance(now);
         for ticket in advance.admitted {
             if let Some(admission_tx) = self.waiters.remove(&ticket) {
-                // A receiver that is gone gives its place back by itself.
+                // If the receiver has been dropped, the permit of the request releases
+                // the capacity.
                 let _ = admission_tx.send(Ok(()));
             }
         }
@@ -255,11 +258,11 @@
         && has(&announced.versions, &job.version)
 }
 
-/// The whole part of a count.
+/// Truncates a count to an integer.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "the count is clamped to what the type holds before"
+    reason = "the count is clamped to the range of the type"
 )]
 fn to_usize(count: f64) -> usize {
     count.clamp(0.0, f64::from(u32::MAX)) as usize
