--- a/crates/entry/src/work/answer.rs
+++ b/crates/entry/src/work/answer.rs
@@ -1,4 +1,4 @@
-//! What a caller is answered with.
+//! Answers for callers.
 
 use std::io;
 use std::pin::Pin;
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc;
 use wire::proto::Header;
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug)]
 pub(crate) struct Answer {
     pub(crate) status: u32,
@@ -17,20 +17,20 @@
     pub(crate) body: Bytes,
 }
 
-/// The answer to a request that asked for a stream.
+/// Answer to a request for a stream.
 #[derive(Debug)]
 pub(crate) enum StreamAnswer {
-    /// The stream.
+    /// A stream of events.
     Events {
         headers: Vec<Header>,
         body: EventBody,
     },
-    /// The target answered otherwise, mostly with an error.
+    /// The target sent an answer that is not a stream, usually an error.
     Buffered(Answer),
 }
 
-/// The body of a stream. An error in it closes the connection without the
-/// final chunk, so that the caller can't take a broken stream for a whole one.
+/// The body of a stream. An error in it closes the connection without the final chunk,
+/// so that the caller cannot mistake a truncated stream for a complete one.
 #[derive(Debug)]
 pub(crate) struct EventBody {
     rx: mpsc::Receiver<io::Result<Bytes>>,
--- a/crates/entry/src/work/at_most_once.rs
+++ b/crates/entry/src/work/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated.
+//! Non-repeatable calls, which run at most once per idempotency key.
 
 use std::time::{Duration, Instant};
 
@@ -24,22 +24,22 @@
 use crate::job::Job;
 use crate::placement::{Permit, PlacedAttempt, StartAt};
 
-/// Time beyond its deadline for which a running call is followed, so that its
-/// outcome is recorded even if its caller no longer waits.
+/// Time after the deadline for which a running call is followed, so that its outcome is
+/// recorded even if the caller no longer waits.
 const RECORDING_GRACE: Duration = Duration::from_secs(30);
-/// Between two looks at whether another entry has recorded the outcome.
+/// Interval for checking whether another entry has recorded the outcome.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Before the first look while an attempt is followed; each further one waits
-/// twice as long. Mostly the answer comes first; where a caller sent its call
-/// through two entries at once, one of them gets no frames and must not keep
-/// it waiting.
+/// Delay of the first such check while an attempt is followed, doubled with each
+/// further check. Usually the answer arrives first. If a caller has sent its call
+/// through two entries at once, only one of them receives the frames, and the other one
+/// must not delay its answer.
 const FIRST_POLL_DELAY: Duration = Duration::from_millis(20);
-/// Between two looks while an attempt is followed, at most.
+/// Maximum interval of these checks while an attempt is followed.
 const MAX_POLL_DELAY: Duration = Duration::from_secs(1);
-/// Claims for one call before it is given up.
+/// Maximum number of claims for a call.
 const MAX_CLAIMS: u32 = 16;
 
-/// A call that may not be repeated.
+/// A non-repeatable call.
 pub(crate) struct AtMostOnceJob {
     pub(crate) job: Job,
     /// The caller's idempotency key.
@@ -48,10 +48,10 @@
     pub(crate) digest: Bytes,
 }
 
-/// Runs a call that may not be repeated.
+/// Runs a non-repeatable call.
 ///
-/// It runs on a task of its own, for it must be followed to its end even when
-/// its caller goes away: an outcome that nobody records is unknown for good.
+/// It runs on a task of its own, as it must be followed to its end even if the caller
+/// disconnects: an outcome that is not recorded is lost.
 pub(crate) async fn run_at_most_once(
     context: ExecutionContext,
     call: AtMostOnceJob,
@@ -66,7 +66,7 @@
     };
     let (tx, rx) = oneshot::channel();
     tracker.spawn(async move {
-        // The caller may have gone; the record stands either way.
+        // If the caller has disconnected, the outcome is recorded nevertheless.
         let _ = tx.send(call.run().await);
     });
     let left = deadline.saturating_duration_since(Instant::now());
@@ -96,11 +96,11 @@
     ledger_record: LedgerRecord,
 }
 
-/// What is to be done next with a call.
+/// The next step of a call.
 enum Step {
-    /// Its caller is answered.
+    /// Answer the caller.
     Answer(Result<Answer, Problem>),
-    /// The key is free again: claim it anew.
+    /// The key has been released: claim it again.
     ClaimAgain,
 }
 
@@ -122,7 +122,7 @@
         ))
     }
 
-    /// Claims the key for an attempt and takes it from there.
+    /// Claims the key for an attempt and proceeds by the result of the claim.
     async fn claim(&mut self) -> Result<Step, Problem> {
         let placed = match self.execution.find_target().await {
             Ok(placed) => placed,
@@ -134,10 +134,10 @@
         start.keep = true;
         let attempt = start.attempt.clone();
         let agent = placed.agent();
-        // The start goes out on no later connection than this. An entry that
-        // is stopped after its claim finds it closed when it goes on, and so
-        // can't start an attempt that was barred so long ago that its agent
-        // no longer remembers the bar.
+        // The start is sent only on the connection that was open before the claim. If
+        // this entry is paused after its claim, it finds that connection closed when it
+        // resumes. It thus cannot start an attempt that was barred so long ago that the
+        // agent has forgotten the bar.
         let link = agent.current_link();
         let record = self
             .ledger_record
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Starts the attempt that the claim is for.
+    /// Starts the claimed attempt.
     async fn start(
         &mut self,
         placed: PlacedAttempt,
@@ -210,8 +210,8 @@
         }
     }
 
-    /// The attempt never ran and never will: frees the key, and tries again
-    /// within the limits of retries.
+    /// The attempt did not run and never will: releases the key and retries within the
+    /// retry limits.
     async fn release_and_retry(&mut self, id: &Bytes, target: &str) -> Result<Step, Problem> {
         self.ledger_record.release(id).await?;
         match self.execution.prepare_retry(target, Failure::NotRun).await {
@@ -220,8 +220,8 @@
         }
     }
 
-    /// Another attempt holds the key, started by another entry or before a
-    /// connection was lost: finds out at its agent what became of it.
+    /// Another attempt holds the key; it was started by another entry, or its start
+    /// reply was lost. Asks its agent for its state.
     async fn join(&mut self, record: ClaimOutcome) -> Result<Step, Problem> {
         let context = self.execution.context.clone();
         let until = Instant::now() + context.timing.start;
@@ -238,8 +238,8 @@
                 JoinOutcome::Unreachable => return self.wait_for_record().await,
                 JoinOutcome::State(state) => state,
             };
-            // Its entry may be about to start it; only when it had the time
-            // to, the attempt is barred.
+            // The other entry may be about to start it. The attempt is barred only
+            // after that entry has had time to do so.
             let may_still_start = state == AttemptState::Absent && Instant::now() < until;
             let same_incarnation = agent.incarnation == record.incarnation;
             if may_still_start && same_incarnation {
@@ -252,9 +252,9 @@
         }
     }
 
-    /// Nothing was heard of the attempt in time. Its agent may have stood still
-    /// and be at work on it now: then its answer is still worth having. If the
-    /// agent can't be reached at once, the caller isn't kept waiting.
+    /// The outcome was recorded as unknown because the attempt was not heard of in
+    /// time. If its agent was only paused and is running it now, its answer can still
+    /// be returned. The caller is not kept waiting for an agent without a connection.
     async fn join_unknown(&mut self, record: ClaimOutcome) -> Result<Step, Problem> {
         let context = &self.execution.context;
         let agent = context.placement.agent(&record.target);
@@ -271,11 +271,11 @@
         }
     }
 
-    /// Bars an attempt that has not started, and frees its key.
+    /// Bars an attempt that has not started, and releases its key.
     ///
-    /// The reply tells the incarnation that lives now, after the claim was
-    /// committed. If it is another one than the claim's, that one is over, and
-    /// nobody will ever learn what became of the attempt.
+    /// The reply contains the current incarnation, which is read after the claim was
+    /// committed. If it differs from that of the claim, the claimed incarnation has
+    /// ended and the outcome of the attempt can never be known.
     async fn bar_attempt(
         &mut self,
         agent: &crate::links::Agent,
@@ -305,13 +305,13 @@
                 let reason = "the target no longer keeps the answer";
                 self.record_unknown(&record.attempt, reason).await
             }
-            // It started in between.
+            // The attempt has started in the meantime.
             _ => Ok(Step::ClaimAgain),
         }
     }
 
-    /// Follows a running attempt to its end and records its outcome, unless
-    /// another entry does so first.
+    /// Follows a running attempt to its end and records its outcome, unless another
+    /// entry records it first.
     async fn follow(
         &mut self,
         mut attempt: Box<Attempt>,
@@ -331,8 +331,8 @@
                     () = tokio::time::sleep(pause) => {}
                 }
                 pause = (pause * 2).min(MAX_POLL_DELAY);
-                // The frames go to whoever attached last, which may be
-                // another entry with the same call.
+                // Frames are sent to the entry that attached last, which may be another
+                // entry with the same call.
                 if let Some(step) = self.poll_answer().await {
                     return Ok(step);
                 }
@@ -341,8 +341,8 @@
         match result {
             Ok((answer, used)) => {
                 self.execution.permit.set_used(used);
-                // Until it is recorded the agent must keep it: nobody else
-                // could tell what came of the call.
+                // The agent must keep the answer until it is recorded, as no other node
+                // has a copy.
                 let answer = self.ledger_record.finish(id, answer).await?;
                 attempt.confirm_recorded().await;
                 Ok(Step::Answer(answer))
@@ -361,7 +361,7 @@
             Err(failure) if attempt.has_ended() || agent.ended.is_cancelled() => {
                 self.record_unknown(id, failure.detail()).await
             }
-            // It may still run: the record leads back to it.
+            // The attempt may still be running; claiming again finds its record.
             Err(_) => {
                 tokio::time::sleep(POLL_INTERVAL).await;
                 Ok(Step::ClaimAgain)
@@ -369,14 +369,14 @@
         }
     }
 
-    /// Records for good that nobody can learn what became of the attempt.
+    /// Records permanently that the outcome of the attempt is unknown.
     async fn record_unknown(&mut self, id: &Bytes, reason: &str) -> Result<Step, Problem> {
         let answer = self.ledger_record.finish_unknown(id, reason).await;
         Ok(Step::Answer(answer))
     }
 
-    /// The agent can't be asked: waits for another entry to record an outcome
-    /// while there is time.
+    /// The agent is unreachable: waits for another entry to record an outcome, at most
+    /// for the grace period or until the deadline.
     async fn wait_for_record(&mut self) -> Result<Step, Problem> {
         let grace = Instant::now() + self.execution.context.timing.link_grace;
         let until = grace.min(self.execution.job.deadline);
@@ -390,13 +390,13 @@
         Ok(Step::Answer(Err(problem)))
     }
 
-    /// Looks whether an outcome is recorded.
+    /// Checks whether an outcome has been recorded.
     async fn poll_record(&self) -> Option<Step> {
         step_of(self.ledger_record.state().await)
     }
 
-    /// Looks whether the answer of the attempt that is followed is recorded.
-    /// "Unknown" is none: the attempt that is followed may yet tell.
+    /// Checks whether the answer of the followed attempt has been recorded. A recorded
+    /// "unknown" does not count, as the attempt may still deliver its answer.
     async fn poll_answer(&self) -> Option<Step> {
         match self.ledger_record.state().await {
             RecordState::Settled(record) if record.kind() == Kind::Unknown => None,
--- a/crates/entry/src/work/attempt.rs
+++ b/crates/entry/src/work/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one agent, and its answer as it comes.
+//! An attempt at an agent and its answer.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -14,22 +14,23 @@
 use crate::Timing;
 use crate::links::{Agent, SubscriptionId};
 
-/// Bytes after which an agent hears that they have arrived: the smallest
-/// window that an agent may have. With more, such an agent would wait for ever.
+/// Number of received bytes after which they are acknowledged: the minimum window size
+/// of an agent. With a larger value, an agent with the minimum window would wait
+/// forever.
 const ACKNOWLEDGE_BYTES: u64 = 1 << 10;
-/// Without a frame of a kept attempt before it is attached again.
+/// Time without a frame after which the entry reattaches to a kept attempt.
 const REATTACH_INTERVAL: Duration = Duration::from_secs(3);
 
-/// What happens to the attempt when nobody waits for its answer any more.
+/// What happens to an attempt when its receiver is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AbandonPolicy {
-    /// It is cancelled: nobody needs it.
+    /// The attempt is cancelled, as its answer is no longer needed.
     Cancel,
-    /// It goes on: it may not be run a second time.
+    /// The attempt continues, as it must not run a second time.
     Keep,
 }
 
-/// An attempt that its agent has taken.
+/// An attempt that its agent has accepted.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     agent: Arc<Agent>,
@@ -46,53 +47,53 @@
     stall: Duration,
 }
 
-/// How the start of an attempt went.
+/// Outcome of starting an attempt.
 #[derive(Debug)]
 pub(crate) enum StartOutcome {
-    /// It runs, or has run already.
+    /// It is running or has already ended.
     Running(Box<Attempt>),
-    /// The agent refused it; it never ran and never will.
+    /// The agent refused it. It did not run and never will.
     Refused(Refusal),
-    /// Nothing reached the agent, or the agent has barred it: it never ran
-    /// and never will.
+    /// The start was not sent or the agent has barred the attempt. It did not run and
+    /// never will.
     NotRun,
-    /// Nobody can say whether it ran.
+    /// It is unknown whether it ran.
     Lost,
 }
 
-/// How joining an attempt went.
+/// Outcome of joining an attempt.
 #[derive(Debug)]
 pub(crate) enum JoinOutcome {
-    /// Its answer comes.
+    /// Its answer is being received.
     Attached(Box<Attempt>),
-    /// It can't be attached to.
+    /// It cannot be attached to because of its state.
     State(AttemptState),
-    /// Its agent can't be reached now.
+    /// Its agent is unreachable.
     Unreachable,
 }
 
-/// What comes next of an answer.
+/// The next event of an attempt.
 #[derive(Debug)]
 pub(crate) enum AttemptEvent {
-    /// A part of it.
+    /// A part of the answer.
     Piece(Piece),
-    /// The agent's incarnation is over, or it can't be reached any more.
+    /// The incarnation of the agent has ended, or the agent is unreachable.
     Lost,
-    /// No byte came for too long.
+    /// No byte arrived within the stall timeout.
     Stalled,
     /// The deadline has passed.
     DeadlinePassed,
 }
 
-/// What happens when nothing comes, and after how long.
+/// What happens if no frame arrives within a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Timeout {
     /// The deadline passes.
     DeadlinePassed(Duration),
-    /// The agent has been silent for too long.
+    /// The agent has stalled.
     Stalled(Duration),
-    /// A kept attempt is attached again. Its frames go to the entry that
-    /// attached last; if that one dies, nobody would get them.
+    /// The entry reattaches to a kept attempt. Frames are sent to the entry that
+    /// attached last; if that entry crashes, no other one would receive them.
     Reattach,
 }
 
@@ -106,7 +107,7 @@
 }
 
 impl Attempt {
-    /// Asks the agent to run an attempt, and learns whether it will.
+    /// Starts an attempt and waits until the agent has accepted or refused it.
     pub(crate) async fn start(
         agent: &Arc<Agent>,
         start: Start,
@@ -117,7 +118,7 @@
         Attempt::start_on(agent, link, start, window, timing).await
     }
 
-    /// The same on one connection only.
+    /// Starts an attempt on the given connection only.
     pub(crate) async fn start_on(
         agent: &Arc<Agent>,
         link: Option<Link>,
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Attaches to an attempt that was started before, maybe by another entry.
+    /// Attaches to an attempt that was started before, possibly by another entry.
     pub(crate) async fn join(
         agent: &Arc<Agent>,
         id: Bytes,
@@ -199,8 +200,8 @@
         }
     }
 
-    /// The answer to a start was lost. The agent is asked to bar the attempt:
-    /// either it does, and then it never runs, or the attempt is running.
+    /// Resolves a lost start reply by asking the agent to bar the attempt. Either the
+    /// agent bars it and it never runs, or it is already running and is attached to.
     async fn resolve_unknown_start(mut self, timing: &Timing) -> StartOutcome {
         let Some(link) = self.agent.wait_for_link(timing.link_grace).await else {
             return StartOutcome::Lost;
@@ -222,15 +223,15 @@
         }
     }
 
-    /// The next part of the answer.
+    /// Waits for the next part of the answer, a failure or the deadline.
     pub(crate) async fn next(&mut self, deadline: Instant) -> AttemptEvent {
         loop {
             if let Some(piece) = self.pieces.pop_front() {
                 self.ended |= matches!(piece, Piece::Whole(_) | Piece::Broken(_));
                 if matches!(piece, Piece::Whole(_)) && self.abandon_policy == AbandonPolicy::Cancel
                 {
-                    // Nobody will ask for it again, and what an agent holds it
-                    // looks through at each tick.
+                    // The answer is not needed again, and the agent visits all kept
+                    // answers at each tick.
                     self.confirm_recorded().await;
                 }
                 return AttemptEvent::Piece(piece);
@@ -252,7 +253,7 @@
                     }
                 }
                 () = self.agent.ended.cancelled() => return AttemptEvent::Lost,
-                // One timer: each costs a turn at the lock that all of them share.
+                // A single timer, because registering one locks the shared timer state.
                 () = sleep(timeout.after()) => match timeout {
                     Timeout::DeadlinePassed(_) => return AttemptEvent::DeadlinePassed,
                     Timeout::Stalled(_) => return AttemptEvent::Stalled,
@@ -263,7 +264,7 @@
         }
     }
 
-    /// What happens first when nothing comes.
+    /// The timeout that expires first if no frame arrives.
     fn next_timeout(&self, left: Duration) -> Timeout {
         if self.abandon_policy == AbandonPolicy::Keep && REATTACH_INTERVAL < left.min(self.stall) {
             Timeout::Reattach
@@ -278,16 +279,16 @@
         &self.agent
     }
 
-    /// Whether the answer's last part has come.
+    /// Whether the last part of the answer has been received.
     pub(crate) fn has_ended(&self) -> bool {
         self.ended
     }
 
-    /// Tells the agent that what was received so far need not be kept.
+    /// Acknowledges the received bytes, which the agent need not keep any longer.
     pub(crate) async fn acknowledge(&mut self) {
         let offset = self.assembly.offset();
-        // Some bytes at a time keep the answer flowing without a message for
-        // each event.
+        // Acknowledging in batches keeps the answer flowing without a message per
+        // event.
         let is_due = offset.saturating_sub(self.acknowledged_offset) >= ACKNOWLEDGE_BYTES;
         if !is_due {
             return;
@@ -296,16 +297,17 @@
             return;
         };
         self.acknowledged_offset = offset;
-        // A lost one is made up for by the offset of the next attach.
+        // A lost acknowledgement is covered by the offset of the next attach.
         let _ = link.send(self.progress(offset, Recorded::No)).await;
     }
 
-    /// Tells the agent that the whole answer is recorded.
+    /// Tells the agent that the complete answer has been recorded.
     pub(crate) async fn confirm_recorded(&mut self) {
         self.ended = true;
         if let Some(link) = self.agent.current_link() {
             let offset = self.assembly.offset();
-            // If it is lost, the agent forgets the answer after its own time.
+            // If the message is lost, the agent drops the answer after its retention
+            // time.
             let _ = link.send(self.progress(offset, Recorded::Yes)).await;
         }
     }
@@ -318,20 +320,20 @@
         })
     }
 
-    /// The connection went or a fresh one came: goes on there, from the byte
-    /// that comes next. `false` once the attempt is lost.
+    /// Reattaches after a change of the connection, from the next missing byte on.
+    /// Returns `false` if the attempt is lost.
     async fn reattach(&mut self, deadline: Instant) -> bool {
         loop {
             let left = deadline.saturating_duration_since(Instant::now());
             let link_grace = self.link_grace.min(left);
             let Some(link) = self.agent.wait_for_link(link_grace).await else {
-                // Past the deadline the caller hears of that.
+                // If the deadline passes first, `next` reports that.
                 return left < self.link_grace;
             };
             self.link.mark_unchanged();
             match self.attach(&link).await {
                 Some(AttemptState::Running | AttemptState::Ended) => return true,
-                // It went down again: there may be a further one.
+                // The connection was lost again; wait for another one.
                 None if link.is_closed() => {}
                 Some(_) | None => return false,
             }
@@ -357,7 +359,7 @@
             return;
         }
         let Some(link) = self.agent.current_link() else {
-            // The agent cancels it by itself after its grace time.
+            // The agent cancels the attempt itself after its grace period.
             return;
         };
         let cancel = Body::Cancel(Cancel {
@@ -365,7 +367,8 @@
         });
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
             runtime.spawn(async move {
-                // Without a connection the agent cancels by itself.
+                // If sending fails, the agent cancels the attempt itself after its
+                // grace period.
                 let _ = link.send(cancel).await;
             });
         }
@@ -378,7 +381,7 @@
     No,
 }
 
-/// Bars an attempt and says what the agent then knows of it.
+/// Bars an attempt and returns its state at the agent.
 pub(super) async fn bar(link: &Link, id: &Bytes, timing: &Timing) -> Option<BarReply> {
     let body = Body::Bar(Bar {
         attempt: id.clone(),
--- a/crates/entry/src/work/buffered.rs
+++ b/crates/entry/src/work/buffered.rs
@@ -1,4 +1,4 @@
-//! Repeatable requests whose answer is given as a whole.
+//! Repeatable requests with unstreamed answers.
 
 use std::time::Instant;
 
@@ -14,10 +14,10 @@
 use super::failure::Failure;
 use crate::placement::StartAt;
 
-/// Statuses by which a target says that it could not do the work now.
+/// Statuses with which a target reports that it cannot process the request at present.
 const RETRYABLE_STATUSES: [u32; 3] = [429, 502, 503];
 
-/// Runs a repeatable request until there is a whole answer.
+/// Runs a repeatable request until its answer is complete.
 pub(crate) async fn run_buffered(mut execution: Execution) -> Result<Answer, Problem> {
     loop {
         let running = execution.start_attempt(StartAt::Beginning).await?;
@@ -27,8 +27,8 @@
     }
 }
 
-/// Collects the answer of an attempt whose head may have come already.
-/// `None` when the request is to be tried again.
+/// Collects the answer of an attempt, whose head may already have arrived. Returns
+/// `None` if the request is to be retried.
 pub(crate) async fn finish_buffered(
     execution: &mut Execution,
     mut running: RunningAttempt,
@@ -46,7 +46,7 @@
         }
         Ok((answer, _)) => {
             running.placed.end(AttemptResult::Full);
-            // Out of retries, the target's own words say most.
+            // Without a further retry, the target's own answer is the most informative.
             let will_retry = execution
                 .prepare_retry(&target, Failure::Lost)
                 .await
@@ -61,7 +61,7 @@
     }
 }
 
-/// Collects a whole answer and the tokens that it took.
+/// Collects a complete answer and the number of tokens used.
 pub(crate) async fn collect_answer(
     attempt: &mut Attempt,
     mut head: Option<AnswerHead>,
@@ -101,7 +101,7 @@
     }
 }
 
-/// Tokens that the target says an answer took.
+/// Number of tokens that the target reports for an answer.
 pub(crate) fn used_tokens(end: &AnswerEnd) -> u32 {
     let usage = end.usage.unwrap_or_default();
     usage.prompt_tokens.saturating_add(usage.completion_tokens)
--- a/crates/entry/src/work/call_result.rs
+++ b/crates/entry/src/work/call_result.rs
@@ -1,4 +1,4 @@
-//! What the caller of a non-repeatable call is told.
+//! Results of non-repeatable calls.
 
 use admin::{Problem, Ran};
 use hyper::StatusCode;
@@ -8,14 +8,14 @@
 use super::answer::Answer;
 use super::execution::RETRY_AFTER;
 
-/// What a caller of a non-repeatable call is told.
+/// Result of a non-repeatable call.
 pub(super) type CallResult = Result<Answer, Problem>;
 
-/// Why a caller is told to ask again.
+/// Detail for a call whose target is unreachable.
 pub(super) const UNREACHABLE: &str =
     "the call's target can't be reached now; ask again with the same key";
 
-/// What a caller is told of a record that is not running.
+/// The result for a record whose attempt is not running.
 pub(super) fn recorded_result(record: ClaimOutcome) -> CallResult {
     match record.kind() {
         Kind::Finished => Ok(answer_of(record.answer.unwrap_or_default())),
@@ -52,7 +52,7 @@
     }
 }
 
-/// The outcome isn't known yet, and may be later.
+/// The outcome is not known yet but may be later.
 pub(super) fn outcome_pending(status: StatusCode, detail: &str) -> Problem {
     let mut problem = Problem::new(status, detail);
     problem.ran = Ran::Unknown;
--- a/crates/entry/src/work/context.rs
+++ b/crates/entry/src/work/context.rs
@@ -1,4 +1,4 @@
-//! What running a request needs.
+//! Dependencies of request execution.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::placement::Placement;
 use crate::{Limits, Timing};
 
-/// What running a request needs.
+/// Dependencies of request execution, shared by all requests.
 #[derive(Clone)]
 pub(crate) struct ExecutionContext {
     pub(crate) follower: Follower,
@@ -17,6 +17,6 @@
     pub(crate) timing: Arc<Timing>,
     pub(crate) limits: Arc<Limits>,
     pub(crate) metrics: Metrics,
-    /// Calls that must be followed to their end before the entry ends.
+    /// Calls that must be followed to their end before the entry shuts down.
     pub(crate) tracker: TaskTracker,
 }
--- a/crates/entry/src/work/event_splitter.rs
+++ b/crates/entry/src/work/event_splitter.rs
@@ -1,15 +1,14 @@
-//! Cuts a byte stream into server-sent events.
+//! Splits a byte stream into server-sent events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Text of the event that ends a chat completion's stream.
+/// Data of the event that ends the stream of a chat completion.
 const DONE: &[u8] = b"data: [DONE]";
 
-/// Cuts a byte stream into complete server-sent events.
+/// Splits a byte stream into complete server-sent events.
 ///
-/// A caller is only given complete events, so that a stream that breaks off
-/// always does so between two of them, and another target can go on from a
-/// count of events.
+/// Callers receive only complete events. A stream that is aborted thus always ends
+/// between two events, and another target can resume after a number of events.
 #[derive(Debug)]
 pub(crate) struct EventSplitter {
     buf: BytesMut,
@@ -18,7 +17,7 @@
     done: bool,
 }
 
-/// An event grew beyond the bound.
+/// An event exceeds the size limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct EventTooLarge;
 
@@ -36,7 +35,7 @@
         self.buf.extend_from_slice(data);
     }
 
-    /// The next complete event, its blank line included.
+    /// Returns the next complete event, including its blank line.
     pub(crate) fn next(&mut self) -> Result<Option<Bytes>, EventTooLarge> {
         let Some(end) = self.end_of_event() else {
             let too_large = self.buf.len() > self.max;
@@ -52,19 +51,19 @@
         Ok(Some(event))
     }
 
-    /// Whether the stream ended after its last event.
+    /// Whether the stream has ended with its final event.
     pub(crate) fn is_complete(&self) -> bool {
         self.done && self.buf.is_empty()
     }
 
-    /// Forgets the part of an event that its target never finished.
+    /// Discards an incomplete event.
     pub(crate) fn reset(&mut self) {
         self.buf.clear();
         self.searched = 0;
         self.done = false;
     }
 
-    /// Where the first event ends: after an empty line.
+    /// Returns the end of the first event, which is after an empty line.
     fn end_of_event(&mut self) -> Option<usize> {
         let mut at = self.searched;
         while let Some(found) = self.buf[at..].iter().position(|byte| *byte == b'\n') {
@@ -72,7 +71,7 @@
             match self.buf[line_end..] {
                 [b'\n', ..] => return Some(line_end + 1),
                 [b'\r', b'\n', ..] => return Some(line_end + 2),
-                // The rest of the blank line may still come.
+                // The rest of the blank line may not have arrived yet.
                 [] | [b'\r'] => {
                     self.searched = at + found;
                     return None;
--- a/crates/entry/src/work/execution.rs
+++ b/crates/entry/src/work/execution.rs
@@ -1,4 +1,4 @@
-//! A request on its way from attempt to attempt.
+//! Execution of a request over one or more attempts.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,18 +17,18 @@
 use crate::job::Job;
 use crate::placement::{AttemptRequirements, Permit, PlacedAttempt, QuarantineStatus, StartAt};
 
-/// Pause before looking again for a target with room.
-const PLACEMENT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
-/// Refreshes of the release note for one request.
+/// Pause before searching again for a target with capacity. After a refresh of the
+/// release note it is multiplied by the number of refreshes.
+const SEARCH_INTERVAL: Duration = Duration::from_millis(10);
+/// Maximum number of release note refreshes per request.
 const MAX_NOTE_REFRESHES: u32 = 12;
-/// When to come back after a fault that usually passes in moments.
+/// Suggested retry delay after a transient failure.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Longest pause before each further attempt.
+/// Maximum pause before a further attempt, multiplied by the number of attempts so far.
 const RETRY_BACKOFF: Duration = Duration::from_millis(25);
 
-/// A request on its way: what was tried, and what that says of whether it
-/// ran.
+/// A request in execution: its previous attempts and whether it may have run.
 pub(crate) struct Execution {
     pub(crate) context: ExecutionContext,
     pub(crate) job: Job,
@@ -39,11 +39,11 @@
     ran: Ran,
 }
 
-/// An attempt that runs, and its place in the pool.
+/// A running attempt and its assignment to a target.
 pub(crate) struct RunningAttempt {
     pub(crate) attempt: Box<Attempt>,
     pub(crate) placed: PlacedAttempt,
-    /// Open for as long as the attempt.
+    /// Kept open for the duration of the attempt.
     _span: Span,
 }
 
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Starts an attempt somewhere, the first one or a further one.
+    /// Starts the first or a further attempt at a selected target.
     pub(crate) async fn start_attempt(&mut self, at: StartAt) -> Result<RunningAttempt, Problem> {
         self.requirements.start = at;
         loop {
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Waits a moment before a further attempt, each for a time of its own:
-    /// what failed together would else come back together.
+    /// Waits for a random time before a further attempt, so that requests that failed
+    /// together are not retried together.
     async fn back_off(&self) {
         if self.attempts > 0 {
             let back_off = RETRY_BACKOFF * self.attempts;
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Says whether the request may be tried again after `failure` at a
-    /// target, or what its caller is told.
+    /// Records the failure of an attempt and checks whether another one may be started.
+    /// If not, the error is the answer for the caller.
     pub(crate) async fn prepare_retry(
         &mut self,
         target: &str,
@@ -147,12 +147,12 @@
         }))
     }
 
-    /// The target crashed while the request ran there. Tried again by what was
-    /// known before, a request that crashes targets would take down one more
-    /// before the quarantine is heard of.
+    /// Records that the target crashed while it ran the request, and refreshes the
+    /// quarantine. Without this, a request that crashes targets could crash another one
+    /// before this entry learns of its quarantine.
     async fn handle_crash(&mut self) -> Result<(), Problem> {
         self.context.placement.record_crash(self.job.fingerprint);
-        // Without an answer, the entry's own record of the crash counts.
+        // If the refresh fails, the entry's own record of the crash applies.
         let _ =
             tokio::time::timeout(self.context.timing.start, self.context.follower.refresh()).await;
         let quarantine = self.context.follower.quarantine();
@@ -174,13 +174,13 @@
         }
     }
 
-    /// Part of the answer has come: the request ran, whatever follows.
+    /// Records that the request has run, as a part of the answer has arrived.
     pub(crate) fn mark_as_run(&mut self) {
         self.ran = Ran::Yes;
     }
 
-    /// The note in force differs between here and the agent: the older side
-    /// refreshes, and the request is tried again.
+    /// Waits until the entry and the agent have the same release note in force: the
+    /// side with the older one refreshes it.
     pub(crate) async fn refresh_note(&mut self) -> Result<(), Problem> {
         self.note_refreshes += 1;
         let left = self.job.deadline.saturating_duration_since(Instant::now());
@@ -188,13 +188,13 @@
             return Err(self.failure_problem(Failure::NotRun));
         }
         let timeout = self.context.timing.renew.min(left);
-        // A refresh without an answer is made up for by the next renewal.
+        // If the refresh fails, the next lease renewal updates the note.
         let _ = tokio::time::timeout(timeout, self.context.follower.refresh()).await;
-        sleep(PLACEMENT_RETRY_INTERVAL * self.note_refreshes).await;
+        sleep(SEARCH_INTERVAL * self.note_refreshes).await;
         Ok(())
     }
 
-    /// A target with room, as soon as there is one.
+    /// Waits for a target with capacity.
     #[tracing::instrument(name = "choice", skip_all, fields(request = %self.job.id))]
     pub(crate) async fn find_target(&mut self) -> Result<PlacedAttempt, Problem> {
         let queue_deadline = Instant::now() + self.context.timing.queue_wait;
@@ -204,18 +204,18 @@
                 return Ok(placed);
             }
             if !self.requirements.avoid.is_empty() {
-                // Better the same target again than none at all.
+                // Retrying at the same target is better than failing.
                 self.requirements.avoid.clear();
                 continue;
             }
             if Instant::now() >= until {
                 return Err(self.no_capacity_problem());
             }
-            sleep(PLACEMENT_RETRY_INTERVAL).await;
+            sleep(SEARCH_INTERVAL).await;
         }
     }
 
-    /// What the caller is told when the request is given up.
+    /// The error for the caller when the request has failed.
     fn failure_problem(&self, failure: Failure) -> Problem {
         let status = match failure {
             Failure::DeadlinePassed => StatusCode::GATEWAY_TIMEOUT,
@@ -238,13 +238,14 @@
     }
 }
 
-/// The refusal of a request that has crashed targets.
+/// Refusal of a request that has crashed targets.
 pub(crate) fn convicted_problem() -> Problem {
     let detail = "this request crashed targets; an operator can pardon it";
     Problem::new(StatusCode::UNPROCESSABLE_ENTITY, detail)
 }
 
-/// The less certain of what two attempts say.
+/// Combines two outcomes: the request ran if either says so, and otherwise it is
+/// unknown if either is unknown.
 fn combine_ran(a: Ran, b: Ran) -> Ran {
     match (a, b) {
         (Ran::Yes, _) | (_, Ran::Yes) => Ran::Yes,
--- a/crates/entry/src/work/failure.rs
+++ b/crates/entry/src/work/failure.rs
@@ -1,4 +1,4 @@
-//! Why an attempt gave no whole answer.
+//! Reasons for the failure of an attempt.
 
 use admin::Ran;
 use route::AttemptResult;
@@ -7,18 +7,18 @@
 
 use super::attempt::AttemptEvent;
 
-/// Why an attempt gave no whole answer.
+/// Reason for the failure of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Failure {
-    /// Nothing of it was written to the target.
+    /// Nothing was sent to the target.
     NotRun,
-    /// The target was lost or broke off.
+    /// The target was lost or aborted the answer.
     Lost,
-    /// The target crashed while it ran.
+    /// The target crashed while the request ran.
     Crashed,
-    /// No byte came for too long.
+    /// No byte arrived within the stall timeout.
     Stalled,
-    /// The answer is larger than the entry takes.
+    /// The answer exceeds the size limit of the entry.
     TooLarge,
     /// The deadline has passed.
     DeadlinePassed,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// How the attempt counts for its target.
+    /// The result that counts for the target.
     pub(crate) fn attempt_result(self) -> AttemptResult {
         match self {
             Failure::Lost | Failure::Crashed | Failure::Stalled | Failure::NotRun => {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The failure that a part of an answer tells of, if it does.
+    /// Returns the failure that an event of an attempt represents, if any.
     pub(crate) fn from_event(event: &AttemptEvent) -> Option<Failure> {
         match event {
             AttemptEvent::Piece(Piece::Broken(Broken::Ended(end))) => Some(Failure::from_end(end)),
--- a/crates/entry/src/work/ledger_record.rs
+++ b/crates/entry/src/work/ledger_record.rs
@@ -1,4 +1,4 @@
-//! A call's record in the ledger.
+//! The ledger record of a non-repeatable call.
 
 use std::time::{Duration, Instant};
 
@@ -17,25 +17,25 @@
 use super::call_result::{CallResult, outcome_pending, recorded_result};
 use super::context::ExecutionContext;
 
-/// For how long an outcome is offered to the ledger.
+/// Timeout for recording an outcome in the ledger.
 const FINISH_TIMEOUT: Duration = Duration::from_mins(1);
-/// For a read of the ledger.
+/// Timeout for reading the ledger.
 const READ_TIMEOUT: Duration = Duration::from_secs(1);
 const LEDGER_UNREACHABLE: &str = "the ledger can't be reached; ask again with the same key";
 
-/// What the ledger holds of a call.
+/// State of a call in the ledger.
 pub(super) enum RecordState {
-    /// Nothing.
+    /// No record.
     Absent,
-    /// An attempt that is not over.
+    /// An attempt that has not ended.
     Open,
-    /// An outcome.
+    /// A final outcome.
     Settled(ClaimOutcome),
-    /// It could not be asked.
+    /// The ledger is unreachable.
     Unavailable,
 }
 
-/// The record of one call in the ledger.
+/// The ledger record of a non-repeatable call.
 pub(super) struct LedgerRecord {
     follower: Follower,
     account: String,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Claims the key for an attempt, or says what holds it.
+    /// Claims the key for an attempt, or returns the record that holds it.
     pub(super) async fn claim(
         &self,
         attempt: &Bytes,
@@ -77,7 +77,7 @@
         });
         match self.propose(claim, self.commit).await {
             Some(outcome::Body::Claim(record)) => Ok(record),
-            // An earlier call with the key may have run.
+            // An earlier call with the same key may have run.
             _ => Err(outcome_pending(
                 StatusCode::SERVICE_UNAVAILABLE,
                 LEDGER_UNREACHABLE,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Frees the key of an attempt that never ran and never will.
+    /// Releases the key of an attempt that did not run and never will.
     pub(super) async fn release(&self, attempt: &Bytes) -> Result<(), Problem> {
         let release = command::Body::Release(Release {
             account: self.account.clone(),
@@ -93,7 +93,8 @@
             attempt: attempt.clone(),
         });
         match self.propose(release, self.commit).await {
-            // If it isn't released, the next claim tells what holds the key.
+            // If the key was not released, the next claim returns the record that holds
+            // it.
             Some(outcome::Body::Release(_)) => Ok(()),
             _ => Err(outcome_pending(
                 StatusCode::SERVICE_UNAVAILABLE,
@@ -102,11 +103,11 @@
         }
     }
 
-    /// Records the answer; what is given out is what the ledger holds then.
+    /// Records the answer and returns the one that is then in the ledger.
     ///
     /// # Errors
     ///
-    /// The ledger can't be reached: nothing is known to be recorded.
+    /// The ledger is unreachable; it is unknown whether the answer was recorded.
     pub(super) async fn finish(
         &self,
         attempt: &Bytes,
@@ -119,14 +120,14 @@
         });
         let record = self.propose_finish(attempt, result).await?;
         if record.attempt == *attempt || record.attempt.is_empty() {
-            // It is this attempt's record, even if the answer was too large
-            // for the ledger to keep.
+            // The record belongs to this attempt, even if the answer was too large to
+            // be stored.
             return Ok(Ok(answer));
         }
         Ok(recorded_result(record))
     }
 
-    /// Records that nobody can learn what became of the attempt.
+    /// Records that the outcome of the attempt is unknown.
     pub(super) async fn finish_unknown(&self, attempt: &Bytes, reason: &str) -> CallResult {
         let result = finish::Result::Unknown(Unknown {
             reason: reason.to_owned(),
@@ -134,7 +135,7 @@
         recorded_result(self.propose_finish(attempt, result).await?)
     }
 
-    /// What the ledger holds of the call.
+    /// Queries the state of the call.
     pub(super) async fn state(&self) -> RecordState {
         let query = query::Body::Record(RecordQuery {
             account: self.account.clone(),
@@ -153,10 +154,10 @@
         }
     }
 
-    /// What a caller is told whose call is refused before it could claim its
-    /// key. This submission did not run, but an earlier one with the same key
-    /// may have: a caller who is told "not run" could send the call again
-    /// under another key, and it would run twice.
+    /// Answers a caller whose call is refused before it claimed its key. This
+    /// submission did not run, but an earlier one with the same key may have run. A
+    /// caller that is told "not run" could send the call again under another key, and
+    /// it would run twice.
     pub(super) async fn refuse(&self, mut problem: Problem) -> CallResult {
         match self.state().await {
             RecordState::Absent => Err(problem),
@@ -199,11 +200,12 @@
         let timeout = if timeout == FINISH_TIMEOUT {
             timeout
         } else {
-            // A claim is settled even when little time is left.
+            // Allow enough time to complete the command even shortly before the
+            // deadline.
             timeout.min(left.max(READ_TIMEOUT))
         };
         let reply = match &command {
-            // The call has run: its outcome is offered as long as there is time.
+            // The call has run, so its outcome is proposed until the timeout.
             command::Body::Finish(_) => self.follower.propose(command, timeout).await,
             _ => self.follower.propose_or_refuse(command, timeout).await,
         };
--- a/crates/entry/src/work/mod.rs
+++ b/crates/entry/src/work/mod.rs
@@ -1,4 +1,4 @@
-//! Running requests: attempts, retries, streams and non-repeatable calls.
+//! Execution of requests: attempts, retries, streams and non-repeatable calls.
 
 mod answer;
 mod at_most_once;
--- a/crates/entry/src/work/start_message.rs
+++ b/crates/entry/src/work/start_message.rs
@@ -11,8 +11,8 @@
 use crate::placement::{PlacedAttempt, StartAt};
 use crate::pool_name::PoolName;
 
-/// Puts the message together that starts an attempt at the chosen place, and
-/// opens the attempt's span.
+/// Creates the message that starts an attempt at the selected target, and opens the
+/// span of the attempt.
 pub(crate) fn start_message(
     context: &ExecutionContext,
     job: &Job,
@@ -57,7 +57,7 @@
     (start, span)
 }
 
-/// A fresh attempt id.
+/// Generates an attempt ID.
 fn new_attempt() -> Bytes {
     Bytes::copy_from_slice(&rand::random::<[u8; 16]>())
 }
--- a/crates/entry/src/work/stream.rs
+++ b/crates/entry/src/work/stream.rs
@@ -1,4 +1,4 @@
-//! Streams of server-sent events.
+//! Forwarding of server-sent event streams.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -19,14 +19,14 @@
 use super::failure::Failure;
 use crate::placement::StartAt;
 
-/// Events that may wait for a caller who reads slowly.
+/// Maximum number of events queued for a caller that reads slowly.
 const EVENT_QUEUE: usize = 64;
 
-/// For an event to be written to the caller's connection.
+/// Time for writing the final error event before the connection is closed.
 const ERROR_EVENT_FLUSH_TIME: Duration = Duration::from_millis(100);
 
-/// Runs a streamed request up to the head of its answer; the events follow
-/// from a task of their own.
+/// Runs a streamed request until the head of its answer has arrived. A separate task
+/// forwards the events.
 pub(crate) async fn run_stream(mut execution: Execution) -> Result<StreamAnswer, Problem> {
     loop {
         let mut running = execution.start_attempt(StartAt::Beginning).await?;
@@ -53,13 +53,13 @@
     running: &mut RunningAttempt,
     deadline: Instant,
 ) -> Result<AnswerHead, Failure> {
-    let next = running.attempt.next(deadline).await;
-    if let Some(failure) = Failure::from_event(&next) {
+    let event = running.attempt.next(deadline).await;
+    if let Some(failure) = Failure::from_event(&event) {
         return Err(failure);
     }
-    match next {
+    match event {
         AttemptEvent::Piece(Piece::Head(head)) => Ok(head),
-        // An assembly gives the head first.
+        // The assembly always yields the head first.
         _ => Err(Failure::Lost),
     }
 }
@@ -93,16 +93,16 @@
     }
 }
 
-/// Passes the events of a stream on to its caller.
+/// Forwards the events of a stream to its caller.
 struct StreamForwarder {
     execution: Execution,
     splitter: EventSplitter,
-    /// Events that the caller was given.
+    /// Number of events sent to the caller.
     events_sent: u64,
     tx: mpsc::Sender<io::Result<Bytes>>,
 }
 
-/// How passing on one attempt ended.
+/// Outcome of forwarding the events of one attempt.
 enum ForwardOutcome {
     Complete,
     CallerGone,
@@ -118,8 +118,8 @@
         self.execution.context.metrics.open_streams.dec();
     }
 
-    /// Passes events on, from one attempt to the next, until the caller has
-    /// them all or has gone.
+    /// Forwards events, over one or more attempts, until the stream is complete or the
+    /// caller has disconnected.
     async fn forward(&mut self, mut running: RunningAttempt) -> Result<(), Problem> {
         loop {
             let target = running.placed.agent().name.clone();
@@ -137,9 +137,9 @@
         }
     }
 
-    /// Begins another attempt after the events that the caller has. A caller
-    /// is never given an event twice: without any given the answer may begin
-    /// anew, else the target must resume.
+    /// Starts another attempt after the events that the caller has received. No event
+    /// is sent twice: the answer restarts only if none has been sent, otherwise the
+    /// target must resume.
     async fn resume(&mut self, target: &str, failure: Failure) -> Result<RunningAttempt, Problem> {
         self.execution.prepare_retry(target, failure).await?;
         self.splitter.reset();
@@ -155,14 +155,14 @@
         let deadline = self.execution.job.deadline;
         let caller = self.tx.clone();
         loop {
-            let next = tokio::select! {
-                next = running.attempt.next(deadline) => next,
+            let event = tokio::select! {
+                event = running.attempt.next(deadline) => event,
                 () = caller.closed() => return ForwardOutcome::CallerGone,
             };
-            if let Some(failure) = Failure::from_event(&next) {
+            if let Some(failure) = Failure::from_event(&event) {
                 return ForwardOutcome::Failed(failure);
             }
-            match next {
+            match event {
                 AttemptEvent::Piece(Piece::Data(data)) => {
                     running.placed.record_first_byte();
                     self.splitter.push(&data);
@@ -171,19 +171,19 @@
                     }
                     running.attempt.acknowledge().await;
                 }
-                // The target says that it is done; the events must say so too.
+                // The target reports completion; the events must be complete as well.
                 AttemptEvent::Piece(Piece::Whole(end)) if self.splitter.is_complete() => {
                     self.execution.permit.set_used(used_tokens(&end));
                     return ForwardOutcome::Complete;
                 }
-                // A resumed attempt has a head of its own.
+                // A resumed attempt sends its own head.
                 AttemptEvent::Piece(Piece::Head(head)) if is_event_stream(&head) => {}
                 _ => return ForwardOutcome::Failed(Failure::Lost),
             }
         }
     }
 
-    /// Gives the caller all complete events.
+    /// Sends all complete events to the caller.
     async fn send_events(&mut self) -> Option<ForwardOutcome> {
         loop {
             let event = match self.splitter.next() {
@@ -192,8 +192,8 @@
                 Err(_) => return Some(ForwardOutcome::Failed(Failure::TooLarge)),
             };
             let stall = self.execution.context.timing.stall;
-            // A caller that reads nothing for so long would hold a place at a
-            // target which others wait for.
+            // A caller that stops reading would occupy capacity that other requests
+            // wait for.
             match timeout(stall, self.tx.send(Ok(event))).await {
                 Ok(Ok(())) => self.events_sent += 1,
                 Ok(Err(_)) | Err(_) => return Some(ForwardOutcome::CallerGone),
@@ -201,8 +201,8 @@
         }
     }
 
-    /// Breaks the stream off so that its caller sees it: an event that names
-    /// the problem, no `[DONE]`, and a connection without a proper end.
+    /// Aborts the stream so that the caller notices: sends an event with the problem,
+    /// no `[DONE]`, and closes the connection without a proper end.
     async fn abort(&self, mut problem: Problem) {
         problem.request = Some(self.execution.job.id.clone());
         self.execution.context.metrics.broken_streams.inc();
@@ -210,11 +210,11 @@
         let stall = self.execution.context.timing.stall;
         let sent = timeout(stall, self.tx.send(Ok(Bytes::from(event)))).await;
         if matches!(sent, Ok(Ok(()))) {
-            // An error ends the connection with what is written by then, so
-            // the event is given the time to be written first.
+            // An error closes the connection after what has been written by then, so
+            // the event needs time to be written first.
             sleep(ERROR_EVENT_FLUSH_TIME).await;
             let broken = io::Error::other("stream broken off");
-            // Fails only when the caller has gone.
+            // Fails only if the caller has disconnected.
             let _ = timeout(stall, self.tx.send(Err(broken))).await;
         }
     }
