--- a/crates/entry/src/job.rs
+++ b/crates/entry/src/job.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, checked and ready to run.
+//! A validated request of a caller.
 
 use std::time::Instant;
 
@@ -8,10 +8,10 @@
 
 use crate::pool_name::PoolName;
 
-/// One request of a caller, checked and ready to run.
+/// A validated request of a caller, ready for admission.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
-    /// Request id.
+    /// Request ID.
     pub(crate) id: String,
     pub(crate) account: String,
     pub(crate) share: f64,
@@ -19,9 +19,9 @@
     pub(crate) pool: PoolName,
     pub(crate) adapter: String,
     pub(crate) version: String,
-    /// Prompt tokens, estimated.
+    /// Estimated number of prompt tokens.
     pub(crate) prompt_tokens: u32,
-    /// Tokens of prompt and answer, estimated.
+    /// Estimated number of prompt and answer tokens.
     pub(crate) tokens: u32,
     pub(crate) prefix: Option<Prefix>,
     pub(crate) fingerprint: Fingerprint,
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -1,38 +1,39 @@
-//! Bounds of an entry.
+//! Limits of an entry.
 
 use cfg::Reader;
 use route::SubsetSettings;
 
-/// Bounds of an entry.
+/// Limits of an entry.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Bytes of a request body.
+    /// Maximum size of a request body in bytes.
     pub body: usize,
-    /// Bytes of an answer that is not streamed.
+    /// Maximum size of an unstreamed answer in bytes.
     pub answer: usize,
-    /// Bytes of one server-sent event.
+    /// Maximum size of a server-sent event in bytes.
     pub event: usize,
-    /// Connections of callers at once.
+    /// Maximum number of concurrent connections of callers.
     pub connections: usize,
-    /// Requests that may wait for a place at one model or service.
+    /// Maximum number of requests that wait for capacity of one model or service.
     pub queue: usize,
-    /// Attempts for one request.
+    /// Maximum number of attempts for a request.
     pub attempts: u32,
-    /// Retries for each request.
+    /// Retries that each request adds to the retry budget.
     pub retry_ratio: f64,
-    /// Retries beside those, which refill at one a second.
+    /// Retries that the budget holds beyond those, refilled at one per second.
     pub retry_reserve: u32,
-    /// A fixed part of each account's rates and concurrency for this entry; 0
-    /// has control give out parts by use.
+    /// Fixed fraction of each account's rates and concurrency that this entry may use;
+    /// with 0, control grants fractions by use.
     pub account_part: f64,
-    /// Targets of one model or service that this entry links at least; the same at
-    /// all entries.
+    /// Minimum number of targets of one model or service to which this entry keeps
+    /// links. Must be the same at all entries.
     pub subset_targets: usize,
-    /// Entries that link each target at least; the same at all entries.
+    /// Minimum number of entries that keep a link to each target. Must be the same at
+    /// all entries.
     pub subset_entries: usize,
-    /// Bytes of an answer in flight from an agent.
+    /// Maximum number of unacknowledged bytes of an answer that an agent sends.
     pub window: usize,
-    /// Tokens assumed of an answer whose request names no maximum.
+    /// Answer tokens assumed for a request that sets no maximum.
     pub answer_tokens: u32,
 }
 
--- a/crates/entry/src/listeners.rs
+++ b/crates/entry/src/listeners.rs
@@ -1,10 +1,10 @@
-//! The sockets of an entry.
+//! Listening sockets of an entry.
 
 use tokio::net::TcpListener;
 
-/// The sockets of an entry, bound before it starts.
+/// Listening sockets of an entry, bound before it starts.
 #[derive(Debug)]
 pub struct Listeners {
-    /// For callers and operators.
+    /// Listener for callers and operators.
     pub http: TcpListener,
 }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What an entry counts.
+//! Metrics of an entry.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// What an entry counts; clones share the counts.
+/// Metrics of an entry; clones share the values.
 #[derive(Clone, Debug)]
 pub(crate) struct Metrics {
     pub(crate) requests: Family<StatusLabel, Counter>,
@@ -18,7 +18,8 @@
     pub(crate) open_requests: Gauge,
     pub(crate) open_streams: Gauge,
     pub(crate) broken_streams: Counter,
-    /// Seconds from a request's arrival to the head of its answer.
+    /// Seconds from the arrival of a request until the response status and headers are
+    /// known.
     pub(crate) answer_seconds: Histogram,
     pub(crate) pools: PoolMetrics,
     pub(crate) links: LinkMetrics,
@@ -31,7 +32,7 @@
     pub(crate) agents: Gauge,
 }
 
-/// Gauges of each pool, by the model or service.
+/// Gauges per pool, labelled with the model or service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PoolMetrics {
     pub(crate) ready: Family<PoolLabel, Gauge>,
@@ -56,7 +57,7 @@
 }
 
 impl Metrics {
-    /// Makes the counts and the registry that shows them.
+    /// Creates the metrics and the registry that exposes them.
     pub(crate) fn new() -> (Self, Arc<Registry>) {
         let metrics = Metrics {
             requests: Family::default(),
--- a/crates/entry/src/pool_name.rs
+++ b/crates/entry/src/pool_name.rs
@@ -1,6 +1,6 @@
-//! What a request is for.
+//! Name of a pool of targets.
 
-/// The model or service that a request is for; its targets form one pool.
+/// The model or service that a request addresses; its targets form one pool.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum PoolName {
     Model(String),
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -22,32 +22,34 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Name of the entry, different from all other nodes'.
+    /// Name of the entry, unique among all nodes.
     pub name: String,
-    /// Availability zone it stands in.
+    /// Availability zone of the entry.
     pub zone: String,
-    /// Where callers and operators connect.
+    /// Listen address for callers and operators.
     pub http: SocketAddr,
-    /// Where callers are told to connect.
+    /// Address that is announced to callers.
     pub advertise: SocketAddr,
     /// Link addresses of the control replicas.
     pub controls: Vec<SocketAddr>,
-    /// File with the cluster key.
+    /// File that contains the cluster key.
     pub cluster_key_file: PathBuf,
-    /// File with the operators' token; without it operators are refused.
+    /// File that contains the operators' token; without it, operator requests are
+    /// refused.
     pub operator_token_file: Option<PathBuf>,
-    /// Times.
+    /// Intervals and timeouts.
     pub timing: Timing,
-    /// Bounds.
+    /// Limits.
     pub limits: Limits,
     effective: Value,
 }
 
 impl Settings {
-    /// Reads and checks settings.
+    /// Parses and validates settings.
     ///
     /// # Errors
-    /// All findings at once, each with its JSON path.
+    ///
+    /// Returns all findings at once, each with its JSON path.
     pub fn from_slice(json: &[u8]) -> Result<Settings, Findings> {
         let mut r = Reader::from_slice(json)?;
         let name = r.required("name");
@@ -80,7 +82,7 @@
         })
     }
 
-    /// What is in force, defaults included.
+    /// Settings in force, including defaults.
     #[must_use]
     pub fn effective(&self) -> Value {
         self.effective.clone()
--- a/crates/entry/src/timing.rs
+++ b/crates/entry/src/timing.rs
@@ -1,42 +1,44 @@
-//! Times of an entry.
+//! Intervals and timeouts of an entry.
 
 use std::time::Duration;
 
 use cfg::Reader;
 
-/// Times of an entry.
+/// Intervals and timeouts of an entry.
 #[derive(Clone, Debug)]
 pub struct Timing {
-    /// Between two heartbeats of a link; three without a byte close it.
+    /// Interval between heartbeats on a link. A link is closed after three intervals
+    /// without a byte.
     pub beat: Duration,
-    /// Between two renewals of the lease.
+    /// Interval between lease renewals.
     pub renew: Duration,
-    /// How long an agent may stay unreachable before its attempts are lost.
+    /// Time for which an agent may be unreachable before its attempts count as lost.
     pub link_grace: Duration,
-    /// For an agent to say whether it takes an attempt.
+    /// Timeout for an agent to accept or refuse an attempt.
     pub start: Duration,
-    /// Without a byte of an answer before the attempt is given up.
+    /// Time without a byte of an answer after which the attempt is abandoned.
     pub stall: Duration,
-    /// Longest wait for a place at a target.
+    /// Maximum time that a request waits for capacity of a target.
     pub queue_wait: Duration,
-    /// A queue that was not empty for so long is kept short.
+    /// Time after which a queue that has not been empty counts as standing, and its
+    /// requests wait for a shorter time.
     pub standing_after: Duration,
-    /// Longest wait for a place in such a queue.
+    /// Maximum time that a request waits in a standing queue.
     pub standing_wait: Duration,
-    /// For a chat completion whose caller states no time.
+    /// Timeout of a chat completion for which the caller sets none.
     pub chat_timeout: Duration,
-    /// Longest time that a caller may ask for.
+    /// Maximum timeout that a caller may set.
     pub timeout_max: Duration,
-    /// For a caller to send its request.
+    /// Timeout for receiving a request from a caller.
     pub receive: Duration,
-    /// How long callers may keep the address list.
+    /// Time for which callers may cache the address list.
     pub address_ttl: Duration,
-    /// For requests in progress to end when the entry shuts down, after the
-    /// address list has run out.
+    /// Timeout for running requests to end during a shutdown, counted from the expiry
+    /// of the address list.
     pub drain: Duration,
-    /// For the durable state to take a command.
+    /// Timeout for control to commit a command.
     pub commit: Duration,
-    /// Network distance assumed to a target in another availability zone.
+    /// Network latency assumed for a target in another availability zone.
     pub zone_distance: Duration,
 }
 
