--- a/crates/entry/tests/entry/accounts.rs
+++ b/crates/entry/tests/entry/accounts.rs
@@ -1,4 +1,4 @@
-//! Limits of an account that several entries give out.
+//! Account limits that several entries share.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,16 +9,18 @@
 use wire::proto::frame::Body;
 
 use crate::subsets::announce_entry;
-use crate::support::{Caller, Cluster, KEY, Reply, Script, StubAgent, accept, eventually, say};
+use crate::support::{
+    Caller, Cluster, KEY, Reply, Script, StubAgent, accept, eventually, send_reply,
+};
 
-/// Requests at once that the account may have.
+/// Concurrency limit of the account.
 const CONCURRENT: usize = 8;
-/// Of four entries, each has this part of it that it needs no grant for.
-const OWN: usize = 2;
+/// Part of the limit that each of four entries may use without a grant.
+const OWN_SHARE: usize = 2;
 
-/// Four entries are announced, of which the first ones are real; one desk accepts all calls
-/// and never answers.
-struct Limited {
+/// A cluster that announces four entries, of which the first ones are real. Its only
+/// desk accepts all calls and never answers.
+struct LimitedAccount {
     _cluster: Cluster,
     _others: Vec<Follower>,
     _entries: Vec<entry::Entry>,
@@ -26,17 +28,17 @@
     desk: StubAgent,
 }
 
-async fn limited(real: usize) -> Limited {
+async fn limited_account(real: usize) -> LimitedAccount {
     let mut cluster = Cluster::start().await;
     cluster.offer(&[], &["desk-01"]).await;
     let digest = crate::support::sha256_hex(KEY.as_bytes());
     let account = json!({"kind": "account", "name": "saegewerk-huber", "key_sha256": digest,
         "share": 1, "tokens_per_s": 1_000_000, "requests_per_s": 10_000,
         "concurrent": CONCURRENT, "priority": 1});
-    cluster.change(&json!([account])).await;
+    cluster.submit_changes(&json!([account])).await;
     let script: Script = Arc::new(|_, incoming| {
         if let Body::Start(start) = &incoming.body {
-            say(incoming, accept(start), Vec::new());
+            send_reply(incoming, accept(start), Vec::new());
         }
     });
     let desk = StubAgent::desk(&cluster, "desk-01", script).await;
@@ -46,7 +48,7 @@
     let (mut entries, mut callers) = (Vec::new(), Vec::new());
     for name in &names[..real] {
         let entry = cluster
-            .entry(name, json!({"queue_wait_ms": 200}), json!({}))
+            .start_entry(name, json!({"queue_wait_ms": 200}), json!({}))
             .await;
         let caller = Caller::new(entry.http_address(), KEY);
         caller.until_ready().await;
@@ -60,7 +62,7 @@
         })
         .await;
     }
-    Limited {
+    LimitedAccount {
         _cluster: cluster,
         _others: others,
         _entries: entries,
@@ -69,8 +71,9 @@
     }
 }
 
-/// A caller that asks until it is let in, and then waits for an answer that never comes.
-fn insist(caller: &Caller) -> JoinHandle<Reply> {
+/// Calls the entry until the call is admitted, and then waits for an answer that never
+/// comes.
+fn call_until_admitted(caller: &Caller) -> JoinHandle<Reply> {
     let caller = caller.clone();
     tokio::spawn(async move {
         loop {
@@ -83,47 +86,52 @@
     })
 }
 
-fn all_of(callers: &[JoinHandle<Reply>]) {
+fn abort_all(callers: &[JoinHandle<Reply>]) {
     callers.iter().for_each(JoinHandle::abort);
 }
 
-/// All callers of a small account hold to one entry of four. If the entry gave out its own
-/// part only, they would be refused though the account uses a quarter of its limit.
+/// All callers of an account use one of four entries. If that entry used only its own
+/// part of the limit, it would refuse them although the account uses a quarter of its
+/// limit.
 #[tokio::test(flavor = "multi_thread")]
-async fn account_at_one_entry_whole_limit() {
-    let limited = limited(1).await;
+async fn account_at_one_entry_full_limit() {
+    let limited_account = limited_account(1).await;
     let callers: Vec<_> = (0..CONCURRENT)
-        .map(|_| insist(&limited.callers[0]))
+        .map(|_| call_until_admitted(&limited_account.callers[0]))
         .collect();
-    eventually("all are let in", async || {
-        (limited.desk.starts().len() >= CONCURRENT).then_some(())
+    eventually("all calls are admitted", async || {
+        (limited_account.desk.starts().len() >= CONCURRENT).then_some(())
     })
     .await;
-    let more = limited.callers[0].get("/s/order-desk/stock").await;
+    let more = limited_account.callers[0].get("/s/order-desk/stock").await;
     assert_eq!(more.status, 429, "{}", more.text());
-    all_of(&callers);
+    abort_all(&callers);
 }
 
-/// Callers of an account press on two entries at once. Together they may exceed its limit by
-/// the own part of the one that was granted nothing yet, and by no more.
+/// An account sends calls through two entries at once. Together they may exceed its
+/// limit by the own part of the entry that has no grant yet, and by no more.
 #[tokio::test(flavor = "multi_thread")]
 async fn account_at_two_entries_bounded() {
-    let limited = limited(2).await;
-    let press = |caller: &Caller| -> Vec<_> { (0..CONCURRENT).map(|_| insist(caller)).collect() };
-    let first = press(&limited.callers[0]);
-    eventually("the first has the whole", async || {
-        (limited.desk.starts().len() >= CONCURRENT).then_some(())
+    let limited_account = limited_account(2).await;
+    let call_concurrently = |caller: &Caller| -> Vec<_> {
+        (0..CONCURRENT)
+            .map(|_| call_until_admitted(caller))
+            .collect()
+    };
+    let first = call_concurrently(&limited_account.callers[0]);
+    eventually("the first entry uses the full limit", async || {
+        (limited_account.desk.starts().len() >= CONCURRENT).then_some(())
     })
     .await;
-    let second = press(&limited.callers[1]);
-    eventually("the second lets in its own part", async || {
-        (limited.desk.starts().len() >= CONCURRENT + OWN).then_some(())
+    let second = call_concurrently(&limited_account.callers[1]);
+    eventually("the second entry uses its own share", async || {
+        (limited_account.desk.starts().len() >= CONCURRENT + OWN_SHARE).then_some(())
     })
     .await;
-    // Time for it to let in too many; the test holds however long it is.
+    // Gives the entry time to admit too many; a longer wait must not change the result.
     tokio::time::sleep(Duration::from_secs(4)).await;
-    let running = limited.desk.starts().len();
-    all_of(&first);
-    all_of(&second);
-    assert!(running <= CONCURRENT + OWN, "{running} at once");
+    let running = limited_account.desk.starts().len();
+    abort_all(&first);
+    abort_all(&second);
+    assert!(running <= CONCURRENT + OWN_SHARE, "{running} running calls");
 }
--- a/crates/entry/tests/entry/standing.rs
+++ b/crates/entry/tests/entry/admission.rs
@@ -1,23 +1,23 @@
-//! Who is let in.
+//! Admission of requests.
 
 use fake::Relay;
 use serde_json::json;
 
-use crate::support::{Caller, Cluster, Form, KEY, chat, eventually, serving};
+use crate::support::{AnswerMode, Caller, Cluster, KEY, chat, eventually, serving_cluster};
 
-/// An entry is cut off from control. It can't know any more what is offered,
-/// so it takes nothing new, says so at once, and drops out of readiness. Of a
-/// call that may have run before under its key it doesn't say "not run".
+/// An entry loses control and can no longer know what is offered. It refuses new
+/// requests at once and is not ready. For a call that may have run before under its
+/// key, it must not answer "not run".
 #[tokio::test(flavor = "multi_thread")]
 async fn admit_without_lease() {
-    let (cluster, engine, service, _entry, caller) = serving().await;
+    let (cluster, engine, service, _entry, caller) = serving_cluster().await;
     cluster.control.shutdown().await;
-    eventually("the lease runs out", async || {
+    eventually("the lease expires", async || {
         (caller.get("/readyz").await.status == 503).then_some(())
     })
     .await;
     let (chats, calls) = (engine.seen().len(), service.seen().len());
-    let reply = caller.chat("late", 1, Form::Whole).await;
+    let reply = caller.chat("late", 1, AnswerMode::Unstreamed).await;
     assert_eq!((reply.status, reply.ran().as_str()), (503, "no"));
     assert!(reply.headers.contains_key("retry-after"));
     let reply = caller.reserve("lot-17", "{}").await;
@@ -33,48 +33,53 @@
     );
 }
 
-/// Only the entry is cut off; the targets' agents still hear control. A note
-/// could withdraw an account or a model meanwhile, so the entry must not go
-/// on by what it last knew.
+/// Only the entry loses control; the agents still reach it. A release note could
+/// withdraw an account or a model in the meantime, so the entry must not act on its
+/// last known one.
 #[tokio::test(flavor = "multi_thread")]
-async fn admit_cut_off_alone() {
-    let (cluster, engine, _service, _entry, other) = serving().await;
+async fn admit_entry_partitioned() {
+    let (cluster, engine, _service, _entry, other) = serving_cluster().await;
     let relay = Relay::start().await.unwrap();
     relay.set_target(cluster.control.link_address());
-    let entry = cluster.entry_through("entry-2", relay.address, json!({}), json!({}));
+    let entry = cluster.start_entry_with_control("entry-2", relay.address, json!({}), json!({}));
     let entry = entry.await;
     let caller = Caller::new(entry.http_address(), KEY);
     caller.until_ready().await;
-    caller.until_served().await;
+    caller.until_chat_served().await;
     relay.go_silent();
-    eventually("the lease runs out", async || {
+    eventually("the lease expires", async || {
         (caller.get("/readyz").await.status == 503).then_some(())
     })
     .await;
     let prompts = || engine.seen().iter().filter(|s| s.method == "POST").count();
     let before = prompts();
-    let reply = caller.chat("late", 1, Form::Whole).await;
+    let reply = caller.chat("late", 1, AnswerMode::Unstreamed).await;
     assert_eq!((reply.status, reply.ran().as_str()), (503, "no"));
     assert!(reply.headers.contains_key("retry-after"));
     assert_eq!(prompts(), before);
-    assert_eq!(other.chat("in time", 1, Form::Whole).await.status, 200);
+    assert_eq!(
+        other
+            .chat("in time", 1, AnswerMode::Unstreamed)
+            .await
+            .status,
+        200
+    );
 }
 
-/// One request kills each engine that runs it and its caller sends it again.
-/// Convicted, it is refused at once, and others are served; an operator can
-/// pardon it.
+/// A request crashes each engine that runs it and is sent again. Once it is convicted,
+/// it is refused at once and other requests are served. An operator can pardon it.
 #[tokio::test(flavor = "multi_thread")]
 async fn admit_convicted() {
-    let (cluster, engine, _service, _entry, caller) = serving().await;
+    let (cluster, engine, _service, _entry, caller) = serving_cluster().await;
     engine.fault(fake::Fault::CrashOn("poison".to_owned()));
-    let poison = chat("poison", 3, Form::Whole);
+    let poison = chat("poison", 3, AnswerMode::Unstreamed);
     let path = "/v1/chat/completions";
-    eventually("it is convicted", async || {
+    eventually("the request is convicted", async || {
         let reply = caller.post(path, &[], poison.clone()).await;
         if reply.status == 422 {
             return Some(());
         }
-        if caller.chat("ok", 1, Form::Whole).await.status != 200 {
+        if caller.chat("ok", 1, AnswerMode::Unstreamed).await.status != 200 {
             engine.restart().await.unwrap();
             engine.fault(fake::Fault::CrashOn("poison".to_owned()));
         }
@@ -84,7 +89,7 @@
     engine.restart().await.unwrap();
     let refused = caller.post(path, &[], poison.clone()).await;
     assert_eq!((refused.status, refused.ran().as_str()), (422, "no"));
-    caller.until_served().await;
+    caller.until_chat_served().await;
     drop(cluster);
 }
 
@@ -95,15 +100,17 @@
         .await
         .unwrap();
     cluster.offer(&["advisor-01"], &[]).await;
-    cluster.agent("advisor-01", "", engine.address()).await;
+    cluster
+        .start_agent("advisor-01", "", engine.address())
+        .await;
     let limits = json!({"account_part": 0.0002});
-    let entry = cluster.entry("entry-1", json!({}), limits).await;
+    let entry = cluster.start_entry("entry-1", json!({}), limits).await;
     let caller = Caller::new(entry.http_address(), KEY);
     caller.until_ready().await;
-    // 10,000 requests a second, of which this entry gives out two, and a
-    // burst of two seconds.
+    // The account may send 10,000 requests per second. This entry grants two of them,
+    // with a burst of two seconds.
     let reply = eventually("the rate is used up", async || {
-        let reply = caller.chat("more", 1, Form::Whole).await;
+        let reply = caller.chat("more", 1, AnswerMode::Unstreamed).await;
         (reply.status == 429).then_some(reply)
     })
     .await;
@@ -115,15 +122,14 @@
     assert!(after.is_ok_and(|seconds| seconds >= 1));
 }
 
-/// A target is withdrawn by a note. Work must not go there any more, be it
-/// ever so fit.
+/// A release note withdraws a target. It must get no more work, even if it is healthy.
 #[tokio::test(flavor = "multi_thread")]
 async fn admit_withdrawn_target() {
-    let (mut cluster, _engine, service, _entry, caller) = serving().await;
+    let (mut cluster, _engine, service, _entry, caller) = serving_cluster().await;
     cluster
-        .note(&json!([]), &json!([{"kind": "target", "name": "desk-01"}]))
+        .submit_note(&json!([]), &json!([{"kind": "target", "name": "desk-01"}]))
         .await;
-    eventually("it gets nothing new", async || {
+    eventually("the target gets no new work", async || {
         let reply = caller.get("/s/order-desk/stock").await;
         (reply.status == 503).then_some(())
     })
--- a/crates/entry/tests/entry/path.rs
+++ b/crates/entry/tests/entry/end_to_end.rs
@@ -1,18 +1,22 @@
-//! The whole path in one process: callers, entry, agents, targets.
+//! End-to-end tests in one process: callers, an entry, agents and targets.
 
-use crate::support::{Caller, Form, KEY, eventually, serving};
+use crate::support::{AnswerMode, Caller, KEY, eventually, serving_cluster};
 use serde_json::json;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn chat_streamed_and_whole() {
-    let (_cluster, engine, _service, _entry, caller) = serving().await;
-    let whole = caller.chat("draft a figure note", 5, Form::Whole).await;
-    assert_eq!(whole.status, 200);
-    assert_eq!(whole.json()["object"], "chat.completion");
-    assert!(whole.headers.contains_key("x-request-id"));
-    let streamed = caller.chat("draft a figure note", 5, Form::Streamed).await;
+async fn chat_streamed_and_unstreamed() {
+    let (_cluster, engine, _service, _entry, caller) = serving_cluster().await;
+    let unstreamed = caller
+        .chat("draft a figure note", 5, AnswerMode::Unstreamed)
+        .await;
+    assert_eq!(unstreamed.status, 200);
+    assert_eq!(unstreamed.json()["object"], "chat.completion");
+    assert!(unstreamed.headers.contains_key("x-request-id"));
+    let streamed = caller
+        .chat("draft a figure note", 5, AnswerMode::Streamed)
+        .await;
     assert_eq!(streamed.status, 200);
-    assert!(streamed.whole);
+    assert!(streamed.complete);
     assert!(streamed.text().ends_with("data: [DONE]\n\n"));
     assert_eq!(streamed.text().matches("data: ").count(), 7);
     let seen = engine.seen();
@@ -22,11 +26,11 @@
     assert!(last.unwrap().header("authorization").is_none());
 }
 
-/// A buyer's reservation is sent again since its first answer was lost. Run
-/// twice, the burl would be sold twice.
+/// A reservation is sent again because its first answer was lost. It must not run
+/// twice.
 #[tokio::test(flavor = "multi_thread")]
-async fn reserve_sent_again() {
-    let (_cluster, _engine, service, _entry, caller) = serving().await;
+async fn reserve_resent() {
+    let (_cluster, _engine, service, _entry, caller) = serving_cluster().await;
     let first = caller.reserve("lot-17", "{\"lot\":17}").await;
     assert_eq!(first.status, 200, "{}", first.text());
     let again = caller.reserve("lot-17", "{\"lot\":17}").await;
@@ -37,13 +41,13 @@
     assert_eq!(service.count("lot-17", "/reservations"), 1);
 }
 
-/// The same reservation reaches several entries at once, from a caller that
-/// lost patience. Each of them must give the one answer.
+/// A caller that times out early sends the same reservation through several entries at
+/// once. All of them must return the same answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn reserve_at_all_entries_at_once() {
-    let (cluster, _engine, service, _entry, caller) = serving().await;
-    let (_second, other) = cluster.ready_entry("entry-2").await;
-    other.until_desk().await;
+async fn reserve_at_all_entries_concurrently() {
+    let (cluster, _engine, service, _entry, caller) = serving_cluster().await;
+    let (_second, other) = cluster.start_ready_entry("entry-2").await;
+    other.until_service_served().await;
     for round in 0..5 {
         let key = format!("lot-{round}");
         let calls = [&caller, &other, &caller, &other].map(|caller| caller.reserve(&key, "{}"));
@@ -59,9 +63,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn addresses_nearest_first() {
-    let (cluster, _engine, _service, entry, caller) = serving().await;
-    let (second, _) = cluster.ready_entry("entry-2").await;
-    let list = eventually("both are listed", async || {
+    let (cluster, _engine, _service, entry, caller) = serving_cluster().await;
+    let (second, _) = cluster.start_ready_entry("entry-2").await;
+    let list = eventually("both entries are listed", async || {
         let list = caller.get("/v1/addresses").await.json();
         (list["addresses"].as_array()?.len() == 2).then_some(list)
     })
@@ -74,27 +78,31 @@
     drop(second);
 }
 
-/// An entry is shut down while a stream is open and while callers still hold
-/// an old address list. A stream cut off loses a dispatcher his summary.
+/// An entry shuts down while a stream is open and callers still have its address
+/// cached. The stream must not be cut off.
 #[tokio::test(flavor = "multi_thread")]
 async fn shutdown_with_open_stream() {
-    let (cluster, _engine, _service, _first, caller) = serving().await;
+    let (cluster, _engine, _service, _first, caller) = serving_cluster().await;
     let timing = json!({"address_ttl_ms": 5000});
-    let leaving = cluster.entry("entry-2", timing, json!({})).await;
-    let at_leaving = Caller::new(leaving.http_address(), KEY);
-    at_leaving.until_ready().await;
-    at_leaving.until_served().await;
+    let leaving = cluster.start_entry("entry-2", timing, json!({})).await;
+    let leaving_caller = Caller::new(leaving.http_address(), KEY);
+    leaving_caller.until_ready().await;
+    leaving_caller.until_chat_served().await;
     let stream = {
-        let caller = at_leaving.clone();
-        tokio::spawn(async move { caller.chat("a long summary", 4000, Form::Streamed).await })
+        let caller = leaving_caller.clone();
+        tokio::spawn(async move {
+            caller
+                .chat("a long summary", 4000, AnswerMode::Streamed)
+                .await
+        })
     };
     eventually("the stream is open", async || {
-        let text = at_leaving.get("/metrics").await.text();
+        let text = leaving_caller.get("/metrics").await.text();
         text.contains("open_streams 1").then_some(())
     })
     .await;
     let listed = async |count: usize| {
-        eventually("the list is so long", async || {
+        eventually("the address list has the expected length", async || {
             let list = caller.get("/v1/addresses").await.json();
             (list["addresses"].as_array()?.len() == count).then_some(())
         })
@@ -105,18 +113,24 @@
         tokio::join!(leaving.shutdown(), leaving.shutdown());
     };
     let meanwhile = async {
-        assert_eq!(at_leaving.get("/readyz").await.status, 503);
-        // Callers with an old list are still served.
-        assert_eq!(at_leaving.chat("late", 1, Form::Whole).await.status, 200);
+        assert_eq!(leaving_caller.get("/readyz").await.status, 503);
+        // Callers with a cached address list are still served.
+        assert_eq!(
+            leaving_caller
+                .chat("late", 1, AnswerMode::Unstreamed)
+                .await
+                .status,
+            200
+        );
         listed(1).await;
-        // Not because it has ended.
-        assert_eq!(at_leaving.get("/healthz").await.status, 200);
+        // The entry has left the list but has not ended.
+        assert_eq!(leaving_caller.get("/healthz").await.status, 200);
     };
     tokio::join!(shutdown, meanwhile);
     let reply = stream.await.unwrap();
-    assert!(reply.whole && reply.text().ends_with("data: [DONE]\n\n"));
+    assert!(reply.complete && reply.text().ends_with("data: [DONE]\n\n"));
     assert!(
-        at_leaving
+        leaving_caller
             .open(hyper::Method::GET, "/healthz", &[], "")
             .await
             .is_err()
--- a/crates/entry/tests/entry/main.rs
+++ b/crates/entry/tests/entry/main.rs
@@ -1,10 +1,10 @@
-//! Entries before real control and agents, fake targets and a stub agent.
+//! Entries with a real control replica, real and stub agents, and fake targets.
 
 mod accounts;
+mod admission;
 mod bad_input;
 mod calls;
-mod path;
-mod standing;
+mod end_to_end;
 mod streams;
 mod subsets;
 mod support;
--- a/crates/entry/tests/entry/streams.rs
+++ b/crates/entry/tests/entry/streams.rs
@@ -1,4 +1,4 @@
-//! Answers of chat completions when something goes wrong on the way.
+//! Failures of chat completions.
 
 use fake::Relay;
 use std::sync::Arc;
@@ -12,57 +12,60 @@
 use wire::proto::{AnswerChunk, AttachReply, AttemptState, BarReply, End, Refusal, Start};
 
 use crate::support::{
-    Caller, Cluster, Form, KEY, Script, StubAgent, accept, announcement, answer, chat, chunk,
-    events, eventually, finish, head, refuse, say,
+    AnswerMode, Caller, Cluster, KEY, Script, StubAgent, accept, announcement, answer, chat, chunk,
+    events, eventually, finish, head, refuse, send_reply,
 };
 
 const SSE: &str = "text/event-stream";
 const DONE: &str = "data: [DONE]\n\n";
 
-async fn offered() -> Cluster {
+async fn cluster_offering_advisors() -> Cluster {
     let mut cluster = Cluster::start().await;
     cluster.offer(&["advisor-01", "advisor-02"], &[]).await;
     cluster
 }
 
-async fn ready(cluster: &Cluster) -> (entry::Entry, Caller) {
-    // Nothing may pass only because an attempt was given up as stalled.
+async fn start_ready_entry(cluster: &Cluster) -> (entry::Entry, Caller) {
+    // The stall timeout is long so that no test passes only because an attempt stalled.
     let timing = json!({
         "beat_ms": 200, "start_ms": 500, "link_grace_ms": 5000, "stall_ms": 300_000,
     });
-    let entry = cluster.entry("entry-1", timing, json!({})).await;
+    let entry = cluster.start_entry("entry-1", timing, json!({})).await;
     let caller = Caller::new(entry.http_address(), KEY);
     caller.until_ready().await;
     (entry, caller)
 }
 
-/// Sends chats until the stubs are known to the entry and answer.
-async fn first_answer(caller: &Caller, form: Form) -> crate::support::Reply {
+/// Sends chat completions until the entry knows the stub targets, and returns the
+/// answer.
+async fn retry_until_target_known(caller: &Caller, mode: AnswerMode) -> crate::support::Reply {
     eventually("a target is chosen", async || {
-        let reply = caller.chat("draft", 9, form).await;
+        let reply = caller.chat("draft", 9, mode).await;
         let unknown = reply.status == 503 && reply.text().contains("no live target");
         (!unknown).then_some(reply)
     })
     .await
 }
 
-/// A script that answers each start by a count of those before.
-fn by_turn(turn: impl Fn(u32, &Start) -> (Body, Vec<Body>) + Send + Sync + 'static) -> Script {
+/// A script that answers each start by the number of starts before it.
+fn script_by_turn(
+    turn: impl Fn(u32, &Start) -> (Body, Vec<Body>) + Send + Sync + 'static,
+) -> Script {
     let count = AtomicU32::new(0);
     Arc::new(move |_, incoming| {
         if let Body::Start(start) = &incoming.body {
             let (reply, frames) = turn(count.fetch_add(1, Ordering::SeqCst), start);
-            say(incoming, reply, frames);
+            send_reply(incoming, reply, frames);
         }
     })
 }
 
-/// The target dies in mid-stream. The dispatcher reads on, without a repeated
-/// word and without a gap.
+/// The target crashes in mid-stream. The caller receives the rest from another target,
+/// without repetitions or gaps.
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_resumed_elsewhere() {
-    let cluster = offered().await;
-    let script = by_turn(|turn, start| {
+    let cluster = cluster_offering_advisors().await;
+    let script = script_by_turn(|turn, start| {
         let id = &start.attempt;
         if turn == 0 {
             let text = events(0..3, "data: {\"n\":3");
@@ -71,13 +74,13 @@
         }
         (accept(start), answer(id, SSE, &events(3..6, DONE)))
     });
-    let one = StubAgent::engine(&cluster, "advisor-01", Arc::clone(&script)).await;
-    let two = StubAgent::engine(&cluster, "advisor-02", script).await;
-    let (_entry, caller) = ready(&cluster).await;
-    let reply = first_answer(&caller, Form::Streamed).await;
-    assert!(reply.whole);
+    let first = StubAgent::engine(&cluster, "advisor-01", Arc::clone(&script)).await;
+    let second = StubAgent::engine(&cluster, "advisor-02", script).await;
+    let (_entry, caller) = start_ready_entry(&cluster).await;
+    let reply = retry_until_target_known(&caller, AnswerMode::Streamed).await;
+    assert!(reply.complete);
     assert_eq!(reply.text(), events(0..6, DONE));
-    let resumed: Vec<u64> = [one.starts(), two.starts()]
+    let resumed: Vec<u64> = [first.starts(), second.starts()]
         .concat()
         .iter()
         .map(|start| start.resume_events)
@@ -85,12 +88,12 @@
     assert!(resumed.contains(&3), "{resumed:?}");
 }
 
-/// The target dies in mid-stream and nothing can resume. A caller who took
-/// the half answer for a whole one would send a wrong summary on.
+/// The target crashes in mid-stream and no other target can resume. The caller must be
+/// able to tell that the answer is incomplete.
 #[tokio::test(flavor = "multi_thread")]
-async fn stream_broken_off_visibly() {
-    let cluster = offered().await;
-    let script = by_turn(|_, start| {
+async fn stream_aborted_visibly() {
+    let cluster = cluster_offering_advisors().await;
+    let script = script_by_turn(|_, start| {
         let id = &start.attempt;
         let text = events(0..3, "");
         let end = finish(id, &text, End::Crashed);
@@ -102,11 +105,11 @@
     };
     let stub = StubAgent::start(&cluster, target, None, script).await;
     let timing = json!({"queue_wait_ms": 300});
-    let entry = cluster.entry("entry-1", timing, json!({})).await;
+    let entry = cluster.start_entry("entry-1", timing, json!({})).await;
     let caller = Caller::new(entry.http_address(), KEY);
     caller.until_ready().await;
-    let reply = first_answer(&caller, Form::Streamed).await;
-    assert!(!reply.whole);
+    let reply = retry_until_target_known(&caller, AnswerMode::Streamed).await;
+    assert!(!reply.complete);
     assert!(
         reply
             .text()
@@ -117,12 +120,12 @@
     assert_eq!(stub.starts().len(), 1);
 }
 
-/// The engine closes its stream properly but too early. Its agent can't see
-/// that; the caller would miss the end of the note.
+/// The engine ends its stream properly but too early, which its agent cannot detect.
+/// The caller must still get the complete answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_ends_early() {
-    let cluster = offered().await;
-    let script = by_turn(|turn, start| {
+    let cluster = cluster_offering_advisors().await;
+    let script = script_by_turn(|turn, start| {
         let id = &start.attempt;
         let text = if turn == 0 {
             events(0..2, "")
@@ -132,18 +135,18 @@
         (accept(start), answer(id, SSE, &text))
     });
     let _stub = StubAgent::engine(&cluster, "advisor-01", script).await;
-    let (_entry, caller) = ready(&cluster).await;
-    let reply = first_answer(&caller, Form::Streamed).await;
-    assert!(reply.whole);
+    let (_entry, caller) = start_ready_entry(&cluster).await;
+    let reply = retry_until_target_known(&caller, AnswerMode::Streamed).await;
+    assert!(reply.complete);
     assert_eq!(reply.text(), events(0..4, DONE));
 }
 
-/// Frames arrive late, doubled, out of order and some belong to somebody
-/// else. The caller gets its own answer, each byte once.
+/// Frames arrive late, duplicated, out of order and for another attempt. The caller
+/// gets its own answer, each byte once.
 #[tokio::test(flavor = "multi_thread")]
-async fn stream_frames_disordered() {
-    let cluster = offered().await;
-    let script = by_turn(|_, start| {
+async fn stream_frames_reordered() {
+    let cluster = cluster_offering_advisors().await;
+    let script = script_by_turn(|_, start| {
         let id = &start.attempt;
         let text = events(0..5, DONE);
         let foreign = AnswerChunk {
@@ -166,18 +169,18 @@
         (accept(start), frames)
     });
     let _stub = StubAgent::engine(&cluster, "advisor-01", script).await;
-    let (_entry, caller) = ready(&cluster).await;
-    let reply = first_answer(&caller, Form::Streamed).await;
-    assert!(reply.whole);
+    let (_entry, caller) = start_ready_entry(&cluster).await;
+    let reply = retry_until_target_known(&caller, AnswerMode::Streamed).await;
+    assert!(reply.complete);
     assert_eq!(reply.text(), events(0..5, DONE));
 }
 
-/// Something between entry and agent loses track of their connection: it
-/// stays open and carries nothing, while new ones work. Without a fresh one
-/// the caller would wait until its deadline.
+/// The connection between entry and agent stays open but carries no data, while new
+/// connections work. Without a new connection, the caller would wait until its
+/// deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_silent_connection() {
-    let cluster = offered().await;
+    let cluster = cluster_offering_advisors().await;
     let relay = Relay::start().await.unwrap();
     let text = events(0..6, DONE);
     let (script_text, script_relay) = (text.clone(), relay.clone());
@@ -185,7 +188,7 @@
         Body::Start(start) => {
             let id = &start.attempt;
             let part = chunk(id, &script_text[..33], 0);
-            say(incoming, accept(start), vec![head(id, SSE), part]);
+            send_reply(incoming, accept(start), vec![head(id, SSE), part]);
             let relay = script_relay.clone();
             tokio::spawn(async move {
                 tokio::time::sleep(std::time::Duration::from_millis(300)).await;
@@ -201,7 +204,7 @@
             });
             let rest = chunk(id, &script_text, offset);
             let end = finish(id, &script_text, End::Whole);
-            say(incoming, reply, vec![rest, end]);
+            send_reply(incoming, reply, vec![rest, end]);
         }
         _ => {}
     });
@@ -210,19 +213,19 @@
         ..announcement("advisor-01")
     };
     let stub = StubAgent::start(&cluster, target, Some(&relay), script).await;
-    let (_entry, caller) = ready(&cluster).await;
-    let reply = first_answer(&caller, Form::Streamed).await;
-    assert!(reply.whole, "{}", reply.text());
+    let (_entry, caller) = start_ready_entry(&cluster).await;
+    let reply = retry_until_target_known(&caller, AnswerMode::Streamed).await;
+    assert!(reply.complete, "{}", reply.text());
     assert_eq!(reply.text(), text);
     assert_eq!(stub.starts().len(), 1);
 }
 
-/// A byte of the answer was damaged on the way. It must not be given as if it
-/// were whole.
+/// A byte of the answer is corrupted in transit. The answer must not be returned as
+/// complete.
 #[tokio::test(flavor = "multi_thread")]
-async fn whole_damaged_retried() {
-    let cluster = offered().await;
-    let script = by_turn(|turn, start| {
+async fn damaged_answer_retried() {
+    let cluster = cluster_offering_advisors().await;
+    let script = script_by_turn(|turn, start| {
         let id = &start.attempt;
         let mut frames = answer(id, "application/json", "{\"n\":1}");
         if turn == 0 {
@@ -231,17 +234,17 @@
         (accept(start), frames)
     });
     let _stub = StubAgent::engine(&cluster, "advisor-01", script).await;
-    let (_entry, caller) = ready(&cluster).await;
-    let reply = first_answer(&caller, Form::Whole).await;
+    let (_entry, caller) = start_ready_entry(&cluster).await;
+    let reply = retry_until_target_known(&caller, AnswerMode::Unstreamed).await;
     assert_eq!((reply.status, reply.text().as_str()), (200, "{\"n\":1}"));
 }
 
-/// A release note is in force at the agent and not yet at the entry. Work
-/// goes on as soon as both have it; the caller notices nothing.
+/// A release note is in force at the agent and not yet at the entry. The request
+/// continues once both have it, and the caller notices nothing.
 #[tokio::test(flavor = "multi_thread")]
-async fn start_refused_for_note() {
-    let cluster = offered().await;
-    let script = by_turn(|turn, start| {
+async fn start_refused_for_newer_note() {
+    let cluster = cluster_offering_advisors().await;
+    let script = script_by_turn(|turn, start| {
         if turn < 5 {
             return (refuse(start, Refusal::Note), Vec::new());
         }
@@ -249,36 +252,41 @@
         (accept(start), answer(id, "application/json", "{}"))
     });
     let stub = StubAgent::engine(&cluster, "advisor-01", script).await;
-    let (_entry, caller) = ready(&cluster).await;
-    assert_eq!(first_answer(&caller, Form::Whole).await.status, 200);
+    let (_entry, caller) = start_ready_entry(&cluster).await;
+    assert_eq!(
+        retry_until_target_known(&caller, AnswerMode::Unstreamed)
+            .await
+            .status,
+        200
+    );
     assert_eq!(stub.starts().len(), 6);
 }
 
-/// Each target refuses. The caller is told at once that nothing ran and when
-/// to come back, and the attempts are bounded.
+/// Each target refuses. The caller is told at once that nothing ran and when to retry,
+/// and the number of attempts is bounded.
 #[tokio::test(flavor = "multi_thread")]
 async fn start_refused_everywhere() {
-    let cluster = offered().await;
-    let script = by_turn(|_, start| (refuse(start, Refusal::Leaving), Vec::new()));
+    let cluster = cluster_offering_advisors().await;
+    let script = script_by_turn(|_, start| (refuse(start, Refusal::Leaving), Vec::new()));
     let stub = StubAgent::engine(&cluster, "advisor-01", script).await;
-    let (_entry, caller) = ready(&cluster).await;
-    let reply = first_answer(&caller, Form::Streamed).await;
+    let (_entry, caller) = start_ready_entry(&cluster).await;
+    let reply = retry_until_target_known(&caller, AnswerMode::Streamed).await;
     assert_eq!((reply.status, reply.ran().as_str()), (503, "no"));
     assert!(reply.headers.contains_key("retry-after"));
     assert_eq!(stub.starts().len(), 3);
 }
 
-/// The answer to a start is lost. Whether it runs is settled with the agent:
-/// here it had not begun, is barred, and the request is run by another
-/// attempt. Otherwise it might run twice at once.
+/// The reply to a start is lost, and the agent has not begun the attempt. The entry
+/// must have it barred before it starts another attempt, or the request could run twice
+/// at once.
 #[tokio::test(flavor = "multi_thread")]
 async fn start_reply_lost() {
-    let cluster = offered().await;
+    let cluster = cluster_offering_advisors().await;
     let count = AtomicU32::new(0);
     let script: Script = Arc::new(move |stub, incoming| match &incoming.body {
         Body::Start(start) if count.fetch_add(1, Ordering::SeqCst) > 0 => {
             let frames = answer(&start.attempt, "application/json", "{}");
-            say(incoming, accept(start), frames);
+            send_reply(incoming, accept(start), frames);
         }
         Body::Bar(bar) => {
             let reply = Body::BarReply(BarReply {
@@ -286,15 +294,20 @@
                 state: AttemptState::Barred.into(),
                 incarnation: stub.incarnation,
             });
-            say(incoming, reply, Vec::new());
+            send_reply(incoming, reply, Vec::new());
         }
         _ => {}
     });
     let stub = StubAgent::engine(&cluster, "advisor-01", script).await;
-    let (_entry, caller) = ready(&cluster).await;
-    assert_eq!(first_answer(&caller, Form::Whole).await.status, 200);
+    let (_entry, caller) = start_ready_entry(&cluster).await;
+    assert_eq!(
+        retry_until_target_known(&caller, AnswerMode::Unstreamed)
+            .await
+            .status,
+        200
+    );
     let starts = stub.starts();
-    let barred = stub.picked(|body| match body {
+    let barred = stub.received_matching(|body| match body {
         Body::Bar(bar) => Some(bar.attempt.clone()),
         _ => None,
     });
@@ -302,26 +315,26 @@
     assert_eq!(starts.len(), 2);
 }
 
-/// A caller hangs up in mid-stream. Its place is needed by others, so the
-/// attempt is cancelled.
+/// A caller disconnects in mid-stream. The attempt is cancelled, as others need its
+/// capacity.
 #[tokio::test(flavor = "multi_thread")]
-async fn stream_caller_goes_away() {
-    let cluster = offered().await;
-    let script = by_turn(|_, start| {
+async fn stream_caller_disconnects() {
+    let cluster = cluster_offering_advisors().await;
+    let script = script_by_turn(|_, start| {
         let id = &start.attempt;
         let part = chunk(id, &events(0..3, ""), 0);
         (accept(start), vec![head(id, SSE), part])
     });
     let stub = StubAgent::engine(&cluster, "advisor-01", script).await;
-    let (_entry, caller) = ready(&cluster).await;
-    let body = chat("draft", 9, Form::Streamed);
+    let (_entry, caller) = start_ready_entry(&cluster).await;
+    let body = chat("draft", 9, AnswerMode::Streamed);
     let response = eventually("the stream is open", async || {
         let path = "/v1/chat/completions";
         let response = caller.open(Method::POST, path, &[], body.clone()).await;
         response.ok().filter(|response| response.status() == 200)
     })
     .await;
-    // All that was sent is read: nothing but the hang-up tells the entry.
+    // All sent bytes are read, so only the disconnect can tell the entry.
     let mut body = response.into_body();
     let mut read = 0;
     while read < events(0..3, "").len() {
@@ -330,7 +343,7 @@
     }
     drop(body);
     eventually("the attempt is cancelled", async || {
-        let cancelled = stub.picked(|body| match body {
+        let cancelled = stub.received_matching(|body| match body {
             Body::Cancel(cancel) => Some(cancel.attempt.clone()),
             _ => None,
         });
@@ -339,16 +352,16 @@
     .await;
 }
 
-/// A target takes the request and never answers. The caller hears so at its
-/// own deadline, and that the request may have run.
+/// A target accepts the request and never answers. At its deadline, the caller is told
+/// that the request may have run.
 #[tokio::test(flavor = "multi_thread")]
-async fn whole_past_deadline() {
-    let cluster = offered().await;
-    let script = by_turn(|_, start| (accept(start), Vec::new()));
+async fn answer_past_deadline() {
+    let cluster = cluster_offering_advisors().await;
+    let script = script_by_turn(|_, start| (accept(start), Vec::new()));
     let _stub = StubAgent::engine(&cluster, "advisor-01", script).await;
-    let (_entry, caller) = ready(&cluster).await;
+    let (_entry, caller) = start_ready_entry(&cluster).await;
     let headers = [("x-request-timeout-ms", "700")];
-    let body = chat("draft", 9, Form::Whole);
+    let body = chat("draft", 9, AnswerMode::Unstreamed);
     let reply = eventually("a target is chosen", async || {
         let reply = caller
             .post("/v1/chat/completions", &headers, body.clone())
@@ -359,22 +372,21 @@
     assert_eq!(reply.ran(), "unknown");
 }
 
-/// One request crashes each target that runs it, and control hears of the
-/// crashes late. Tried again by what was known before, it would take down a
-/// third target.
+/// A request crashes each target that runs it, and control learns of the crashes late.
+/// A retry based on the old quarantine would crash a third target.
 #[tokio::test(flavor = "multi_thread")]
-async fn whole_crashes_two_targets() {
-    let cluster = offered().await;
-    let script = by_turn(|_, start| {
+async fn request_crashes_two_targets() {
+    let cluster = cluster_offering_advisors().await;
+    let script = script_by_turn(|_, start| {
         let end = finish(&start.attempt, "", End::Crashed);
         (accept(start), vec![end])
     });
-    let one = StubAgent::engine(&cluster, "advisor-01", Arc::clone(&script)).await;
-    let two = StubAgent::engine(&cluster, "advisor-02", script).await;
-    let (_entry, caller) = ready(&cluster).await;
-    let reply = first_answer(&caller, Form::Whole).await;
+    let first = StubAgent::engine(&cluster, "advisor-01", Arc::clone(&script)).await;
+    let second = StubAgent::engine(&cluster, "advisor-02", script).await;
+    let (_entry, caller) = start_ready_entry(&cluster).await;
+    let reply = retry_until_target_known(&caller, AnswerMode::Unstreamed).await;
     assert_eq!((reply.status, reply.ran().as_str()), (422, "unknown"));
-    let again = caller.chat("draft", 9, Form::Whole).await;
+    let again = caller.chat("draft", 9, AnswerMode::Unstreamed).await;
     assert_eq!((again.status, again.ran().as_str()), (422, "no"));
-    assert_eq!(one.starts().len() + two.starts().len(), 2);
+    assert_eq!(first.starts().len() + second.starts().len(), 2);
 }
--- a/crates/entry/tests/entry/subsets.rs
+++ b/crates/entry/tests/entry/subsets.rs
@@ -1,4 +1,4 @@
-//! An entry that keeps links to some of the targets only.
+//! Entries that keep links to a subset of the targets.
 
 use fake::Relay;
 use std::collections::BTreeSet;
@@ -12,9 +12,9 @@
 use wire::proto::{Announcement, AttemptState, NodeInfo, Start};
 use wire::{Identity, LinkSettings, Role};
 
-use crate::calls::{accept_and, claimed_by_dead_entry};
+use crate::calls::{claim_as_crashed_entry, script_with_state};
 use crate::support::{
-    Caller, Cluster, KEY, Script, StubAgent, accept, announcement, answer, eventually, say,
+    Caller, Cluster, KEY, Script, StubAgent, accept, announcement, answer, eventually, send_reply,
 };
 
 const ONE: SubsetSettings = SubsetSettings {
@@ -27,7 +27,7 @@
 ];
 const ENTRIES: [&str; 4] = ["entry-1", "entry-2", "entry-3", "entry-4"];
 
-/// Names of the desks that an entry links when these are announced.
+/// Names of the desks that an entry links if `desks` are announced.
 fn subset(entry: &str, desks: &[&'static str]) -> BTreeSet<&'static str> {
     let site = |name| ZonedNode {
         name,
@@ -41,7 +41,7 @@
     linked.map(|linked| desks[linked.target]).collect()
 }
 
-/// Announces an entry that serves nobody.
+/// Announces an entry that serves no callers.
 pub fn announce_entry(cluster: &Cluster, name: &str) -> Follower {
     let me = Identity::new(Role::Entry, name, rand::random());
     let info = NodeInfo {
@@ -64,7 +64,7 @@
 async fn start_entry(cluster: &Cluster, name: &str) -> (entry::Entry, Caller) {
     let timing = json!({"beat_ms": BEAT.as_millis(), "start_ms": 2000, "link_grace_ms": 3000});
     let limits = json!({"subset_targets": ONE.targets, "subset_entries": ONE.entries});
-    let entry = cluster.entry(name, timing, limits).await;
+    let entry = cluster.start_entry(name, timing, limits).await;
     let caller = Caller::new(entry.http_address(), KEY);
     caller.until_ready().await;
     (entry, caller)
@@ -90,7 +90,7 @@
     value.unwrap().parse().unwrap()
 }
 
-/// Waits until the entry knows all targets and links as many as it should.
+/// Waits until the entry knows `known` targets and has links to `linked` of them.
 async fn until_linked(caller: &Caller, known: usize, linked: usize) {
     eventually("the links are those of the subset", async || {
         let agents = gauge(caller, "agents").await;
@@ -100,24 +100,24 @@
     .await;
 }
 
-/// Answers every call at once.
-fn answering() -> Script {
+/// A script that answers each call at once.
+fn answering_script() -> Script {
     Arc::new(|stub, incoming| {
         if let Body::Start(start) = &incoming.body {
-            say(incoming, accept(start), whole(start, &stub.name));
+            send_reply(incoming, accept(start), whole_answer(start, &stub.name));
         }
     })
 }
 
-fn whole(start: &Start, text: &str) -> Vec<Body> {
+fn whole_answer(start: &Start, text: &str) -> Vec<Body> {
     answer(&start.attempt, "application/json", text)
 }
 
-/// The network fails between an entry and all desks that it keeps links to, while the
-/// others are well and announced. Its callers must be served by those; they would else be
-/// refused for as long as the network fails.
+/// The network fails between an entry and all desks of its subset, while the other
+/// desks are healthy and announced. Those must serve its callers, or the callers would
+/// be refused until the network recovers.
 #[tokio::test(flavor = "multi_thread")]
-async fn subset_lost_others_serve() {
+async fn subset_unreachable_others_serve() {
     let mut cluster = Cluster::start().await;
     cluster.offer(&[], &DESKS).await;
     let others = ENTRIES[1..].iter();
@@ -125,20 +125,20 @@
     let mut desks = Vec::new();
     for name in DESKS {
         let relay = Relay::start().await.unwrap();
-        let desk = start_desk(&cluster, name, Some(&relay), &answering()).await;
+        let desk = start_desk(&cluster, name, Some(&relay), &answering_script()).await;
         desks.push((desk, relay));
     }
     let (_entry, caller) = start_entry(&cluster, "entry-1").await;
     let own = subset("entry-1", &DESKS);
     assert!(own.len() < DESKS.len(), "{own:?}");
     until_linked(&caller, DESKS.len(), own.len()).await;
-    caller.until_desk().await;
+    caller.until_service_served().await;
     for (desk, relay) in &desks {
         if own.contains(desk.name.as_str()) {
             relay.go_silent();
         }
     }
-    // Once the silence is noticed; until then attempts may be under way.
+    // Until the failure is detected, attempts may still be running.
     eventually("another desk serves", async || {
         let reply = caller.get("/s/order-desk/stock").await;
         (reply.status == 200 && !own.contains(reply.text().as_str())).then_some(())
@@ -150,16 +150,16 @@
     }
 }
 
-/// An entry started a reservation at a desk and died. Its caller sends it again through
-/// another entry, which keeps no link to that desk. It must get the answer of the one that
-/// runs there; nobody else can record it any more.
+/// An entry starts a reservation at a desk and crashes. The reservation is sent again
+/// through an entry without a link to that desk. It must return the answer of the
+/// running attempt, which no other entry can record.
 #[tokio::test(flavor = "multi_thread")]
-async fn reserve_again_at_entry_without_link() {
+async fn reserve_resent_to_entry_without_link() {
     let mut cluster = Cluster::start().await;
     cluster.offer(&[], &DESKS).await;
     let others = ENTRIES[1..].iter();
     let _others: Vec<Follower> = others.map(|n| announce_entry(&cluster, n)).collect();
-    let script = accept_and(AttemptState::Ended, |_| Vec::new());
+    let script = script_with_state(AttemptState::Ended, |_| Vec::new());
     let mut desks = Vec::new();
     for name in DESKS {
         desks.push(start_desk(&cluster, name, None, &script).await);
@@ -169,29 +169,30 @@
     until_linked(&caller, DESKS.len(), own.len()).await;
     let unlinked = |desk: &&StubAgent| !own.contains(desk.name.as_str());
     let desk = desks.iter().find(unlinked).unwrap();
-    claimed_by_dead_entry(desk, desk.incarnation, "lot-17").await;
+    claim_as_crashed_entry(desk, desk.incarnation, "lot-17").await;
     let again = caller.reserve("lot-17", "{}").await;
     assert_eq!((again.status, again.text().as_str()), (200, "{\"lot\":17}"));
     assert!(desks.iter().all(|desk| desk.starts().is_empty()));
-    // The link that this took is let go again.
+    // The link that was opened for this is closed again.
     until_linked(&caller, DESKS.len(), own.len()).await;
 }
 
-/// A desk joins, and an entry turns to it from another one while a call of its runs there.
-/// The call ends whole and runs once; only then does the entry let the link go.
+/// A desk joins, and an entry replaces a desk of its subset with it while calls run at
+/// the old one. The calls must complete and run once; only then may the entry close the
+/// link.
 #[tokio::test(flavor = "multi_thread")]
-async fn subset_moved_calls_end_whole() {
+async fn subset_change_keeps_running_calls() {
     let mut cluster = Cluster::start().await;
     cluster.offer(&[], &DESKS).await;
     let others = ENTRIES[1..].iter();
     let _others: Vec<Follower> = others.map(|n| announce_entry(&cluster, n)).collect();
-    let (before, left) = moving();
+    let (before, unlinked_desk) = desks_with_moved_link();
     let held: Arc<std::sync::Mutex<Vec<(wire::Link, Start)>>> = Arc::default();
     let script: Script = {
         let held = Arc::clone(&held);
         Arc::new(move |_, incoming| {
             if let Body::Start(start) = &incoming.body {
-                say(incoming, accept(start), Vec::new());
+                send_reply(incoming, accept(start), Vec::new());
                 let running = (incoming.link.clone(), start.clone());
                 held.lock().unwrap().push(running);
             }
@@ -209,8 +210,8 @@
             tokio::spawn(async move { caller.get("/s/order-desk/stock").await })
         })
         .collect();
-    eventually("calls run at the one that is left", async || {
-        let desk = desks.iter().find(|desk| desk.name == left)?;
+    eventually("calls run at the desk that leaves the subset", async || {
+        let desk = desks.iter().find(|desk| desk.name == unlinked_desk)?;
         let all: usize = desks.iter().map(|desk| desk.starts().len()).sum();
         (!desk.starts().is_empty() && all == calls.len()).then_some(())
     })
@@ -219,14 +220,15 @@
         desks.push(start_desk(&cluster, name, None, &script).await);
     }
     let after = subset("entry-1", &DESKS);
-    eventually("the new ones are linked", async || {
+    eventually("the new subset is linked", async || {
         (gauge(&caller, "ready_targets{pool=\"order-desk\"}").await == after.len()).then_some(())
     })
     .await;
-    // Time for a link that is let go too early; the test holds however long it is.
+    // Gives a link time to be closed too early; a longer wait must not change the
+    // result.
     tokio::time::sleep(BEAT * 20).await;
     for (link, start) in held.lock().unwrap().iter() {
-        let (link, frames) = (link.clone(), whole(start, "{}"));
+        let (link, frames) = (link.clone(), whole_answer(start, "{}"));
         tokio::spawn(async move {
             for body in frames {
                 let _ = link.send(body).await;
@@ -242,15 +244,16 @@
     assert_eq!(ran, 20);
 }
 
-/// Desks to begin with, and one of them that the first entry lets go once all are there.
-fn moving() -> (Vec<&'static str>, &'static str) {
+/// The desks to start with, and one of them that leaves the subset of the first entry
+/// once all desks are announced.
+fn desks_with_moved_link() -> (Vec<&'static str>, &'static str) {
     let after = subset("entry-1", &DESKS);
     for skipped in &after {
         let before: Vec<&str> = DESKS.into_iter().filter(|name| name != skipped).collect();
         let own = subset("entry-1", &before);
-        if let Some(left) = own.difference(&after).next() {
-            return (before.clone(), left);
+        if let Some(unlinked_desk) = own.difference(&after).next() {
+            return (before.clone(), unlinked_desk);
         }
     }
-    panic!("no desk moves a link of the first entry");
+    panic!("no desk changes the subset of the first entry");
 }
--- a/crates/entry/tests/entry/support/caller.rs
+++ b/crates/entry/tests/entry/support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of an entry.
+//! HTTP client of an entry.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,11 +20,11 @@
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-/// How an answer is asked for.
+/// Whether a streamed answer is requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum AnswerMode {
     Streamed,
-    Whole,
+    Unstreamed,
 }
 
 #[derive(Debug)]
@@ -32,8 +32,8 @@
     pub status: u16,
     pub headers: HeaderMap,
     pub body: Bytes,
-    /// Whether the body ended properly.
-    pub whole: bool,
+    /// Whether the body has ended properly.
+    pub complete: bool,
 }
 
 impl Reply {
@@ -106,8 +106,8 @@
         self.send(Method::POST, path, headers, body).await
     }
 
-    pub async fn chat(&self, text: &str, tokens: u32, form: Form) -> Reply {
-        self.post("/v1/chat/completions", &[], chat(text, tokens, form))
+    pub async fn chat(&self, text: &str, tokens: u32, mode: AnswerMode) -> Reply {
+        self.post("/v1/chat/completions", &[], chat(text, tokens, mode))
             .await
     }
 
@@ -126,24 +126,24 @@
     }
 
     /// Waits until a chat completion succeeds.
-    pub async fn until_served(&self) {
-        eventually("chat is served", async || {
-            (self.chat("warm up", 1, Form::Whole).await.status == 200).then_some(())
+    pub async fn until_chat_served(&self) {
+        eventually("chat completions are served", async || {
+            (self.chat("warm up", 1, AnswerMode::Unstreamed).await.status == 200).then_some(())
         })
         .await;
     }
 
-    /// Waits until the service answers.
-    pub async fn until_desk(&self) {
-        eventually("the desk is served", async || {
+    /// Waits until a call of the service succeeds.
+    pub async fn until_service_served(&self) {
+        eventually("the service is served", async || {
             (self.get("/s/order-desk/stock").await.status == 200).then_some(())
         })
         .await;
     }
 }
 
-pub fn chat(text: &str, tokens: u32, form: Form) -> String {
-    let stream = form == Form::Streamed;
+pub fn chat(text: &str, tokens: u32, mode: AnswerMode) -> String {
+    let stream = mode == AnswerMode::Streamed;
     json!({"model": "burl-notes", "stream": stream, "max_tokens": tokens,
         "messages": [{"role": "user", "content": text}]})
     .to_string()
@@ -152,13 +152,13 @@
 pub async fn collect(response: Response<Incoming>) -> Reply {
     let (parts, mut body) = response.into_parts();
     let mut bytes = Vec::new();
-    let mut whole = true;
+    let mut complete = true;
     loop {
         let frame = tokio::time::timeout(Duration::from_mins(1), body.frame());
         match frame.await.expect("the next part within a minute") {
             Some(Ok(frame)) => bytes.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new())),
             Some(Err(_)) => {
-                whole = false;
+                complete = false;
                 break;
             }
             None => break,
@@ -168,6 +168,6 @@
         status: parts.status.as_u16(),
         headers: parts.headers,
         body: bytes.into(),
-        whole,
+        complete,
     }
 }
--- a/crates/entry/tests/entry/support/cluster.rs
+++ b/crates/entry/tests/entry/support/cluster.rs
@@ -1,4 +1,4 @@
-//! The cluster.
+//! The test cluster.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,23 +12,26 @@
 
 pub const KEY: &str = "demo-key-of-huber";
 const TOKEN: &str = "operators-token-of-the-tests";
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 pub struct Cluster {
-    folder: tempfile::TempDir,
+    dir: tempfile::TempDir,
     pub control: control::Control,
     pub agents: Vec<agent::Agent>,
     notes: u64,
 }
 
-/// Waits until `check` gives a value.
+/// Polls `check` until it returns a value.
 pub async fn eventually<T>(what: &str, mut check: impl AsyncFnMut() -> Option<T>) -> T {
-    let begun = Instant::now();
+    let started = Instant::now();
     loop {
         if let Some(value) = check().await {
             return value;
         }
-        assert!(begun.elapsed() < PATIENCE, "never: {what}");
+        assert!(
+            started.elapsed() < TIMEOUT,
+            "timed out waiting until {what}"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -39,17 +42,17 @@
 
 impl Cluster {
     pub async fn start() -> Cluster {
-        let folder = tempfile::tempdir().unwrap();
-        std::fs::write(folder.path().join("cluster.key"), "0123456789abcdef").unwrap();
-        std::fs::write(folder.path().join("token"), TOKEN).unwrap();
+        let dir = tempfile::tempdir().unwrap();
+        std::fs::write(dir.path().join("cluster.key"), "0123456789abcdef").unwrap();
+        std::fs::write(dir.path().join("token"), TOKEN).unwrap();
         let (links, http) = (bind().await, bind().await);
         let settings = json!({
             "name": "control-1", "zone": "celje",
             "listen": links.local_addr().unwrap().to_string(),
             "http": http.local_addr().unwrap().to_string(),
-            "data": folder.path().join("control-1"),
-            "cluster_key_file": folder.path().join("cluster.key"),
-            "operator_token_file": folder.path().join("token"),
+            "data": dir.path().join("control-1"),
+            "cluster_key_file": dir.path().join("cluster.key"),
+            "operator_token_file": dir.path().join("token"),
             "replicas": [{"name": "control-1", "address": links.local_addr().unwrap().to_string()}],
             "timing": {"heartbeat_ms": 50, "election_ms": 300, "lease_ms": 2000},
         });
@@ -58,7 +61,7 @@
         let listeners = control::Listeners { links, http };
         let control = control::Control::start(settings, listeners).await.unwrap();
         Cluster {
-            folder,
+            dir,
             control,
             agents: Vec::new(),
             notes: 0,
@@ -70,16 +73,16 @@
     }
 
     fn key_file(&self) -> PathBuf {
-        self.folder.path().join("cluster.key")
+        self.dir.path().join("cluster.key")
     }
 
-    /// Has a note accepted, with the next number.
-    pub async fn note(&mut self, added: &Value, withdrawn: &Value) {
+    /// Submits a release note with the next number and waits until it is accepted.
+    pub async fn submit_note(&mut self, added: &Value, withdrawn: &Value) {
         self.submit(added, &json!([]), withdrawn).await;
     }
 
-    /// Has a note accepted that changes items.
-    pub async fn change(&mut self, changed: &Value) {
+    /// Submits a release note that changes items.
+    pub async fn submit_changes(&mut self, changed: &Value) {
         self.submit(&json!([]), changed, &json!([])).await;
     }
 
@@ -97,7 +100,8 @@
         .await;
     }
 
-    /// The first note: a model, a service, an account, and named targets.
+    /// Submits the first release note: a model, a service, an account and the named
+    /// targets.
     pub async fn offer(&mut self, groups: &[&str], services: &[&str]) {
         let digest = sha256_hex(KEY.as_bytes());
         let mut added = vec![
@@ -115,11 +119,11 @@
             .iter()
             .map(|name| json!({"kind": "target", "name": name, "service": "order-desk"}));
         added.extend(targets);
-        self.note(&json!(added), &json!([])).await;
+        self.submit_note(&json!(added), &json!([])).await;
     }
 
-    /// Starts a real agent before an engine or a service.
-    pub async fn agent(&mut self, name: &str, service: &str, target: SocketAddr) -> usize {
+    /// Starts a real agent for an engine or a service.
+    pub async fn start_agent(&mut self, name: &str, service: &str, target: SocketAddr) -> usize {
         let (links, http) = (bind().await, bind().await);
         let mut settings = json!({
             "name": name, "zone": "celje",
@@ -143,14 +147,15 @@
         self.agents.len() - 1
     }
 
-    /// Starts an entry; `timing` and `limits` replace defaults.
-    pub async fn entry(&self, name: &str, timing: Value, limits: Value) -> entry::Entry {
+    /// Starts an entry; `timing` and `limits` override defaults.
+    pub async fn start_entry(&self, name: &str, timing: Value, limits: Value) -> entry::Entry {
         let control = self.control.link_address();
-        self.entry_through(name, control, timing, limits).await
+        self.start_entry_with_control(name, control, timing, limits)
+            .await
     }
 
-    /// Starts an entry that reaches control at another address.
-    pub async fn entry_through(
+    /// Starts an entry that connects to control at the given address.
+    pub async fn start_entry_with_control(
         &self,
         name: &str,
         control: SocketAddr,
@@ -163,7 +168,7 @@
             "http": http.local_addr().unwrap().to_string(),
             "controls": [control.to_string()],
             "cluster_key_file": self.key_file(),
-            "operator_token_file": self.folder.path().join("token"),
+            "operator_token_file": self.dir.path().join("token"),
             "timing": timing, "limits": limits,
         });
         let settings = entry::Settings::from_slice(settings.to_string().as_bytes()).unwrap();
@@ -172,9 +177,10 @@
             .unwrap()
     }
 
-    /// An entry with defaults, once it is ready, and a caller of it.
-    pub async fn ready_entry(&self, name: &str) -> (entry::Entry, Caller) {
-        let entry = self.entry(name, json!({}), json!({})).await;
+    /// Starts an entry with default settings, waits until it is ready and returns it
+    /// with a caller.
+    pub async fn start_ready_entry(&self, name: &str) -> (entry::Entry, Caller) {
+        let entry = self.start_entry(name, json!({}), json!({})).await;
         let caller = Caller::new(entry.http_address(), KEY);
         caller.until_ready().await;
         (entry, caller)
--- a/crates/entry/tests/entry/support/serving.rs
+++ b/crates/entry/tests/entry/support/serving.rs
@@ -2,8 +2,9 @@
 
 use super::{Caller, Cluster};
 
-/// One engine and one service behind one entry, which has served a call of each.
-pub async fn serving() -> (Cluster, fake::Engine, fake::Service, entry::Entry, Caller) {
+/// Starts one engine, one service and one entry, and waits until the entry has served a
+/// call of each.
+pub async fn serving_cluster() -> (Cluster, fake::Engine, fake::Service, entry::Entry, Caller) {
     let mut cluster = Cluster::start().await;
     let engine = fake::Engine::start(fake::EngineSettings::default())
         .await
@@ -12,12 +13,14 @@
         .await
         .unwrap();
     cluster.offer(&["advisor-01"], &["desk-01"]).await;
-    cluster.agent("advisor-01", "", engine.address()).await;
     cluster
-        .agent("desk-01", "order-desk", service.address())
+        .start_agent("advisor-01", "", engine.address())
         .await;
-    let (entry, caller) = cluster.ready_entry("entry-1").await;
-    caller.until_served().await;
-    caller.until_desk().await;
+    cluster
+        .start_agent("desk-01", "order-desk", service.address())
+        .await;
+    let (entry, caller) = cluster.start_ready_entry("entry-1").await;
+    caller.until_chat_served().await;
+    caller.until_service_served().await;
     (cluster, engine, service, entry, caller)
 }
--- a/crates/entry/tests/entry/support/stub.rs
+++ b/crates/entry/tests/entry/support/stub.rs
@@ -1,4 +1,4 @@
-//! An agent that does what a test tells it.
+//! An agent scripted by a test.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -17,20 +17,20 @@
 use super::Cluster;
 use fake::Relay;
 
-/// What the agent does with each message.
+/// Handles each message to the agent.
 pub type Script = Arc<dyn Fn(&StubAgent, &Incoming) + Send + Sync>;
 
-/// An agent that announces itself and follows a script.
+/// An agent that announces itself and handles messages with a script.
 #[derive(Clone)]
 pub struct StubAgent {
     pub name: String,
     pub incarnation: u64,
     pub follower: Follower,
-    pub seen: Arc<Mutex<Vec<Body>>>,
+    pub received: Arc<Mutex<Vec<Body>>>,
 }
 
 impl StubAgent {
-    /// Before the order desk.
+    /// Starts a stub agent of the order desk.
     pub async fn desk(cluster: &Cluster, name: &str, script: Script) -> StubAgent {
         let target = Announcement {
             service: "order-desk".to_owned(),
@@ -39,7 +39,7 @@
         StubAgent::start(cluster, target, None, script).await
     }
 
-    /// Before an engine that can resume streams.
+    /// Starts a stub agent of an engine that can resume streams.
     pub async fn engine(cluster: &Cluster, name: &str, script: Script) -> StubAgent {
         let target = Announcement {
             group: "blank-advisor".to_owned(),
@@ -49,7 +49,8 @@
         StubAgent::start(cluster, target, None, script).await
     }
 
-    /// As announced; `relay` stands before its links if given.
+    /// Starts a stub agent with the given announcement; with `relay`, its links go
+    /// through the relay.
     pub async fn start(
         cluster: &Cluster,
         target: Announcement,
@@ -88,7 +89,7 @@
             name,
             incarnation,
             follower: Follower::spawn(me.clone(), info, settings),
-            seen: Arc::default(),
+            received: Arc::default(),
         };
         let (key, accepting) = (cluster.key(), stub.clone());
         tokio::spawn(async move {
@@ -96,19 +97,24 @@
                 let Ok((_, rx)) = wire::accept(stream, &me, &key, &link).await else {
                     continue;
                 };
-                tokio::spawn(follow(accepting.clone(), rx, Arc::clone(&script)));
+                tokio::spawn(run_script(accepting.clone(), rx, Arc::clone(&script)));
             }
         });
         stub
     }
 
-    /// Bodies of the messages seen so far that `pick` picks.
-    pub fn picked<T>(&self, pick: impl Fn(&Body) -> Option<T>) -> Vec<T> {
-        self.seen.lock().unwrap().iter().filter_map(pick).collect()
+    /// Values that `matching` returns for the messages received so far.
+    pub fn received_matching<T>(&self, matching: impl Fn(&Body) -> Option<T>) -> Vec<T> {
+        self.received
+            .lock()
+            .unwrap()
+            .iter()
+            .filter_map(matching)
+            .collect()
     }
 
     pub fn starts(&self) -> Vec<Start> {
-        self.picked(|body| match body {
+        self.received_matching(|body| match body {
             Body::Start(start) => Some(start.clone()),
             _ => None,
         })
@@ -125,15 +131,15 @@
     }
 }
 
-async fn follow(stub: StubAgent, mut rx: mpsc::Receiver<Incoming>, script: Script) {
+async fn run_script(stub: StubAgent, mut rx: mpsc::Receiver<Incoming>, script: Script) {
     while let Some(incoming) = rx.recv().await {
-        stub.seen.lock().unwrap().push(incoming.body.clone());
+        stub.received.lock().unwrap().push(incoming.body.clone());
         script(&stub, &incoming);
     }
 }
 
-/// Sends a reply and then messages, in order, without being waited for.
-pub fn say(incoming: &Incoming, reply: Body, after: Vec<Body>) {
+/// Sends a reply and then messages, in order, from a separate task.
+pub fn send_reply(incoming: &Incoming, reply: Body, after: Vec<Body>) {
     let (link, call) = (incoming.link.clone(), incoming.call);
     tokio::spawn(async move {
         let _ = link.reply(call, reply).await;
@@ -171,7 +177,7 @@
     })
 }
 
-/// The bytes of `text` from an offset on.
+/// A chunk with the bytes of `text` from `offset` on.
 pub fn chunk(attempt: &Bytes, text: &str, offset: usize) -> Body {
     Body::AnswerChunk(AnswerChunk {
         attempt: attempt.clone(),
@@ -190,7 +196,7 @@
     })
 }
 
-/// Head, one chunk and the end of a whole answer.
+/// Head, a single chunk and the end of a complete answer.
 pub fn answer(attempt: &Bytes, kind: &str, text: &str) -> Vec<Body> {
     vec![
         head(attempt, kind),
@@ -199,7 +205,7 @@
     ]
 }
 
-/// Server-sent events by number, and the last one.
+/// Numbered server-sent events, followed by `done`.
 pub fn events(numbers: std::ops::Range<u32>, done: &str) -> String {
     let events = numbers.map(|n| format!("data: {{\"n\":{n}}}\n\n"));
     events.collect::<String>() + done
