--- a/crates/entry/src/http/chat.rs
+++ b/crates/entry/src/http/chat.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 use sha2::{Digest, Sha256};
 
-/// Average number of JSON bytes per token, used for estimates.
+/// Assumed number of JSON bytes per token.
 const BYTES_PER_TOKEN: usize = 4;
 
 /// The fields of a chat completion request that routing uses.
@@ -52,7 +52,7 @@
         Ok(())
     }
 
-    /// Maximum number of answer tokens.
+    /// Maximum number of answer tokens, or `default` if the request sets none.
     pub(super) fn answer_tokens(&self, default: u32) -> u32 {
         let max = self.max_completion_tokens.or(self.max_tokens);
         max.unwrap_or(default)
--- a/crates/entry/src/http/headers.rs
+++ b/crates/entry/src/http/headers.rs
@@ -23,9 +23,12 @@
 
 /// Headers of a caller's request that are forwarded to the target.
 pub(super) fn forwarded(headers: &HeaderMap) -> Vec<Header> {
-    let named = named_by_connection(headers);
+    let connection_headers = named_by_connection(headers);
     let forwarded = headers.iter().filter(|(name, _)| {
-        is_forwarded(name.as_str()) && !named.iter().any(|other| other == name.as_str())
+        is_forwarded(name.as_str())
+            && !connection_headers
+                .iter()
+                .any(|other| other == name.as_str())
     });
     let forwarded = forwarded.map(|(name, value)| Header {
         name: name.as_str().to_owned(),
--- a/crates/entry/src/links/manager.rs
+++ b/crates/entry/src/links/manager.rs
@@ -167,16 +167,16 @@
         let now = Instant::now();
         let view = self.args.follower.view();
         let catalogue = self.args.follower.catalogue();
-        let announced = AnnouncedTarget::from_view(&view);
-        for row in &announced {
-            self.ensure_agent(row, myself);
+        let announced_targets = AnnouncedTarget::from_view(&view);
+        for announced in &announced_targets {
+            self.ensure_agent(announced, myself);
         }
-        self.remove_unreachable(&announced);
-        self.subsets.update(&view, &catalogue, &announced);
-        let linked = self.select_agents(now, &announced);
-        let live_targets = announced.iter().filter_map(|row| {
-            let entries = linked.get(&row.target)?;
-            self.live_target(row, *entries)
+        self.remove_unreachable(&announced_targets);
+        self.subsets.update(&view, &catalogue, &announced_targets);
+        let linked = self.select_agents(now, &announced_targets);
+        let live_targets = announced_targets.iter().filter_map(|announced| {
+            let entries = linked.get(&announced.target)?;
+            self.live_target(announced, *entries)
         });
         let live_targets: Vec<LiveTarget> = live_targets.collect();
         let entries = view
@@ -195,12 +195,12 @@
     fn select_agents(
         &mut self,
         now: Instant,
-        announced: &[AnnouncedTarget],
+        announced_targets: &[AnnouncedTarget],
     ) -> BTreeMap<String, u32> {
         let grace = self.args.link.beat;
-        for row in announced {
-            if let Some(known) = self.agents.get_mut(&row.target) {
-                known.update_unavailable_since(now, row);
+        for announced in announced_targets {
+            if let Some(known) = self.agents.get_mut(&announced.target) {
+                known.update_unavailable_since(now, announced);
             }
         }
         let mut linked = self.subsets.linked(|target| {
@@ -214,21 +214,21 @@
             }
         });
         self.next_reconcile = None;
-        for row in announced {
-            let Some(known) = self.agents.get_mut(&row.target) else {
+        for announced in announced_targets {
+            let Some(known) = self.agents.get_mut(&announced.target) else {
                 continue;
             };
-            if row.leaving && known.selected {
+            if announced.leaving && known.selected {
                 // Attempts there may finish. One target less is no reason to make
                 // requests for other targets wait for new connections.
-                linked.insert(row.target.clone(), 1);
+                linked.insert(announced.target.clone(), 1);
             }
-            let selected = linked.contains_key(&row.target);
+            let selected = linked.contains_key(&announced.target);
             if selected || known.selected {
                 known.agent.request_link();
             }
             known.selected = selected;
-            known.update_unavailable_since(now, row);
+            known.update_unavailable_since(now, announced);
             let due = known.unavailable_since.map(|since| since + grace);
             let due = due.filter(|due| *due > now);
             self.next_reconcile = self.next_reconcile.into_iter().chain(due).min();
@@ -237,16 +237,16 @@
     }
 
     /// Ensures that the announced incarnation is the one that is linked.
-    fn ensure_agent(&mut self, row: &AnnouncedTarget, myself: &ActorRef<LinkEvent>) {
-        if let Some(known) = self.agents.get(&row.target) {
-            let same = known.agent.incarnation == row.incarnation;
-            if same && known.agent.address == row.address {
+    fn ensure_agent(&mut self, announced: &AnnouncedTarget, myself: &ActorRef<LinkEvent>) {
+        if let Some(known) = self.agents.get(&announced.target) {
+            let same = known.agent.incarnation == announced.incarnation;
+            if same && known.agent.address == announced.address {
                 return;
             }
             known.agent.ended.cancel();
             known.task.abort();
         }
-        let agent = Agent::new(&row.target, row.incarnation, row.address);
+        let agent = Agent::new(&announced.target, announced.incarnation, announced.address);
         let agent = Arc::new(agent);
         let task = tokio::spawn(maintain_link(
             Arc::clone(&agent),
@@ -262,15 +262,17 @@
             selected: false,
             unavailable_since: None,
         };
-        self.agents.insert(row.target.clone(), known);
+        self.agents.insert(announced.target.clone(), known);
     }
 
     /// Removes agents that are no longer announced and have neither a connection nor a
     /// running attempt. An agent whose connection is up may only be cut off from
     /// control, so its attempts may finish.
-    fn remove_unreachable(&mut self, announced: &[AnnouncedTarget]) {
+    fn remove_unreachable(&mut self, announced_targets: &[AnnouncedTarget]) {
         self.agents.retain(|name, known| {
-            let is_announced = announced.iter().any(|row| row.target == *name);
+            let is_announced = announced_targets
+                .iter()
+                .any(|announced| announced.target == *name);
             let alive = known.agent.is_connected() || !known.agent.is_idle();
             if is_announced || alive {
                 return true;
@@ -281,18 +283,18 @@
         });
     }
 
-    fn live_target(&self, row: &AnnouncedTarget, entries: u32) -> Option<LiveTarget> {
-        let known = self.agents.get(&row.target)?;
-        let status = if row.leaving || known.leaving {
+    fn live_target(&self, announced: &AnnouncedTarget, entries: u32) -> Option<LiveTarget> {
+        let known = self.agents.get(&announced.target)?;
+        let status = if announced.leaving || known.leaving {
             TargetStatus::Draining
-        } else if known.is_available(row) {
+        } else if known.is_available(announced) {
             TargetStatus::Ready
         } else {
             TargetStatus::Unavailable
         };
         Some(LiveTarget {
             agent: Arc::clone(&known.agent),
-            announced: row.clone(),
+            announced: announced.clone(),
             status,
             entries,
         })
@@ -337,14 +339,14 @@
 
 impl KnownAgent {
     /// Updates the time at which the agent became unavailable while selected.
-    fn update_unavailable_since(&mut self, now: Instant, row: &AnnouncedTarget) {
+    fn update_unavailable_since(&mut self, now: Instant, announced: &AnnouncedTarget) {
         let since = self.unavailable_since.unwrap_or(now);
-        self.unavailable_since = (self.selected && !self.is_available(row)).then_some(since);
+        self.unavailable_since = (self.selected && !self.is_available(announced)).then_some(since);
     }
 
     /// Whether the target can accept work, disregarding that it may be leaving.
-    fn is_available(&self, row: &AnnouncedTarget) -> bool {
-        row.healthy && self.agent.is_connected() && !self.agent.ended.is_cancelled()
+    fn is_available(&self, announced: &AnnouncedTarget) -> bool {
+        announced.healthy && self.agent.is_connected() && !self.agent.ended.is_cancelled()
     }
 }
 
--- a/crates/entry/src/links/subsets.rs
+++ b/crates/entry/src/links/subsets.rs
@@ -13,7 +13,7 @@
 
 /// The subsets of targets of this entry, one for each class of targets.
 pub(super) struct Subsets {
-    cfg: SubsetSettings,
+    settings: SubsetSettings,
     name: String,
     zone: String,
     /// The view and release note from which the classes were computed.
@@ -39,9 +39,9 @@
 }
 
 impl Subsets {
-    pub(super) fn new(cfg: SubsetSettings, name: &str, zone: &str) -> Self {
+    pub(super) fn new(settings: SubsetSettings, name: &str, zone: &str) -> Self {
         Subsets {
-            cfg,
+            settings,
             name: name.to_owned(),
             zone: zone.to_owned(),
             source: None,
@@ -55,7 +55,7 @@
         &mut self,
         view: &Arc<MemberView>,
         catalogue: &Arc<Catalogue>,
-        announced: &[AnnouncedTarget],
+        announced_targets: &[AnnouncedTarget],
     ) {
         let is_unchanged = self.source.as_ref().is_some_and(|(of_view, of_note)| {
             Arc::ptr_eq(of_view, view) && Arc::ptr_eq(of_note, catalogue)
@@ -69,22 +69,28 @@
         let own_index = entries.iter().position(|entry| entry.name == self.name);
         let own_index = own_index.unwrap_or(entries.len());
         let mut classes: BTreeMap<Profile<'_>, Vec<&AnnouncedTarget>> = BTreeMap::new();
-        for row in announced.iter().filter(|row| !row.leaving) {
+        for announced in announced_targets
+            .iter()
+            .filter(|announced| !announced.leaving)
+        {
             classes
-                .entry(profile(catalogue, row))
+                .entry(profile(catalogue, announced))
                 .or_default()
-                .push(row);
+                .push(announced);
         }
-        let cfg = self.cfg();
-        let classes = classes.into_values().map(|rows| {
-            let zoned = rows.iter().map(|row| ZonedNode {
-                name: &row.target,
-                zone: &row.zone,
+        let settings = self.effective_settings();
+        let classes = classes.into_values().map(|targets| {
+            let zoned = targets.iter().map(|announced| ZonedNode {
+                name: &announced.target,
+                zone: &announced.zone,
             });
             let zoned: Vec<ZonedNode<'_>> = zoned.collect();
             TargetClass {
-                subset: Subset::of(cfg, own_index, &entries, &zoned),
-                targets: rows.iter().map(|row| row.target.clone()).collect(),
+                subset: Subset::of(settings, own_index, &entries, &zoned),
+                targets: targets
+                    .iter()
+                    .map(|announced| announced.target.clone())
+                    .collect(),
             }
         });
         self.classes = classes.collect();
@@ -100,9 +106,9 @@
             let name = |target: usize| class.targets[target].as_str();
             let chosen = class
                 .subset
-                .with_reserve(self.cfg.targets, |target| reachability(name(target)));
+                .with_reserve(self.settings.targets, |target| reachability(name(target)));
             let chosen = chosen.iter();
-            linked.extend(chosen.map(|row| (name(row.target).to_owned(), row.entries)));
+            linked.extend(chosen.map(|linked| (name(linked.target).to_owned(), linked.entries)));
         }
         linked
     }
@@ -132,20 +138,24 @@
     /// that are visible divided all targets among them, each of hundreds of entries
     /// would connect to each target within the first second. Until the view has been
     /// complete once, each entry links only its own selection.
-    fn cfg(&self) -> SubsetSettings {
-        let entries = if self.settled { self.cfg.entries } else { 0 };
+    fn effective_settings(&self) -> SubsetSettings {
+        let entries = if self.settled {
+            self.settings.entries
+        } else {
+            0
+        };
         SubsetSettings {
             entries,
-            ..self.cfg
+            ..self.settings
         }
     }
 }
 
-fn profile<'a>(catalogue: &Catalogue, row: &'a AnnouncedTarget) -> Profile<'a> {
+fn profile<'a>(catalogue: &Catalogue, announced: &'a AnnouncedTarget) -> Profile<'a> {
     Profile {
-        pool: pool_of(catalogue, row).ok_or(&row.offer),
-        adapters: &row.adapters,
-        versions: &row.versions,
-        can_resume: row.can_resume,
+        pool: pool_of(catalogue, announced).ok_or(&announced.offer),
+        adapters: &announced.adapters,
+        versions: &announced.versions,
+        can_resume: announced.can_resume,
     }
 }
--- a/crates/entry/src/placement/inner.rs
+++ b/crates/entry/src/placement/inner.rs
@@ -33,8 +33,8 @@
     convicted: BTreeSet<Fingerprint>,
     suspects: BTreeSet<Fingerprint>,
     quarantine_version: u64,
-    /// Crashes that this entry saw while a request was running, and the time of the
-    /// last one.
+    /// Number of target crashes that this entry saw while a request was running there,
+    /// and the time of the last one. The request need not have caused them.
     local_crashes: BTreeMap<Fingerprint, (u32, Instant)>,
     rng: SmallRng,
     zone: String,
@@ -116,7 +116,8 @@
                 .pools
                 .entry(name.clone())
                 .or_insert_with(|| PoolState::new(PoolSettings::default(), self.admission, now));
-            let distance = |row: &AnnouncedTarget| distance(&self.zone, row, self.zone_distance);
+            let distance =
+                |announced: &AnnouncedTarget| distance(&self.zone, announced, self.zone_distance);
             state.update(now, live_targets, distance);
             state.advance(now);
         }
@@ -179,9 +180,10 @@
         if quarantine.version == self.quarantine_version {
             return;
         }
-        let parse = |rows: &[bytes::Bytes]| {
-            let rows = rows.iter();
-            rows.filter_map(|row| Fingerprint::from_slice(row))
+        let parse = |fingerprints: &[bytes::Bytes]| {
+            let fingerprints = fingerprints.iter();
+            fingerprints
+                .filter_map(|bytes| Fingerprint::from_slice(bytes))
                 .collect()
         };
         self.quarantine_version = quarantine.version;
@@ -232,13 +234,13 @@
             .get_mut(&job.pool)
             .ok_or_else(Self::shed_refusal)?;
         account.acquire(now, job.tokens)?;
-        let entered = state.submit(now, job, until, admission_tx);
-        if entered.is_err() {
+        let submitted = state.submit(now, job, until, admission_tx);
+        if submitted.is_err() {
             account.limiter().release(job.tokens, 0);
         } else {
             self.budget.deposit();
         }
-        entered
+        submitted
     }
 
     pub(super) fn release(
--- a/crates/entry/src/placement/mod.rs
+++ b/crates/entry/src/placement/mod.rs
@@ -118,8 +118,8 @@
         until: Instant,
     ) -> Result<Permit, Refusal> {
         let (tx, rx) = oneshot::channel();
-        let entered = self.lock().submit(Instant::now(), job, until, tx);
-        let (ticket, queued) = entered?;
+        let submitted = self.lock().submit(Instant::now(), job, until, tx);
+        let (ticket, queued) = submitted?;
         let permit = Permit::new(Arc::clone(self), job, ticket);
         if queued {
             // The sender is kept with the ticket, and each ticket is either admitted or
@@ -146,8 +146,8 @@
 
     /// Sets the agents of all live targets, linked or not.
     pub(crate) fn set_agents(&self, agents: impl Iterator<Item = Arc<Agent>>) {
-        let named = agents.map(|agent| (agent.name.clone(), agent));
-        self.lock().agents = named.collect();
+        let by_name = agents.map(|agent| (agent.name.clone(), agent));
+        self.lock().agents = by_name.collect();
     }
 
     /// Returns the agent of a target, also if this entry sends it no new work: it may
--- a/crates/entry/src/work/execution.rs
+++ b/crates/entry/src/work/execution.rs
@@ -61,12 +61,15 @@
     }
 
     /// Starts the first or a further attempt at a selected target.
-    pub(crate) async fn start_attempt(&mut self, at: StartAt) -> Result<RunningAttempt, Problem> {
-        self.requirements.start = at;
+    pub(crate) async fn start_attempt(
+        &mut self,
+        start_at: StartAt,
+    ) -> Result<RunningAttempt, Problem> {
+        self.requirements.start = start_at;
         loop {
             self.back_off().await;
             let placed = self.find_target().await?;
-            let (start, span) = start_message(&self.context, &self.job, &placed, at);
+            let (start, span) = start_message(&self.context, &self.job, &placed, start_at);
             let agent = Arc::clone(placed.agent());
             self.attempts += 1;
             let window = self.context.limits.window;
--- a/crates/entry/src/work/start_message.rs
+++ b/crates/entry/src/work/start_message.rs
@@ -17,7 +17,7 @@
     context: &ExecutionContext,
     job: &Job,
     placed: &PlacedAttempt,
-    at: StartAt,
+    start_at: StartAt,
 ) -> (Start, Span) {
     let now = Instant::now();
     let left = job.deadline.saturating_duration_since(now);
@@ -46,7 +46,7 @@
         headers: job.headers.clone(),
         body: job.body.clone(),
         traceparent: trace::context(&span, &job.traceparent),
-        resume_events: match at {
+        resume_events: match start_at {
             StartAt::Beginning => 0,
             StartAt::Event(count) => count,
         },
--- a/crates/entry/src/work/stream.rs
+++ b/crates/entry/src/work/stream.rs
@@ -143,12 +143,12 @@
     async fn resume(&mut self, target: &str, failure: Failure) -> Result<RunningAttempt, Problem> {
         self.execution.prepare_retry(target, failure).await?;
         self.splitter.reset();
-        let at = if self.events_sent == 0 {
+        let start_at = if self.events_sent == 0 {
             StartAt::Beginning
         } else {
             StartAt::Event(self.events_sent)
         };
-        self.execution.start_attempt(at).await
+        self.execution.start_attempt(start_at).await
     }
 
     async fn forward_attempt(&mut self, running: &mut RunningAttempt) -> ForwardOutcome {
