--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -1,4 +1,4 @@
-//! A running entry.
+//! A running entry node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,65 +14,66 @@
 use wire::proto::NodeInfo;
 use wire::{ClusterKey, Identity, LinkSettings, Role};
 
-use crate::http::Front;
-use crate::links::{News, Roster, RosterCx};
+use crate::http::Frontend;
+use crate::links::{LinkEvent, LinkManager, LinkManagerArguments};
 use crate::metrics::Metrics;
 use crate::placement::Placement;
-use crate::work::Cx;
+use crate::work::ExecutionContext;
 use crate::{Listeners, Settings};
 
-/// A running entry: callers' HTTP, admission, choice of target, retries and
-/// streams. It holds nothing that must survive.
+/// A running entry node: serves callers over HTTP, admits requests, selects targets,
+/// retries and streams answers. It holds no durable state.
 pub struct Entry {
     http: SocketAddr,
     settings: Arc<Settings>,
     follower: Follower,
-    leaving: Arc<AtomicBool>,
+    shutting_down: Arc<AtomicBool>,
     stop: CancellationToken,
     ended: watch::Receiver<bool>,
 }
 
 impl Entry {
-    /// Starts an entry on the runtime that this is called on.
+    /// Starts an entry on the current Tokio runtime.
     ///
     /// # Errors
-    /// Fails when the key or token file can't be read.
+    ///
+    /// Fails if the cluster key file or the operator token file cannot be read.
     pub async fn start(settings: Settings, listeners: Listeners) -> eyre::Result<Entry> {
         let http = listeners.http.local_addr()?;
         let settings = Arc::new(settings);
         let key = ClusterKey::from_file(&settings.cluster_key_file)
             .wrap_err_with(|| format!("cluster key {}", settings.cluster_key_file.display()))?;
-        let me = Identity::new(Role::Entry, &settings.name, rand::random());
+        let identity = Identity::new(Role::Entry, &settings.name, rand::random());
         let link = LinkSettings {
             beat: settings.timing.beat,
             ..LinkSettings::default()
         };
-        let info = info(&settings, &me, http);
+        let info = info(&settings, &identity, http);
         let follower = FollowerSettings {
             controls: settings.controls.clone(),
             renew: settings.timing.renew,
             key: key.clone(),
             link: link.clone(),
         };
-        let follower = Follower::spawn(me.clone(), info, follower);
+        let follower = Follower::spawn(identity.clone(), info, follower);
         let seed = rand::random();
         let placement = Placement::new(&settings.zone, &settings.limits, &settings.timing, seed);
         let placement = Arc::new(placement);
         let (metrics, registry) = Metrics::new();
-        let roster = RosterCx {
+        let link_manager = LinkManagerArguments {
             follower: follower.clone(),
             placement: Arc::clone(&placement),
-            me,
+            identity,
             key,
             link,
-            metrics: metrics.pools.clone(),
-            links: metrics.links.clone(),
+            pool_metrics: metrics.pools.clone(),
+            link_metrics: metrics.links.clone(),
             zone: settings.zone.clone(),
             subset: settings.limits.subset(),
         };
-        let (roster, _) = Actor::spawn(None, Roster, roster).await?;
-        let leaving = Arc::new(AtomicBool::new(false));
-        let cx = Cx {
+        let (link_manager, _) = Actor::spawn(None, LinkManager, link_manager).await?;
+        let shutting_down = Arc::new(AtomicBool::new(false));
+        let context = ExecutionContext {
             follower: follower.clone(),
             placement,
             timing: Arc::new(settings.timing.clone()),
@@ -81,35 +82,35 @@
             tracker: TaskTracker::new(),
         };
         let operators = operators(&settings, &follower)?;
-        let front = front(&settings, cx, registry, operators, &leaving);
+        let frontend = frontend(&settings, context, registry, operators, &shutting_down);
         let stop = CancellationToken::new();
         let (ended_tx, ended) = watch::channel(false);
-        let serving = serve(listeners, front, roster, stop.clone(), ended_tx);
-        tokio::spawn(serving);
-        log::info!("entry {} serves callers at {http}", settings.name);
+        let server = serve(listeners, frontend, link_manager, stop.clone(), ended_tx);
+        tokio::spawn(server);
+        log::info!("entry {} listening on {http}", settings.name);
         Ok(Entry {
             http,
             settings,
             follower,
-            leaving,
+            shutting_down,
             stop,
             ended,
         })
     }
 
-    /// Where callers and operators connect.
+    /// Address on which callers and operators connect.
     #[must_use]
     pub fn http_address(&self) -> SocketAddr {
         self.http
     }
 
-    /// Shuts the entry down without cutting off a request.
+    /// Shuts the entry down without interrupting running requests.
     ///
-    /// It leaves the address list at once and goes on serving until the lists
-    /// that callers have kept have run out; then it waits for the requests in
-    /// progress, within a bound. Calling it again joins the first call.
+    /// The entry is removed from the address list at once. It keeps serving until the
+    /// lists that callers have cached expire, and then waits for the running requests,
+    /// at most for the drain timeout. Further calls wait for the same shutdown.
     pub async fn shutdown(&self) {
-        if !self.leaving.swap(true, Ordering::Relaxed) {
+        if !self.shutting_down.swap(true, Ordering::Relaxed) {
             self.follower.set_leaving(true);
             let (ttl, stop) = (self.settings.timing.address_ttl, self.stop.clone());
             tokio::spawn(async move {
@@ -118,21 +119,21 @@
             });
         }
         let mut ended = self.ended.clone();
-        // An error means that the server is gone too.
+        // An error means that the server task has ended as well.
         let _ = ended.wait_for(|ended| *ended).await;
     }
 }
 
-fn info(settings: &Settings, me: &Identity, http: SocketAddr) -> NodeInfo {
-    // Port 0 in the settings means the port that the kernel chose.
+fn info(settings: &Settings, identity: &Identity, http: SocketAddr) -> NodeInfo {
+    // Port 0 in the settings stands for the port that the kernel assigned.
     let mut advertise = settings.advertise;
     if advertise.port() == 0 {
         advertise.set_port(http.port());
     }
     NodeInfo {
         role: Role::Entry.into(),
-        name: me.name.clone(),
-        incarnation: me.incarnation,
+        name: identity.name.clone(),
+        incarnation: identity.incarnation,
         zone: settings.zone.clone(),
         caller_address: advertise.to_string(),
         ..NodeInfo::default()
@@ -144,41 +145,41 @@
         return Ok(None);
     };
     let token = Token::from_file(file)?;
-    let within = settings.timing.commit;
+    let timeout = settings.timing.commit;
     let (propose, query) = (follower.clone(), follower.clone());
     Ok(Some(Operators::new(
         token,
         Arc::new(move |command| {
             let follower = propose.clone();
-            Box::pin(async move { follower.propose_or_refuse(command, within).await })
+            Box::pin(async move { follower.propose_or_refuse(command, timeout).await })
         }),
         Arc::new(move |body| {
             let follower = query.clone();
-            Box::pin(async move { Ok(follower.query(body, within).await?) })
+            Box::pin(async move { Ok(follower.query(body, timeout).await?) })
         }),
     )))
 }
 
-fn front(
+fn frontend(
     settings: &Arc<Settings>,
-    cx: Cx,
+    context: ExecutionContext,
     registry: Arc<admin::Registry>,
     operators: Option<Operators>,
-    leaving: &Arc<AtomicBool>,
-) -> Front {
-    let (follower, flag) = (cx.follower.clone(), Arc::clone(leaving));
-    let pages = Pages::new(registry, move || ready(&follower, &flag));
-    Front {
+    shutting_down: &Arc<AtomicBool>,
+) -> Frontend {
+    let (follower, is_shutting_down) = (context.follower.clone(), Arc::clone(shutting_down));
+    let pages = Pages::new(registry, move || ready(&follower, &is_shutting_down));
+    Frontend {
         settings: Arc::clone(settings),
-        cx,
+        context,
         pages,
         operators,
     }
 }
 
-/// Why the entry takes no new work, if so.
-fn ready(follower: &Follower, leaving: &AtomicBool) -> Result<(), String> {
-    if leaving.load(Ordering::Relaxed) {
+/// Checks whether the entry accepts new requests; the error is the reason why not.
+fn ready(follower: &Follower, shutting_down: &AtomicBool) -> Result<(), String> {
+    if shutting_down.load(Ordering::Relaxed) {
         return Err("leaving".to_owned());
     }
     if !follower.leased(std::time::Instant::now()) {
@@ -189,29 +190,29 @@
 
 async fn serve(
     listeners: Listeners,
-    front: Front,
-    roster: ActorRef<News>,
+    frontend: Frontend,
+    link_manager: ActorRef<LinkEvent>,
     stop: CancellationToken,
     ended: watch::Sender<bool>,
 ) {
     let cfg = ServerSettings {
-        connections: front.settings.limits.connections,
-        head_timeout: front.settings.timing.receive,
-        drain: front.settings.timing.drain,
+        connections: frontend.settings.limits.connections,
+        head_timeout: frontend.settings.timing.receive,
+        drain: frontend.settings.timing.drain,
         half_close: HalfClose::Gone,
         ..ServerSettings::default()
     };
     let drain = cfg.drain;
-    let tracker = front.cx.tracker.clone();
+    let tracker = frontend.context.tracker.clone();
     admin::serve(listeners.http, cfg, stop, move |req| {
-        front.clone().handle(req)
+        frontend.clone().handle(req)
     })
     .await;
     tracker.close();
     if tokio::time::timeout(drain, tracker.wait()).await.is_err() {
         let open = tracker.len();
-        log::warn!("{open} non-repeatable calls were still followed at the end");
+        log::warn!("shutdown timeout expired with {open} non-repeatable calls still running");
     }
-    roster.stop(None);
+    link_manager.stop(None);
     ended.send_replace(true);
 }
--- a/crates/entry/src/http/mod.rs
+++ b/crates/entry/src/http/mod.rs
@@ -1,11 +1,11 @@
-//! Callers' HTTP. Nothing beyond this module knows a URL or a header.
+//! HTTP interface for callers. URLs and headers are handled in this module only.
 
 mod addresses;
 mod auth;
 mod chat;
-mod front;
+mod frontend;
 mod headers;
 mod reply;
 mod service;
 
-pub(crate) use front::Front;
+pub(crate) use frontend::Frontend;
--- a/crates/entry/src/links/announced.rs
+++ b/crates/entry/src/links/announced_target.rs
@@ -1,13 +1,13 @@
-//! An agent's announcement, as the member view tells it.
+//! A target as announced by its agent in the member view.
 
 use std::net::SocketAddr;
 
 use note::Offer;
 use wire::proto::{MemberView, NodeInfo, Role};
 
-/// What a live agent announces.
+/// A target as announced by its live agent.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Announced {
+pub(crate) struct AnnouncedTarget {
     pub(crate) target: String,
     pub(crate) incarnation: u64,
     pub(crate) zone: String,
@@ -21,8 +21,8 @@
     pub(crate) versions: Vec<String>,
 }
 
-impl Announced {
-    /// Reads a node; `None` when it is no agent or announces nothing usable.
+impl AnnouncedTarget {
+    /// Converts a node; `None` if it is not an agent or its announcement is invalid.
     pub(crate) fn from_node(node: &NodeInfo) -> Option<Self> {
         if node.role() != Role::Agent {
             return None;
@@ -33,7 +33,7 @@
         } else {
             Offer::Group(target.group.clone())
         };
-        Some(Announced {
+        Some(AnnouncedTarget {
             target: target.target.clone(),
             incarnation: node.incarnation,
             zone: node.zone.clone(),
@@ -48,7 +48,7 @@
         })
     }
 
-    /// All agents of a view.
+    /// Converts all agents of a view.
     pub(crate) fn from_view(view: &MemberView) -> Vec<Self> {
         view.nodes.iter().filter_map(Self::from_node).collect()
     }
--- a/crates/entry/src/links/subsets.rs
+++ b/crates/entry/src/links/subsets.rs
@@ -1,4 +1,4 @@
-//! Which agents this entry keeps links to.
+//! Selection of the agents to which this entry keeps links.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,29 +7,29 @@
 use route::{Reachability, Subset, SubsetSettings, ZonedNode};
 use wire::proto::MemberView;
 
-use super::Announced;
+use super::AnnouncedTarget;
 use crate::placement::pool_of;
 use crate::pool_name::PoolName;
 
-/// The subsets of this entry, one for each class of targets.
+/// The subsets of targets of this entry, one for each class of targets.
 pub(super) struct Subsets {
-    cfg: SubsetSettings,
+    settings: SubsetSettings,
     name: String,
     zone: String,
-    /// What the classes were worked out from.
-    from: Option<(Arc<MemberView>, Arc<Catalogue>)>,
+    /// The view and release note from which the classes were computed.
+    source: Option<(Arc<MemberView>, Arc<Catalogue>)>,
     settled: bool,
-    classes: Vec<Class>,
+    classes: Vec<TargetClass>,
 }
 
-struct Class {
+struct TargetClass {
     targets: Vec<String>,
     subset: Subset,
 }
 
-/// Targets that can stand in for each other. A request may need a version or an
-/// adapter that only some targets of its pool have, so each profile is a class of
-/// its own; among the picks of a whole pool there might be none that fits.
+/// Properties of a class of interchangeable targets. A request may need a version or an
+/// adapter that only some targets of its pool have. With one subset for the whole pool,
+/// it might contain none of them, so each profile has a subset of its own.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Profile<'a> {
     pool: Result<PoolName, &'a Offer>,
@@ -39,73 +39,83 @@
 }
 
 impl Subsets {
-    pub(super) fn new(cfg: SubsetSettings, name: &str, zone: &str) -> Self {
+    pub(super) fn new(settings: SubsetSettings, name: &str, zone: &str) -> Self {
         Subsets {
-            cfg,
+            settings,
             name: name.to_owned(),
             zone: zone.to_owned(),
-            from: None,
+            source: None,
             settled: false,
             classes: Vec::new(),
         }
     }
 
-    /// Works the classes out anew if the view or the note is another one.
+    /// Recomputes the classes if the view or the release note has changed.
     pub(super) fn update(
         &mut self,
         view: &Arc<MemberView>,
         catalogue: &Arc<Catalogue>,
-        announced: &[Announced],
+        announced_targets: &[AnnouncedTarget],
     ) {
-        let same = self.from.as_ref().is_some_and(|(of_view, of_note)| {
+        let is_unchanged = self.source.as_ref().is_some_and(|(of_view, of_note)| {
             Arc::ptr_eq(of_view, view) && Arc::ptr_eq(of_note, catalogue)
         });
-        if same {
+        if is_unchanged {
             return;
         }
-        self.from = Some((Arc::clone(view), Arc::clone(catalogue)));
+        self.source = Some((Arc::clone(view), Arc::clone(catalogue)));
         self.settled |= view.settled;
         let entries = self.entries(view);
-        let me = entries.iter().position(|entry| entry.name == self.name);
-        let me = me.unwrap_or(entries.len());
-        let mut classes: BTreeMap<Profile<'_>, Vec<&Announced>> = BTreeMap::new();
-        for row in announced.iter().filter(|row| !row.leaving) {
+        let own_index = entries.iter().position(|entry| entry.name == self.name);
+        let own_index = own_index.unwrap_or(entries.len());
+        let mut classes: BTreeMap<Profile<'_>, Vec<&AnnouncedTarget>> = BTreeMap::new();
+        for announced in announced_targets
+            .iter()
+            .filter(|announced| !announced.leaving)
+        {
             classes
-                .entry(profile(catalogue, row))
+                .entry(profile(catalogue, announced))
                 .or_default()
-                .push(row);
+                .push(announced);
         }
-        let cfg = self.cfg();
-        let classes = classes.into_values().map(|rows| {
-            let sites = rows.iter().map(|row| ZonedNode {
-                name: &row.target,
-                zone: &row.zone,
+        let settings = self.effective_settings();
+        let classes = classes.into_values().map(|targets| {
+            let zoned = targets.iter().map(|announced| ZonedNode {
+                name: &announced.target,
+                zone: &announced.zone,
             });
-            let sites: Vec<ZonedNode<'_>> = sites.collect();
-            Class {
-                subset: Subset::of(cfg, me, &entries, &sites),
-                targets: rows.iter().map(|row| row.target.clone()).collect(),
+            let zoned: Vec<ZonedNode<'_>> = zoned.collect();
+            TargetClass {
+                subset: Subset::of(settings, own_index, &entries, &zoned),
+                targets: targets
+                    .iter()
+                    .map(|announced| announced.target.clone())
+                    .collect(),
             }
         });
         self.classes = classes.collect();
     }
 
-    /// The targets to link now, and how many entries link each of them.
-    pub(super) fn linked(&self, reach: impl Fn(&str) -> Reachability) -> BTreeMap<String, u32> {
+    /// Returns the targets to link, and for each the number of entries that link it.
+    pub(super) fn linked(
+        &self,
+        reachability: impl Fn(&str) -> Reachability,
+    ) -> BTreeMap<String, u32> {
         let mut linked = BTreeMap::new();
         for class in &self.classes {
             let name = |target: usize| class.targets[target].as_str();
             let chosen = class
                 .subset
-                .with_reserve(self.cfg.targets, |target| reach(name(target)));
+                .with_reserve(self.settings.targets, |target| reachability(name(target)));
             let chosen = chosen.iter();
-            linked.extend(chosen.map(|row| (name(row.target).to_owned(), row.entries)));
+            linked.extend(chosen.map(|linked| (name(linked.target).to_owned(), linked.entries)));
         }
         linked
     }
 
-    /// Entries that serve callers, this one included: it may not be in the view
-    /// yet, or may be leaving and still serve those who hold its address.
+    /// Entries that serve callers, including this one. This entry may be missing from
+    /// the view when it starts, or leaving and still serving callers that have cached
+    /// its address.
     fn entries<'a>(&'a self, view: &'a MemberView) -> Vec<ZonedNode<'a>> {
         let nodes = view.nodes.iter();
         let others = nodes.filter(|node| {
@@ -124,23 +134,28 @@
         entries
     }
 
-    /// At a common start the first views lack most entries. If those few took all
-    /// targets between them, each of hundreds of entries would dial each target
-    /// within the first second. Their own picks do until one view was whole.
-    fn cfg(&self) -> SubsetSettings {
-        let entries = if self.settled { self.cfg.entries } else { 0 };
+    /// When all nodes start together, the first views lack most entries. If the few
+    /// that are visible divided all targets among them, each of hundreds of entries
+    /// would connect to each target within the first second. Until the view has been
+    /// complete once, each entry links only its own selection.
+    fn effective_settings(&self) -> SubsetSettings {
+        let entries = if self.settled {
+            self.settings.entries
+        } else {
+            0
+        };
         SubsetSettings {
             entries,
-            ..self.cfg
+            ..self.settings
         }
     }
 }
 
-fn profile<'a>(catalogue: &Catalogue, row: &'a Announced) -> Profile<'a> {
+fn profile<'a>(catalogue: &Catalogue, announced: &'a AnnouncedTarget) -> Profile<'a> {
     Profile {
-        pool: pool_of(catalogue, row).ok_or(&row.offer),
-        adapters: &row.adapters,
-        versions: &row.versions,
-        can_resume: row.can_resume,
+        pool: pool_of(catalogue, announced).ok_or(&announced.offer),
+        adapters: &announced.adapters,
+        versions: &announced.versions,
+        can_resume: announced.can_resume,
     }
 }
--- a/crates/entry/src/placement/mod.rs
+++ b/crates/entry/src/placement/mod.rs
@@ -1,10 +1,10 @@
-//! The pools of targets, and who is let in to them.
+//! Pools of targets and admission to them.
 
-mod allowance;
+mod account_quota;
 mod inner;
-mod member;
+mod live_target;
 mod permit;
-mod placed;
+mod placed_attempt;
 mod pool_state;
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -23,23 +23,23 @@
 
 use inner::Inner;
 pub(crate) use inner::pool_of;
-pub(crate) use member::Member;
+pub(crate) use live_target::LiveTarget;
 pub(crate) use permit::Permit;
-pub(crate) use placed::{Placed, StartAt, Wanted};
+pub(crate) use placed_attempt::{AttemptRequirements, PlacedAttempt, StartAt};
 use pool_state::PoolState;
 
-/// The pools of targets, and who is let in to them: the shared state that the
-/// decisions of the `route` crate are taken on.
+/// Pools of targets and admission to them: the shared state on which the `route` crate
+/// bases its decisions.
 #[derive(Debug)]
 pub(crate) struct Placement {
     inner: Mutex<Inner>,
 }
 
-/// What the quarantine holds against a request.
+/// Quarantine status of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Record {
-    /// It may run, alone among suspects or freely.
-    Runs(Suspicion),
+pub(crate) enum QuarantineStatus {
+    /// It may run: freely, or as a suspect on a target without another suspect.
+    Allowed(Suspicion),
     /// It is refused.
     Convicted,
 }
@@ -52,28 +52,29 @@
         }
     }
 
-    /// Brings the pools in line with what is offered and who lives.
+    /// Updates the pools from the release note and the live targets.
     pub(crate) fn update(
         &self,
         now: Instant,
         catalogue: &Catalogue,
-        members: &[Member],
+        live_targets: &[LiveTarget],
         entries: u32,
     ) {
-        self.lock().update(now, catalogue, members, entries);
+        self.lock().update(now, catalogue, live_targets, entries);
     }
 
-    /// Lets in whoever's turn it is and refuses whose time is over.
+    /// Admits queued requests whose turn has come and refuses those whose deadline has
+    /// passed.
     pub(crate) fn advance(&self, now: Instant) {
         for state in self.lock().pools.values_mut() {
             state.advance(now);
         }
     }
 
-    /// Shows the figures of all pools.
-    pub(crate) fn show(&self, now: Instant, metrics: &PoolMetrics) {
+    /// Updates the metrics of all pools.
+    pub(crate) fn export_metrics(&self, now: Instant, metrics: &PoolMetrics) {
         for (name, state) in &self.lock().pools {
-            state.show(name.as_str(), now, metrics);
+            state.export_metrics(name.as_str(), now, metrics);
         }
     }
 
@@ -81,13 +82,13 @@
         self.lock().set_quarantine(quarantine);
     }
 
-    pub(crate) fn record(&self, fingerprint: &Fingerprint) -> Record {
-        self.lock().record(Instant::now(), fingerprint)
+    pub(crate) fn quarantine_status(&self, fingerprint: &Fingerprint) -> QuarantineStatus {
+        self.lock().quarantine_status(Instant::now(), fingerprint)
     }
 
-    /// Notes that a target crashed while the request ran there.
-    pub(crate) fn crashed(&self, fingerprint: Fingerprint) {
-        self.lock().crashed(Instant::now(), fingerprint);
+    /// Records that a target crashed while it ran the request.
+    pub(crate) fn record_crash(&self, fingerprint: Fingerprint) {
+        self.lock().record_crash(Instant::now(), fingerprint);
     }
 
     pub(crate) fn report(&self, agent: &Arc<Agent>, report: &TargetLoadReport) {
@@ -110,63 +111,71 @@
         }
     }
 
-    /// Lets a request in, at once or when its turn comes before `until`.
+    /// Admits a request, at once or when its turn comes before `until`.
     pub(crate) async fn admit(
         self: &Arc<Self>,
         job: &Job,
         until: Instant,
     ) -> Result<Permit, Refusal> {
         let (tx, rx) = oneshot::channel();
-        let entered = self.lock().enter(Instant::now(), job, until, tx);
-        let (ticket, queued) = entered?;
+        let submitted = self.lock().submit(Instant::now(), job, until, tx);
+        let (ticket, queued) = submitted?;
         let permit = Permit::new(Arc::clone(self), job, ticket);
         if queued {
-            // The sender is kept with the ticket, and each ticket is either
-            // admitted or refused by its deadline.
-            let answer = rx.await.unwrap_or_else(|_| Err(Inner::shed()));
+            // The sender is kept with the ticket, and each ticket is either admitted or
+            // refused by its deadline.
+            let answer = rx.await.unwrap_or_else(|_| Err(Inner::shed_refusal()));
             answer?;
         }
         Ok(permit)
     }
 
-    /// Chooses a target for an attempt, if one has room.
-    pub(crate) fn place(self: &Arc<Self>, job: &Job, wanted: &Wanted) -> Option<Placed> {
-        let found = self.lock().place(Instant::now(), job, wanted)?;
-        Some(Placed::new(Arc::clone(self), job.pool.clone(), found))
+    /// Selects a target for an attempt if one has capacity.
+    pub(crate) fn place(
+        self: &Arc<Self>,
+        job: &Job,
+        requirements: &AttemptRequirements,
+    ) -> Option<PlacedAttempt> {
+        let assignment = self.lock().place(Instant::now(), job, requirements)?;
+        Some(PlacedAttempt::new(
+            Arc::clone(self),
+            job.pool.clone(),
+            assignment,
+        ))
     }
 
     /// Sets the agents of all live targets, linked or not.
     pub(crate) fn set_agents(&self, agents: impl Iterator<Item = Arc<Agent>>) {
-        let named = agents.map(|agent| (agent.name.clone(), agent));
-        self.lock().agents = named.collect();
+        let by_name = agents.map(|agent| (agent.name.clone(), agent));
+        self.lock().agents = by_name.collect();
     }
 
-    /// The agent of a target, whether or not new work is sent there: a call may run
-    /// there that another entry sent.
+    /// Returns the agent of a target, also if this entry sends it no new work: it may
+    /// run a call from another entry.
     pub(crate) fn agent(&self, target: &str) -> Option<Arc<Agent>> {
         self.lock().agents.get(target).cloned()
     }
 
-    /// Whether any target is offered and announced for the request, be it
-    /// out of reach just now.
+    /// Whether a target for the request is offered and announced, even if it is
+    /// unreachable at present.
     pub(crate) fn has_targets(&self, job: &Job) -> bool {
         let inner = self.lock();
         let state = inner.pools.get(&job.pool);
         state.is_some_and(PoolState::has_targets)
     }
 
-    /// Acts on the parts of accounts' limits that were granted, and says what is used.
-    pub(crate) fn exchange(&self, now: Instant, parts: &Parts) -> Vec<AccountUse> {
-        self.lock().exchange(now, parts)
+    /// Applies the granted fractions of account limits and returns the usage to report.
+    pub(crate) fn exchange_quotas(&self, now: Instant, parts: &Parts) -> Vec<AccountUse> {
+        self.lock().exchange_quotas(now, parts)
     }
 
-    /// Takes one retry from the budget, if there is one.
+    /// Withdraws a retry from the budget; `false` if the budget is exhausted.
     pub(crate) fn withdraw_retry(&self) -> bool {
         self.lock().budget.withdraw(Instant::now())
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        // Nothing panics half-way through a change; a poisoned state is whole.
+        // No code panics in the middle of an update, so a poisoned state is consistent.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/entry/src/work/attempt.rs
+++ b/crates/entry/src/work/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one agent, and its answer as it comes.
+//! An attempt at an agent and its answer.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,161 +12,165 @@
 use wire::{Assembly, Link, Piece};
 
 use crate::Timing;
-use crate::links::{Agent, Listener};
+use crate::links::{Agent, SubscriptionId};
 
-/// Bytes after which an agent hears that they have arrived: the smallest
-/// window that an agent may have. With more, such an agent would wait for ever.
-const ACKNOWLEDGE: u64 = 1 << 10;
-/// Without a frame of a kept attempt before it is attached again.
-const ATTACH_AGAIN: Duration = Duration::from_secs(3);
+/// Number of received bytes after which they are acknowledged: the minimum window size
+/// of an agent. With a larger value, an agent with the minimum window would wait
+/// forever.
+const ACKNOWLEDGE_BYTES: u64 = 1 << 10;
+/// Time without a frame after which the entry reattaches to a kept attempt.
+const REATTACH_INTERVAL: Duration = Duration::from_secs(3);
 
-/// What happens to the attempt when nobody waits for its answer any more.
+/// What happens to an attempt when its receiver is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Abandon {
-    /// It is cancelled: nobody needs it.
+enum AbandonPolicy {
+    /// The attempt is cancelled, as its answer is no longer needed.
     Cancel,
-    /// It goes on: it may not be run a second time.
+    /// The attempt continues, as it must not run a second time.
     Keep,
 }
 
-/// An attempt that its agent has taken.
+/// An attempt that its agent has accepted.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     agent: Arc<Agent>,
     id: Bytes,
-    listener: Listener,
+    subscription: SubscriptionId,
     frames: mpsc::UnboundedReceiver<Body>,
     link: watch::Receiver<Option<Link>>,
     assembly: Assembly,
     pieces: VecDeque<Piece>,
-    acknowledged: u64,
-    abandon: Abandon,
-    over: bool,
-    grace: Duration,
+    acknowledged_offset: u64,
+    abandon_policy: AbandonPolicy,
+    ended: bool,
+    link_grace: Duration,
     stall: Duration,
 }
 
-/// How the start of an attempt went.
+/// Outcome of starting an attempt.
 #[derive(Debug)]
-pub(crate) enum Started {
-    /// It runs, or has run already.
+pub(crate) enum StartOutcome {
+    /// It is running or has already ended.
     Running(Box<Attempt>),
-    /// The agent refused it; it never ran and never will.
+    /// The agent refused it. It did not run and never will.
     Refused(Refusal),
-    /// Nothing reached the agent, or the agent has barred it: it never ran
-    /// and never will.
+    /// The start was not sent or the agent has barred the attempt. It did not run and
+    /// never will.
     NotRun,
-    /// Nobody can say whether it ran.
+    /// It is unknown whether it ran.
     Lost,
 }
 
-/// How joining an attempt went.
+/// Outcome of joining an attempt.
 #[derive(Debug)]
-pub(crate) enum Joined {
-    /// Its answer comes.
+pub(crate) enum JoinOutcome {
+    /// Its answer is being received.
     Attached(Box<Attempt>),
-    /// It can't be attached to.
+    /// It cannot be attached to because of its state.
     State(AttemptState),
-    /// Its agent can't be reached now.
+    /// Its agent is unreachable.
     Unreachable,
 }
 
-/// What comes next of an answer.
+/// The next event of an attempt.
 #[derive(Debug)]
-pub(crate) enum Next {
-    /// A part of it.
+pub(crate) enum AttemptEvent {
+    /// A part of the answer.
     Piece(Piece),
-    /// The agent's incarnation is over, or it can't be reached any more.
+    /// The incarnation of the agent has ended, or the agent is unreachable.
     Lost,
-    /// No byte came for too long.
+    /// No byte arrived within the stall timeout.
     Stalled,
     /// The deadline has passed.
-    Late,
+    DeadlinePassed,
 }
 
-/// What happens when nothing comes, and after how long.
+/// What happens if no frame arrives within a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Due {
+enum Timeout {
     /// The deadline passes.
-    Late(Duration),
-    /// The agent has been silent for too long.
+    DeadlinePassed(Duration),
+    /// The agent has stalled.
     Stalled(Duration),
-    /// A kept attempt is attached again. Its frames go to the entry that
-    /// attached last; if that one dies, nobody would get them.
-    Attach,
+    /// The entry reattaches to a kept attempt. Frames are sent to the entry that
+    /// attached last; if that entry crashes, no other one would receive them.
+    Reattach,
 }
 
-impl Due {
+impl Timeout {
     fn after(self) -> Duration {
         match self {
-            Due::Late(after) | Due::Stalled(after) => after,
-            Due::Attach => ATTACH_AGAIN,
+            Timeout::DeadlinePassed(after) | Timeout::Stalled(after) => after,
+            Timeout::Reattach => REATTACH_INTERVAL,
         }
     }
 }
 
 impl Attempt {
-    /// Asks the agent to run an attempt, and learns whether it will.
+    /// Starts an attempt and waits until the agent has accepted or refused it.
     pub(crate) async fn start(
         agent: &Arc<Agent>,
         start: Start,
         window: usize,
         timing: &Timing,
-    ) -> Started {
+    ) -> StartOutcome {
         let link = agent.current_link();
         Attempt::start_on(agent, link, start, window, timing).await
     }
 
-    /// The same on one connection only.
+    /// Starts an attempt on the given connection only.
     pub(crate) async fn start_on(
         agent: &Arc<Agent>,
         link: Option<Link>,
         start: Start,
         window: usize,
         timing: &Timing,
-    ) -> Started {
-        let abandon = if start.keep {
-            Abandon::Keep
+    ) -> StartOutcome {
+        let abandon_policy = if start.keep {
+            AbandonPolicy::Keep
         } else {
-            Abandon::Cancel
+            AbandonPolicy::Cancel
         };
-        let mut attempt = Attempt::new(agent, start.attempt.clone(), window, timing, abandon);
+        let mut attempt =
+            Attempt::new(agent, start.attempt.clone(), window, timing, abandon_policy);
         let Some(link) = link else {
-            attempt.over = true;
-            return Started::NotRun;
+            attempt.ended = true;
+            return StartOutcome::NotRun;
         };
         match link.call(Body::Start(start), timing.start).await {
-            Ok(Body::StartReply(reply)) if reply.accepted => Started::Running(Box::new(attempt)),
+            Ok(Body::StartReply(reply)) if reply.accepted => {
+                StartOutcome::Running(Box::new(attempt))
+            }
             Ok(Body::StartReply(reply)) => {
-                attempt.over = true;
-                Started::Refused(reply.refusal())
+                attempt.ended = true;
+                StartOutcome::Refused(reply.refusal())
             }
             Err(err) if err.is_not_sent() => {
-                attempt.over = true;
-                Started::NotRun
+                attempt.ended = true;
+                StartOutcome::NotRun
             }
-            Ok(_) | Err(_) => attempt.settle(timing).await,
+            Ok(_) | Err(_) => attempt.resolve_unknown_start(timing).await,
         }
     }
 
-    /// Attaches to an attempt that was started before, maybe by another entry.
+    /// Attaches to an attempt that was started before, possibly by another entry.
     pub(crate) async fn join(
         agent: &Arc<Agent>,
         id: Bytes,
         window: usize,
         timing: &Timing,
-    ) -> Joined {
-        let mut attempt = Attempt::new(agent, id, window, timing, Abandon::Keep);
-        let Some(link) = agent.reach(timing.link_grace).await else {
-            return Joined::Unreachable;
+    ) -> JoinOutcome {
+        let mut attempt = Attempt::new(agent, id, window, timing, AbandonPolicy::Keep);
+        let Some(link) = agent.wait_for_link(timing.link_grace).await else {
+            return JoinOutcome::Unreachable;
         };
         attempt.link.mark_unchanged();
         match attempt.attach(&link).await {
             Some(AttemptState::Running | AttemptState::Ended) => {
-                Joined::Attached(Box::new(attempt))
+                JoinOutcome::Attached(Box::new(attempt))
             }
-            Some(state) => Joined::State(state),
-            None => Joined::Unreachable,
+            Some(state) => JoinOutcome::State(state),
+            None => JoinOutcome::Unreachable,
         }
     }
 
@@ -175,98 +179,99 @@
         id: Bytes,
         window: usize,
         timing: &Timing,
-        abandon: Abandon,
+        abandon_policy: AbandonPolicy,
     ) -> Self {
         let mut link = agent.link();
         link.mark_unchanged();
-        let (listener, frames) = agent.enlist(id.clone());
+        let (subscription, frames) = agent.subscribe(id.clone());
         Attempt {
-            listener,
+            subscription,
             frames,
             assembly: Assembly::new(id.clone(), window),
             agent: Arc::clone(agent),
             id,
             link,
             pieces: VecDeque::new(),
-            acknowledged: 0,
-            abandon,
-            over: false,
-            grace: timing.link_grace,
+            acknowledged_offset: 0,
+            abandon_policy,
+            ended: false,
+            link_grace: timing.link_grace,
             stall: timing.stall,
         }
     }
 
-    /// The answer to a start was lost. The agent is asked to bar the attempt:
-    /// either it does, and then it never runs, or the attempt is running.
-    async fn settle(mut self, timing: &Timing) -> Started {
-        let Some(link) = self.agent.reach(timing.link_grace).await else {
-            return Started::Lost;
+    /// Resolves a lost start reply by asking the agent to bar the attempt. Either the
+    /// agent bars it and it never runs, or it is already running and is attached to.
+    async fn resolve_unknown_start(mut self, timing: &Timing) -> StartOutcome {
+        let Some(link) = self.agent.wait_for_link(timing.link_grace).await else {
+            return StartOutcome::Lost;
         };
         self.link.mark_unchanged();
         let reply = bar(&link, &self.id, timing).await;
         match reply.map(|reply| reply.state()) {
             Some(AttemptState::Barred) => {
-                self.over = true;
-                Started::NotRun
+                self.ended = true;
+                StartOutcome::NotRun
             }
             Some(AttemptState::Running | AttemptState::Ended) => match self.attach(&link).await {
                 Some(AttemptState::Running | AttemptState::Ended) => {
-                    Started::Running(Box::new(self))
+                    StartOutcome::Running(Box::new(self))
                 }
-                _ => Started::Lost,
+                _ => StartOutcome::Lost,
             },
-            _ => Started::Lost,
+            _ => StartOutcome::Lost,
         }
     }
 
-    /// The next part of the answer.
-    pub(crate) async fn next(&mut self, deadline: Instant) -> Next {
+    /// Waits for the next part of the answer, a failure or the deadline.
+    pub(crate) async fn next(&mut self, deadline: Instant) -> AttemptEvent {
         loop {
             if let Some(piece) = self.pieces.pop_front() {
-                self.over |= matches!(piece, Piece::Whole(_) | Piece::Broken(_));
-                if matches!(piece, Piece::Whole(_)) && self.abandon == Abandon::Cancel {
-                    // Nobody will ask for it again, and what an agent holds it
-                    // looks through at each tick.
-                    self.forget().await;
+                self.ended |= matches!(piece, Piece::Whole(_) | Piece::Broken(_));
+                if matches!(piece, Piece::Whole(_)) && self.abandon_policy == AbandonPolicy::Cancel
+                {
+                    // The answer is not needed again, and the agent visits all kept
+                    // answers at each tick.
+                    self.confirm_recorded().await;
                 }
-                return Next::Piece(piece);
+                return AttemptEvent::Piece(piece);
             }
             if let Ok(frame) = self.frames.try_recv() {
                 self.pieces.extend(self.assembly.take(frame));
                 continue;
             }
             let left = deadline.saturating_duration_since(Instant::now());
-            let due = self.due(left);
+            let timeout = self.next_timeout(left);
             tokio::select! {
                 frame = self.frames.recv() => match frame {
                     Some(frame) => self.pieces.extend(self.assembly.take(frame)),
-                    None => return Next::Lost,
+                    None => return AttemptEvent::Lost,
                 },
                 changed = self.link.changed() => {
-                    if changed.is_err() || !self.attach_anew(deadline).await {
-                        return Next::Lost;
+                    if changed.is_err() || !self.reattach(deadline).await {
+                        return AttemptEvent::Lost;
                     }
                 }
-                () = self.agent.gone.cancelled() => return Next::Lost,
-                // One timer: each costs a turn at the lock that all of them share.
-                () = sleep(due.after()) => match due {
-                    Due::Late(_) => return Next::Late,
-                    Due::Stalled(_) => return Next::Stalled,
-                    Due::Attach if self.attach_anew(deadline).await => {}
-                    Due::Attach => return Next::Lost,
+                () = self.agent.ended.cancelled() => return AttemptEvent::Lost,
+                // A single timer, because registering one locks the shared timer state.
+                () = sleep(timeout.after()) => match timeout {
+                    Timeout::DeadlinePassed(_) => return AttemptEvent::DeadlinePassed,
+                    Timeout::Stalled(_) => return AttemptEvent::Stalled,
+                    Timeout::Reattach if self.reattach(deadline).await => {}
+                    Timeout::Reattach => return AttemptEvent::Lost,
                 }
             }
         }
     }
 
-    /// What happens first when nothing comes.
-    fn due(&self, left: Duration) -> Due {
-        if self.abandon == Abandon::Keep && ATTACH_AGAIN < left.min(self.stall) {
-            Due::Attach
+    /// The timeout that expires first if no frame arrives.
+    fn next_timeout(&self, left: Duration) -> Timeout {
+        if self.abandon_policy == AbandonPolicy::Keep && REATTACH_INTERVAL < left.min(self.stall) {
+            Timeout::Reattach
         } else if left <= self.stall {
-            Due::Late(left)
+            Timeout::DeadlinePassed(left)
         } else {
-            Due::Stalled(self.stall)
+            Timeout::Stalled(self.stall)
         }
     }
 
@@ -274,34 +279,35 @@
         &self.agent
     }
 
-    /// Whether the answer's last part has come.
-    pub(crate) fn is_over(&self) -> bool {
-        self.over
+    /// Whether the last part of the answer has been received.
+    pub(crate) fn has_ended(&self) -> bool {
+        self.ended
     }
 
-    /// Tells the agent that what was received so far need not be kept.
+    /// Acknowledges the received bytes, which the agent need not keep any longer.
     pub(crate) async fn acknowledge(&mut self) {
         let offset = self.assembly.offset();
-        // Some bytes at a time keep the answer flowing without a message for
-        // each event.
-        let due = offset.saturating_sub(self.acknowledged) >= ACKNOWLEDGE;
-        if !due {
+        // Acknowledging in batches keeps the answer flowing without a message per
+        // event.
+        let is_due = offset.saturating_sub(self.acknowledged_offset) >= ACKNOWLEDGE_BYTES;
+        if !is_due {
             return;
         }
         let Some(link) = self.agent.current_link() else {
             return;
         };
-        self.acknowledged = offset;
-        // A lost one is made up for by the offset of the next attach.
+        self.acknowledged_offset = offset;
+        // A lost acknowledgement is covered by the offset of the next attach.
         let _ = link.send(self.progress(offset, Recorded::No)).await;
     }
 
-    /// Tells the agent that the whole answer is recorded.
-    pub(crate) async fn forget(&mut self) {
-        self.over = true;
+    /// Tells the agent that the complete answer has been recorded.
+    pub(crate) async fn confirm_recorded(&mut self) {
+        self.ended = true;
         if let Some(link) = self.agent.current_link() {
             let offset = self.assembly.offset();
-            // If it is lost, the agent forgets the answer after its own time.
+            // If the message is lost, the agent drops the answer after its retention
+            // time.
             let _ = link.send(self.progress(offset, Recorded::Yes)).await;
         }
     }
@@ -314,20 +320,20 @@
         })
     }
 
-    /// The connection went or a fresh one came: goes on there, from the byte
-    /// that comes next. `false` once the attempt is lost.
-    async fn attach_anew(&mut self, deadline: Instant) -> bool {
+    /// Reattaches after a change of the connection, from the next missing byte on.
+    /// Returns `false` if the attempt is lost.
+    async fn reattach(&mut self, deadline: Instant) -> bool {
         loop {
             let left = deadline.saturating_duration_since(Instant::now());
-            let grace = self.grace.min(left);
-            let Some(link) = self.agent.reach(grace).await else {
-                // Past the deadline the caller hears of that.
-                return left < self.grace;
+            let link_grace = self.link_grace.min(left);
+            let Some(link) = self.agent.wait_for_link(link_grace).await else {
+                // If the deadline passes first, `next` reports that.
+                return left < self.link_grace;
             };
             self.link.mark_unchanged();
             match self.attach(&link).await {
                 Some(AttemptState::Running | AttemptState::Ended) => return true,
-                // It went down again: there may be a further one.
+                // The connection was lost again; wait for another one.
                 None if link.is_closed() => {}
                 Some(_) | None => return false,
             }
@@ -339,7 +345,7 @@
             attempt: self.id.clone(),
             offset: self.assembly.offset(),
         });
-        match link.call(body, self.grace).await {
+        match link.call(body, self.link_grace).await {
             Ok(Body::AttachReply(reply)) => Some(reply.state()),
             Ok(_) | Err(_) => None,
         }
@@ -348,12 +354,12 @@
 
 impl Drop for Attempt {
     fn drop(&mut self) {
-        self.agent.dismiss(&self.id, self.listener);
-        if self.over || self.abandon == Abandon::Keep {
+        self.agent.unsubscribe(&self.id, self.subscription);
+        if self.ended || self.abandon_policy == AbandonPolicy::Keep {
             return;
         }
         let Some(link) = self.agent.current_link() else {
-            // The agent cancels it by itself after its grace time.
+            // The agent cancels the attempt itself after its grace period.
             return;
         };
         let cancel = Body::Cancel(Cancel {
@@ -361,7 +367,8 @@
         });
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
             runtime.spawn(async move {
-                // Without a connection the agent cancels by itself.
+                // If sending fails, the agent cancels the attempt itself after its
+                // grace period.
                 let _ = link.send(cancel).await;
             });
         }
@@ -374,7 +381,7 @@
     No,
 }
 
-/// Bars an attempt and says what the agent then knows of it.
+/// Bars an attempt and returns its state at the agent.
 pub(super) async fn bar(link: &Link, id: &Bytes, timing: &Timing) -> Option<BarReply> {
     let body = Body::Bar(Bar {
         attempt: id.clone(),
--- a/crates/entry/src/work/told.rs
+++ b/crates/entry/src/work/call_result.rs
@@ -1,4 +1,4 @@
-//! What the caller of a non-repeatable call is told.
+//! Results of non-repeatable calls.
 
 use admin::{Problem, Ran};
 use hyper::StatusCode;
@@ -6,17 +6,17 @@
 use wire::proto::claim_outcome::Kind;
 
 use super::answer::Answer;
-use super::course::RETRY_AFTER;
+use super::execution::RETRY_AFTER;
 
-/// What a caller of a non-repeatable call is told.
-pub(super) type Called = Result<Answer, Problem>;
+/// Result of a non-repeatable call.
+pub(super) type CallResult = Result<Answer, Problem>;
 
-/// Why a caller is told to ask again.
+/// Detail for a call whose target is unreachable.
 pub(super) const UNREACHABLE: &str =
     "the call's target can't be reached now; ask again with the same key";
 
-/// What a caller is told of a record that is not running.
-pub(super) fn stands(record: ClaimOutcome) -> Called {
+/// The result for a record whose attempt is not running.
+pub(super) fn recorded_result(record: ClaimOutcome) -> CallResult {
     match record.kind() {
         Kind::Finished => Ok(answer_of(record.answer.unwrap_or_default())),
         Kind::Mismatch => Err(Problem::new(
@@ -37,9 +37,10 @@
             problem.ran = Ran::Unknown;
             Err(problem)
         }
-        Kind::Unspecified | Kind::Claimed | Kind::Running => {
-            Err(still_open(StatusCode::SERVICE_UNAVAILABLE, UNREACHABLE))
-        }
+        Kind::Unspecified | Kind::Claimed | Kind::Running => Err(outcome_pending(
+            StatusCode::SERVICE_UNAVAILABLE,
+            UNREACHABLE,
+        )),
     }
 }
 
@@ -51,8 +52,8 @@
     }
 }
 
-/// The outcome isn't known yet, and may be later.
-pub(super) fn still_open(status: StatusCode, detail: &str) -> Problem {
+/// The outcome is not known yet but may be later.
+pub(super) fn outcome_pending(status: StatusCode, detail: &str) -> Problem {
     let mut problem = Problem::new(status, detail);
     problem.ran = Ran::Unknown;
     problem.retry_after = Some(RETRY_AFTER);
--- a/crates/entry/src/work/events.rs
+++ b/crates/entry/src/work/event_splitter.rs
@@ -1,30 +1,29 @@
-//! Cuts a byte stream into server-sent events.
+//! Splits a byte stream into server-sent events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Text of the event that ends a chat completion's stream.
+/// Data of the event that ends the stream of a chat completion.
 const DONE: &[u8] = b"data: [DONE]";
 
-/// Cuts a byte stream into complete server-sent events.
+/// Splits a byte stream into complete server-sent events.
 ///
-/// A caller is only given complete events, so that a stream that breaks off
-/// always does so between two of them, and another target can go on from a
-/// count of events.
+/// Callers receive only complete events. A stream that is aborted thus always ends
+/// between two events, and another target can resume after a number of events.
 #[derive(Debug)]
-pub(crate) struct Events {
+pub(crate) struct EventSplitter {
     buf: BytesMut,
     searched: usize,
     max: usize,
     done: bool,
 }
 
-/// An event grew beyond the bound.
+/// An event exceeds the size limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct TooLarge;
+pub(crate) struct EventTooLarge;
 
-impl Events {
+impl EventSplitter {
     pub(crate) fn new(max: usize) -> Self {
-        Events {
+        EventSplitter {
             buf: BytesMut::new(),
             searched: 0,
             max,
@@ -36,11 +35,15 @@
         self.buf.extend_from_slice(data);
     }
 
-    /// The next complete event, its blank line included.
-    pub(crate) fn next(&mut self) -> Result<Option<Bytes>, TooLarge> {
+    /// Returns the next complete event, including its blank line.
+    pub(crate) fn next(&mut self) -> Result<Option<Bytes>, EventTooLarge> {
         let Some(end) = self.end_of_event() else {
             let too_large = self.buf.len() > self.max;
-            return if too_large { Err(TooLarge) } else { Ok(None) };
+            return if too_large {
+                Err(EventTooLarge)
+            } else {
+                Ok(None)
+            };
         };
         self.searched = 0;
         let event = self.buf.split_to(end).freeze();
@@ -48,19 +51,19 @@
         Ok(Some(event))
     }
 
-    /// Whether the stream ended after its last event.
-    pub(crate) fn is_whole(&self) -> bool {
+    /// Whether the stream has ended with its final event.
+    pub(crate) fn is_complete(&self) -> bool {
         self.done && self.buf.is_empty()
     }
 
-    /// Forgets the part of an event that its target never finished.
-    pub(crate) fn restart(&mut self) {
+    /// Discards an incomplete event.
+    pub(crate) fn reset(&mut self) {
         self.buf.clear();
         self.searched = 0;
         self.done = false;
     }
 
-    /// Where the first event ends: after an empty line.
+    /// Returns the end of the first event, which is after an empty line.
     fn end_of_event(&mut self) -> Option<usize> {
         let mut at = self.searched;
         while let Some(found) = self.buf[at..].iter().position(|byte| *byte == b'\n') {
@@ -68,7 +71,7 @@
             match self.buf[line_end..] {
                 [b'\n', ..] => return Some(line_end + 1),
                 [b'\r', b'\n', ..] => return Some(line_end + 2),
-                // The rest of the blank line may still come.
+                // The rest of the blank line may not have arrived yet.
                 [] | [b'\r'] => {
                     self.searched = at + found;
                     return None;
