--- a/crates/agent/src/rank_agent.rs
+++ b/crates/agent/src/rank_agent.rs
@@ -5,7 +5,7 @@
 
 use expert::{MoveCost, SwitchCriteria, SwitchTiming};
 use eyre::WrapErr;
-use member::{SpeedReports, TargetSpeed};
+use member::{SpeedReportSchedule, TargetSpeed};
 use node::{Decode, Follower, FollowerSettings};
 use note::{Group, Weights};
 use table::{Experts, Table};
@@ -176,7 +176,7 @@
     follower: &Follower,
 ) {
     let identity = |state: &ArmingState| (state.group.clone(), state.rank, state.ranks);
-    let mut reports = SpeedReports::default();
+    let mut reports = SpeedReportSchedule::default();
     loop {
         sleep(ENGINE_POLL_INTERVAL).await;
         let Ok(state) = client.arming_state().await else {
--- a/crates/control/src/hub.rs
+++ b/crates/control/src/hub.rs
@@ -4,7 +4,7 @@
 use crate::replicas::Replicas;
 use crate::target_cache::TargetCache;
 use futures_util::future::join_all;
-use member::{Board, Entrance, Heard, Presence, Sighting};
+use member::{EntryReport, Presence, ReportEffect, ReportStore, TargetReport};
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -36,7 +36,7 @@
 }
 
 struct Shared {
-    board: Mutex<Board>,
+    board: Mutex<ReportStore>,
     /// Links of the entries that report here.
     entries: Mutex<Vec<Link>>,
     /// Targets that were heard again since the last refresh.
@@ -58,11 +58,11 @@
         table: watch::Receiver<RouteTable>,
         cache: TargetCache,
     ) -> Hub {
-        let mut board = Board::default();
+        let mut board = ReportStore::default();
         let now = Instant::now();
         for told in cache.read().into_iter().filter_map(sighting) {
             log::info!(target_id = told.id.as_str(); "target known from before the start");
-            board.hear(told, now);
+            board.record_target(told, now);
         }
         let shared = Shared {
             board: Mutex::new(board),
@@ -106,8 +106,8 @@
             self.entry_up(link).await;
         }
         if let Some(told) = report.entrance.and_then(entrance) {
-            let heard = self.board().hear_entrance(told.clone(), Instant::now());
-            if heard == Heard::News {
+            let heard = self.board().record_entry(told.clone(), Instant::now());
+            if heard == ReportEffect::Changed {
                 log::info!(
                     entry = told.name.as_str(), open = told.open, table = told.table;
                     "entry reported"
@@ -144,17 +144,17 @@
         let now = Instant::now();
         let mut news = Vec::new();
         for told in told.targets.into_iter().filter_map(sighting) {
-            match self.board().hear(told.clone(), now) {
-                Heard::News => {
+            match self.board().record_target(told.clone(), now) {
+                ReportEffect::Changed => {
                     *lock(&self.shared.caching) = Caching::Due;
                     news.push(sighting_message(&told));
                 }
-                Heard::Again => drop(lock(&self.shared.again).insert(told.id)),
-                Heard::Stale => {}
+                ReportEffect::Refreshed => drop(lock(&self.shared.again).insert(told.id)),
+                ReportEffect::Stale => {}
             }
         }
         for told in told.entrances.into_iter().filter_map(entrance) {
-            self.board().hear_entrance(told, now);
+            self.board().record_entry(told, now);
         }
         if !news.is_empty() {
             send_all(&self.entries(), &targets(news)).await;
@@ -173,12 +173,12 @@
     /// Takes what a target tells of itself. Returns false if it must not be
     /// acknowledged: neither all entries here nor a majority of replicas have
     /// confirmed that it takes no more work.
-    pub(crate) async fn hear(&self, told: Sighting) -> bool {
-        let heard = self.board().hear(told.clone(), Instant::now());
+    pub(crate) async fn hear(&self, told: TargetReport) -> bool {
+        let heard = self.board().record_target(told.clone(), Instant::now());
         match heard {
-            Heard::News => self.note(&told),
-            Heard::Again => drop(lock(&self.shared.again).insert(told.id.clone())),
-            Heard::Stale => {}
+            ReportEffect::Changed => self.note(&told),
+            ReportEffect::Refreshed => drop(lock(&self.shared.again).insert(told.id.clone())),
+            ReportEffect::Stale => {}
         }
         if told.presence != Presence::Ready {
             // Said again, too: that it is known here says nothing of whether
@@ -186,7 +186,7 @@
             return self.spread(&told).await;
         }
         // That a target takes work may reach the others when it will.
-        if heard == Heard::News {
+        if heard == ReportEffect::Changed {
             let hub = self.clone();
             tokio::spawn(async move { hub.spread(&told).await });
         }
@@ -199,7 +199,7 @@
     pub(crate) async fn leave(&self, id: &str, born: Option<u64>) -> bool {
         let (told, is_known) = {
             let mut board = self.board();
-            let told = board.leave(id, born, Instant::now());
+            let told = board.record_departure(id, born, Instant::now());
             (told, board.target(id).is_some())
         };
         let Some(told) = told else {
@@ -210,16 +210,16 @@
         self.spread(&told).await
     }
 
-    fn note(&self, told: &Sighting) {
+    fn note(&self, told: &TargetReport) {
         *lock(&self.shared.caching) = Caching::Due;
         log::info!(
             target_id = told.id.as_str(), service = told.service.as_str(),
-            address:display = told.address, born = told.born;
+            address:display = told.address, born = told.started_ms;
             "target told that it is {:?}", told.presence
         );
     }
 
-    async fn spread(&self, told: &Sighting) -> bool {
+    async fn spread(&self, told: &TargetReport) -> bool {
         let news = targets(vec![sighting_message(told)]);
         let entries = self.entries();
         let replicas = self.shared.directory.all();
@@ -251,10 +251,10 @@
         let again = std::mem::take(&mut *lock(&self.shared.again));
         let (rows, entrances) = {
             let mut board = self.board();
-            board.forget(FORGOTTEN, Instant::now());
+            board.remove_silent(FORGOTTEN, Instant::now());
             let rows = again.iter().filter_map(|id| board.target(id));
             let rows: Vec<_> = rows.map(sighting_message).collect();
-            let entrances = board.entrances().map(|(told, _)| entrance_message(told));
+            let entrances = board.entries().map(|(told, _)| entrance_message(told));
             (rows, entrances.collect())
         };
         self.cache_targets();
@@ -279,7 +279,7 @@
             }
             *caching = Caching::Underway;
         }
-        let here = |told: &Sighting| told.presence != Presence::Gone;
+        let here = |told: &TargetReport| told.presence != Presence::Gone;
         let board = self.board();
         let targets = board.targets().map(|(told, _)| told);
         let rows = targets
@@ -318,15 +318,15 @@
     fn is_in_force(&self, number: u64) -> bool {
         let now = Instant::now();
         let board = self.board();
-        let mut live = board.entrances().filter(|(_, heard)| is_live(*heard, now));
+        let mut live = board.entries().filter(|(_, heard)| is_live(*heard, now));
         live.all(|(told, _)| told.table >= number)
     }
 
     /// Entries that callers may be sent to.
-    pub(crate) fn open_entrances(&self) -> Vec<Entrance> {
+    pub(crate) fn open_entrances(&self) -> Vec<EntryReport> {
         let now = Instant::now();
         let board = self.board();
-        let live = board.entrances().filter(|(_, heard)| is_live(*heard, now));
+        let live = board.entries().filter(|(_, heard)| is_live(*heard, now));
         let open = live.filter(|(told, _)| told.open);
         open.map(|(told, _)| told.clone()).collect()
     }
@@ -337,7 +337,7 @@
         entries.clone()
     }
 
-    fn board(&self) -> MutexGuard<'_, Board> {
+    fn board(&self) -> MutexGuard<'_, ReportStore> {
         lock(&self.shared.board)
     }
 }
--- a/crates/control/src/port.rs
+++ b/crates/control/src/port.rs
@@ -3,7 +3,7 @@
 use crate::control::Control;
 use bytes::Bytes;
 use eyre::{Result, bail};
-use member::{Entrance, Sighting};
+use member::{EntryReport, TargetReport};
 use std::time::Duration;
 use wire::proto::{RouteTable, RouteTableQuery, command, outcome, query, query_reply};
 
@@ -66,7 +66,7 @@
 
     /// Takes what a target tells of itself. Returns false if it must not be
     /// acknowledged, because too few others know of it.
-    pub async fn hear(&self, told: Sighting) -> bool {
+    pub async fn hear(&self, told: TargetReport) -> bool {
         self.hub().hear(told).await
     }
 
@@ -77,7 +77,7 @@
 
     /// The entries that callers may be sent to.
     #[must_use]
-    pub fn entrances(&self) -> Vec<Entrance> {
+    pub fn entrances(&self) -> Vec<EntryReport> {
         self.hub().open_entrances()
     }
 
--- a/crates/control/src/roster.rs
+++ b/crates/control/src/roster.rs
@@ -205,7 +205,7 @@
     /// assert_eq!(roster.version(), 2);
     /// ```
     pub fn drained(&mut self) {
-        self.registry.renew_view();
+        self.registry.require_full_view();
     }
 
     /// How far the notes up to the newest have come.
@@ -230,7 +230,7 @@
                 lagging.push(key.to_string());
             }
         }
-        let settled = self.registry.in_force(0, now).everywhere;
+        let settled = self.registry.note_rollout(0, now).everywhere;
         Progress {
             everywhere: settled.then_some(everywhere),
             lagging,
@@ -291,7 +291,7 @@
             return Some(self.view(drained));
         };
         let nodes = changes.nodes.iter().map(|node| shown(node, drained));
-        let gone = changes.gone.into_iter().map(|key| NodeRef {
+        let gone = changes.removed.into_iter().map(|key| NodeRef {
             role: encode_role(key.role).into(),
             name: key.name,
         });
--- a/crates/direct/tests/doors.rs
+++ b/crates/direct/tests/doors.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use direct::Readiness;
-use member::Entrance;
+use member::EntryReport;
 use node::{Watcher, WatcherSettings};
 use std::time::Duration;
 use tokio::sync::watch;
@@ -10,7 +10,7 @@
 use wire::{ClusterKey, Identity, LinkSettings, Role};
 
 fn watcher() -> Watcher {
-    let here = Entrance {
+    let here = EntryReport {
         name: "entry-0".to_owned(),
         incarnation: 1,
         sequence: 0,
--- a/crates/member/src/entrance.rs
+++ b/crates/member/src/entry_report.rs
@@ -4,7 +4,7 @@
 
 /// What an entry tells of itself to each control replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entrance {
+pub struct EntryReport {
     /// Name from its settings.
     pub name: String,
     /// Drawn anew at each start of the process, higher at each later one.
@@ -23,7 +23,7 @@
     pub table: u64,
 }
 
-impl Entrance {
+impl EntryReport {
     pub(crate) fn order(&self) -> (u64, u64) {
         (self.incarnation, self.sequence)
     }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -5,7 +5,7 @@
 //! nodes; [`nearest_first`] orders the entries of the list for callers.
 //!
 //! Targets without an agent tell any replica of themselves; what they and the
-//! entries tell stands on each replica's [`Board`].
+//! entries tell stands on each replica's [`ReportStore`].
 //!
 //! ```
 //! use std::time::{Duration, Instant};
@@ -20,54 +20,56 @@
 //! assert_eq!(registry.view().nodes.len(), 1);
 //!
 //! // Nothing is told about "everywhere" before all that live were heard.
-//! assert!(!registry.in_force(1, began).everywhere);
+//! assert!(!registry.note_rollout(1, began).everywhere);
 //! ```
 
 mod announcement;
-mod board;
 mod capability;
-mod changes;
-mod entrance;
+mod entry_report;
 mod hash;
-mod heard;
-mod in_force;
 mod member;
 mod nearest_first;
 mod node;
 mod node_key;
+mod note_rollout;
 mod presence;
 mod refusal;
 mod registry;
 mod renewal;
 mod renewal_path;
+mod report_effect;
+mod report_store;
 mod role;
 mod serves;
-mod sighting;
 mod slot;
-mod speed_reports;
+mod speed_report_schedule;
+mod target_report;
 mod target_speed;
 mod view;
+mod view_changes;
 
 pub use announcement::Announcement;
-pub use board::Board;
 pub use capability::Capability;
-pub use changes::Changes;
-pub use entrance::Entrance;
+pub use entry_report::EntryReport;
 pub use hash::{hash_bytes, hash_name, mix};
-pub use heard::Heard;
-pub use in_force::InForce;
 pub use member::Member;
 pub use nearest_first::nearest_first;
 pub use node::Node;
 pub use node_key::NodeKey;
+pub use note_rollout::NoteRollout;
 pub use presence::Presence;
 pub use refusal::Refusal;
 pub use registry::Registry;
 pub use renewal::Renewal;
-pub use renewal_path::{RELAY_ABOVE, RELAY_GROUP, RenewalPath, Renewer, renewal_path};
+pub use renewal_path::{
+    MAX_DIRECT_RENEWALS, NODES_PER_RELAY, RelayCandidate, RenewalPath, renewal_path,
+};
+pub use report_effect::ReportEffect;
+pub use report_store::ReportStore;
 pub use role::Role;
 pub use serves::Serves;
-pub use sighting::Sighting;
-pub use speed_reports::SpeedReports;
+pub use speed_report_schedule::SpeedReportSchedule;
+pub use target_report::TargetReport;
 pub use target_speed::TargetSpeed;
 pub use view::View;
+pub use view_changes::ViewChanges;
--- a/crates/member/src/in_force.rs
+++ b/crates/member/src/note_rollout.rs
@@ -4,7 +4,7 @@
 
 /// How far a note has come.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct InForce {
+pub struct NoteRollout {
     /// Whether every node that may take work acts on this note or a later one.
     pub everywhere: bool,
     /// Nodes with a live lease that act on an earlier note.
--- a/crates/member/src/registry.rs
+++ b/crates/member/src/registry.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use crate::slot::Slot;
-use crate::{Changes, InForce, Member, Node, NodeKey, Refusal, Renewal, View};
+use crate::{Member, Node, NodeKey, NoteRollout, Refusal, Renewal, View, ViewChanges};
 
 /// Most nodes, living or remembered. Ten times what the system is built for:
 /// enough for any real one, and a bound on memory when names are made up.
@@ -19,7 +19,7 @@
 pub struct Registry {
     term: u64,
     version: u64,
-    /// Changes since an earlier version than this can't be told one by one.
+    /// ViewChanges since an earlier version than this can't be told one by one.
     whole_since: u64,
     began: Instant,
     lease: Duration,
@@ -213,14 +213,14 @@
     /// registry.renew(Node::new(Role::Entry, "entry-2", 2, "ptuj"), 0, now);
     /// let changes = registry.changes_since(version).unwrap();
     /// assert_eq!(changes.nodes.len(), 1);
-    /// assert!(changes.gone.is_empty());
+    /// assert!(changes.removed.is_empty());
     /// ```
     #[must_use]
-    pub fn changes_since(&self, version: u64) -> Option<Changes> {
+    pub fn changes_since(&self, version: u64) -> Option<ViewChanges> {
         if version < self.whole_since || version > self.version {
             return None;
         }
-        let mut changes = Changes::default();
+        let mut changes = ViewChanges::default();
         for (key, slot) in &self.slots {
             if slot.changed <= version {
                 continue;
@@ -228,7 +228,7 @@
             if slot.live {
                 changes.nodes.push(Arc::clone(&slot.member.node));
             } else {
-                changes.gone.push(key.clone());
+                changes.removed.push(key.clone());
             }
         }
         Some(changes)
@@ -241,10 +241,10 @@
     ///
     /// let mut registry = member::Registry::new(1, Instant::now(), Duration::from_secs(3));
     /// let version = registry.version();
-    /// registry.renew_view();
+    /// registry.require_full_view();
     /// assert!(registry.changes_since(version).is_none());
     /// ```
-    pub fn renew_view(&mut self) {
+    pub fn require_full_view(&mut self) {
         self.version += 1;
         self.whole_since = self.version;
     }
@@ -323,17 +323,17 @@
     /// let mut registry = Registry::new(1, began, lease);
     /// let now = began + lease;
     /// registry.renew(Node::new(Role::Entry, "entry-1", 1, "ptuj"), 4, now);
-    /// assert!(registry.in_force(4, now).everywhere);
-    /// assert_eq!(registry.in_force(5, now).lagging[0].name, "entry-1");
+    /// assert!(registry.note_rollout(4, now).everywhere);
+    /// assert_eq!(registry.note_rollout(5, now).lagging[0].name, "entry-1");
     /// ```
     #[must_use]
-    pub fn in_force(&self, number: u64, now: Instant) -> InForce {
+    pub fn note_rollout(&self, number: u64, now: Instant) -> NoteRollout {
         let leased = self.members().chain(&self.replaced);
         let leased = leased.filter(|member| now < member.expires);
         let behind = leased.filter(|member| member.note < number);
         let lagging: Vec<NodeKey> = behind.map(|member| member.node.key.clone()).collect();
         let settled = now >= self.began + self.lease;
-        InForce {
+        NoteRollout {
             everywhere: settled && lagging.is_empty(),
             lagging,
         }
--- a/crates/member/src/heard.rs
+++ b/crates/member/src/report_effect.rs
@@ -2,11 +2,11 @@
 
 /// What hearing of a target or an entry changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum ReportEffect {
     /// Something that others have to be told at once.
-    News,
+    Changed,
     /// Only that it was heard again.
-    Again,
+    Refreshed,
     /// Nothing: it was older than what is known.
     Stale,
 }
--- a/crates/member/src/board.rs
+++ b/crates/member/src/report_store.rs
@@ -1,6 +1,6 @@
 //! What targets and entries tell of themselves, newest first.
 
-use crate::{Entrance, Heard, Presence, Sighting, TargetSpeed};
+use crate::{EntryReport, Presence, ReportEffect, TargetReport, TargetSpeed};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -17,29 +17,29 @@
 /// come on any way, late and more than once, and all boards end up equal.
 ///
 /// ```
-/// use member::{Board, Heard, Presence, Sighting};
+/// use member::{ReportStore, ReportEffect, Presence, TargetReport};
 /// use std::time::{Duration, Instant};
 ///
 /// let now = Instant::now();
-/// let mut board = Board::default();
-/// let ready = Sighting {
+/// let mut board = ReportStore::default();
+/// let ready = TargetReport {
 ///     id: "i-7f3a".into(),
 ///     service: "order-desk".into(),
 ///     address: "127.0.0.1:8080".parse().unwrap(),
 ///     zone: "celje".into(),
 ///     slots: 6,
 ///     presence: Presence::Ready,
-///     born: 1_700_000_000_000,
+///     started_ms: 1_700_000_000_000,
 ///     sequence: 1,
 /// };
-/// assert_eq!(board.hear(ready.clone(), now), Heard::News);
-/// assert_eq!(board.hear(ready, now), Heard::Stale);
+/// assert_eq!(board.record_target(ready.clone(), now), ReportEffect::Changed);
+/// assert_eq!(board.record_target(ready, now), ReportEffect::Stale);
 /// assert_eq!(board.targets().count(), 1);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Board {
-    targets: BTreeMap<String, Row<Sighting>>,
-    entrances: BTreeMap<String, Row<Entrance>>,
+pub struct ReportStore {
+    targets: BTreeMap<String, Row<TargetReport>>,
+    entries: BTreeMap<String, Row<EntryReport>>,
     /// What agents report of targets that are slow.
     slow: BTreeMap<SocketAddr, Row<TargetSpeed>>,
 }
@@ -51,16 +51,16 @@
     heard: Instant,
 }
 
-impl Board {
+impl ReportStore {
     /// Takes what a target tells of itself, on whatever way it came.
-    pub fn hear(&mut self, told: Sighting, now: Instant) -> Heard {
+    pub fn record_target(&mut self, told: TargetReport, now: Instant) -> ReportEffect {
         if self.is_superseded(&told) {
-            return Heard::Stale;
+            return ReportEffect::Stale;
         }
         let heard = match self.targets.get(&told.id) {
-            Some(row) if row.told.order() >= told.order() => return Heard::Stale,
-            Some(row) if same_place(&row.told, &told) => Heard::Again,
-            _ => Heard::News,
+            Some(row) if row.told.order() >= told.order() => return ReportEffect::Stale,
+            Some(row) if same_place(&row.told, &told) => ReportEffect::Refreshed,
+            _ => ReportEffect::Changed,
         };
         if told.presence != Presence::Gone {
             self.displace(&told);
@@ -72,12 +72,17 @@
 
     /// Takes the word that a target has left, where only its id is told. Its
     /// incarnation is the one that is known, if it isn't told either.
-    pub fn leave(&mut self, id: &str, born: Option<u64>, now: Instant) -> Option<Sighting> {
+    pub fn record_departure(
+        &mut self,
+        id: &str,
+        started_ms: Option<u64>,
+        now: Instant,
+    ) -> Option<TargetReport> {
         let row = self.targets.get_mut(id)?;
-        if born.is_some_and(|born| born < row.told.born) {
+        if started_ms.is_some_and(|started_ms| started_ms < row.told.started_ms) {
             return None;
         }
-        row.told.born = born.unwrap_or(row.told.born);
+        row.told.started_ms = started_ms.unwrap_or(row.told.started_ms);
         // Nothing that this incarnation said before comes after it.
         row.told.sequence = u64::MAX;
         row.told.presence = Presence::Gone;
@@ -86,34 +91,34 @@
     }
 
     /// Takes what an entry tells of itself.
-    pub fn hear_entrance(&mut self, told: Entrance, now: Instant) -> Heard {
-        let heard = match self.entrances.get(&told.name) {
-            Some(row) if row.told.order() >= told.order() => return Heard::Stale,
-            Some(row) if same_entrance(&row.told, &told) => Heard::Again,
-            _ => Heard::News,
+    pub fn record_entry(&mut self, told: EntryReport, now: Instant) -> ReportEffect {
+        let heard = match self.entries.get(&told.name) {
+            Some(row) if row.told.order() >= told.order() => return ReportEffect::Stale,
+            Some(row) if same_entry(&row.told, &told) => ReportEffect::Refreshed,
+            _ => ReportEffect::Changed,
         };
         let row = Row { told, heard: now };
-        self.entrances.insert(row.told.name.clone(), row);
+        self.entries.insert(row.told.name.clone(), row);
         heard
     }
 
     /// Takes what an agent reports of its target's speed.
     ///
     /// ```
-    /// use member::{Board, TargetSpeed};
+    /// use member::{ReportStore, TargetSpeed};
     /// use std::time::Instant;
     ///
     /// let now = Instant::now();
     /// let address = "127.0.0.1:8080".parse().unwrap();
-    /// let mut board = Board::default();
+    /// let mut board = ReportStore::default();
     /// assert_eq!(board.slowdown(address, now), 1.0);
-    /// board.hear_speed(TargetSpeed { address, slowdown: 4.0 }, now);
+    /// board.record_speed(TargetSpeed { address, slowdown: 4.0 }, now);
     /// assert_eq!(board.slowdown(address, now), 4.0);
-    /// assert_eq!(board.slowdown(address, now + TargetSpeed::HOLDS), 1.0);
+    /// assert_eq!(board.slowdown(address, now + TargetSpeed::VALIDITY), 1.0);
     /// ```
-    pub fn hear_speed(&mut self, told: TargetSpeed, now: Instant) {
+    pub fn record_speed(&mut self, told: TargetSpeed, now: Instant) {
         self.slow
-            .retain(|_, row| now.saturating_duration_since(row.heard) < TargetSpeed::HOLDS);
+            .retain(|_, row| now.saturating_duration_since(row.heard) < TargetSpeed::VALIDITY);
         if told.slowdown > 1.0 {
             self.slow.insert(told.address, Row { told, heard: now });
         } else {
@@ -125,29 +130,30 @@
     #[must_use]
     pub fn slowdown(&self, address: SocketAddr, now: Instant) -> f64 {
         let row = self.slow.get(&address);
-        let row = row.filter(|row| now.saturating_duration_since(row.heard) < TargetSpeed::HOLDS);
+        let row =
+            row.filter(|row| now.saturating_duration_since(row.heard) < TargetSpeed::VALIDITY);
         row.map_or(1.0, |row| row.told.slowdown)
     }
 
     /// All targets that were ever heard and not forgotten, and when they were.
-    pub fn targets(&self) -> impl Iterator<Item = (&Sighting, Instant)> {
+    pub fn targets(&self) -> impl Iterator<Item = (&TargetReport, Instant)> {
         self.targets.values().map(|row| (&row.told, row.heard))
     }
 
     /// The target of that id.
     #[must_use]
-    pub fn target(&self, id: &str) -> Option<&Sighting> {
+    pub fn target(&self, id: &str) -> Option<&TargetReport> {
         self.targets.get(id).map(|row| &row.told)
     }
 
     /// All entries, and when they were heard.
-    pub fn entrances(&self) -> impl Iterator<Item = (&Entrance, Instant)> {
-        self.entrances.values().map(|row| (&row.told, row.heard))
+    pub fn entries(&self) -> impl Iterator<Item = (&EntryReport, Instant)> {
+        self.entries.values().map(|row| (&row.told, row.heard))
     }
 
     /// Forgets targets and entries that have been silent for `within`, and
     /// those that left long ago.
-    pub fn forget(&mut self, within: Duration, now: Instant) {
+    pub fn remove_silent(&mut self, within: Duration, now: Instant) {
         let silent = |heard: Instant| now.saturating_duration_since(heard);
         self.targets.retain(|_, row| {
             let keep = match row.told.presence {
@@ -156,27 +162,30 @@
             };
             silent(row.heard) < keep
         });
-        self.entrances.retain(|_, row| silent(row.heard) < within);
+        self.entries.retain(|_, row| silent(row.heard) < within);
     }
 
     /// Whether a later process has the address. A check-in that was held up
     /// behind a cut may arrive after its sender has crashed and the address
     /// was given to another service: requests would go to the wrong one.
-    fn is_superseded(&self, told: &Sighting) -> bool {
+    fn is_superseded(&self, told: &TargetReport) -> bool {
         let mut others = self.targets.values().map(|row| &row.told);
         others.any(|other| {
             other.address == told.address
                 && other.id != told.id
                 && other.presence != Presence::Gone
-                && other.born > told.born
+                && other.started_ms > told.started_ms
         })
     }
 
     /// Marks earlier processes at the address as gone.
-    fn displace(&mut self, told: &Sighting) {
+    fn displace(&mut self, told: &TargetReport) {
         for row in self.targets.values_mut() {
             let other = &mut row.told;
-            if other.address == told.address && other.id != told.id && other.born <= told.born {
+            if other.address == told.address
+                && other.id != told.id
+                && other.started_ms <= told.started_ms
+            {
                 other.presence = Presence::Gone;
                 other.sequence = u64::MAX;
             }
@@ -185,16 +194,16 @@
 }
 
 /// Whether nothing changed but the count and, perhaps, the incarnation's word.
-fn same_place(known: &Sighting, told: &Sighting) -> bool {
-    let told = Sighting {
+fn same_place(known: &TargetReport, told: &TargetReport) -> bool {
+    let told = TargetReport {
         sequence: known.sequence,
         ..told.clone()
     };
     *known == told
 }
 
-fn same_entrance(known: &Entrance, told: &Entrance) -> bool {
-    let told = Entrance {
+fn same_entry(known: &EntryReport, told: &EntryReport) -> bool {
+    let told = EntryReport {
         sequence: known.sequence,
         ..told.clone()
     };
--- a/crates/member/src/speed_reports.rs
+++ b/crates/member/src/speed_report_schedule.rs
@@ -12,11 +12,11 @@
 /// while it is slow.
 ///
 /// ```
-/// use member::SpeedReports;
+/// use member::SpeedReportSchedule;
 /// use std::time::{Duration, Instant};
 ///
 /// let now = Instant::now();
-/// let mut reports = SpeedReports::default();
+/// let mut reports = SpeedReportSchedule::default();
 /// assert!(!reports.is_due(1.0, now));
 /// assert!(reports.is_due(4.0, now));
 /// reports.confirmed(4.0, now);
@@ -25,12 +25,12 @@
 /// assert!(reports.is_due(1.0, now));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct SpeedReports {
+pub struct SpeedReportSchedule {
     /// What was confirmed last, and when.
     last: Option<(f64, Instant)>,
 }
 
-impl SpeedReports {
+impl SpeedReportSchedule {
     /// Whether a target that is `slowdown` times slower than usual is to be
     /// reported.
     #[must_use]
--- a/crates/member/src/sighting.rs
+++ b/crates/member/src/target_report.rs
@@ -5,7 +5,7 @@
 
 /// What a target without an agent tells of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sighting {
+pub struct TargetReport {
     /// Identity of the target's process; a restart mostly makes a new one.
     pub id: String,
     /// The service that it is a target of.
@@ -20,15 +20,15 @@
     pub presence: Presence,
     /// Milliseconds since 1970 at which this incarnation started, by the
     /// target's own clock. Only compared with the target's other words.
-    pub born: u64,
+    pub started_ms: u64,
     /// Counts what this incarnation has told.
     pub sequence: u64,
 }
 
-impl Sighting {
+impl TargetReport {
     /// Orders what one target tells: the later incarnation, then the later
     /// word of it.
     pub(crate) fn order(&self) -> (u64, u64) {
-        (self.born, self.sequence)
+        (self.started_ms, self.sequence)
     }
 }
--- a/crates/member/src/target_speed.rs
+++ b/crates/member/src/target_speed.rs
@@ -15,5 +15,5 @@
 impl TargetSpeed {
     /// How long a report holds. Agents of slow targets repeat theirs every
     /// second, so one that is older comes from an agent that is gone.
-    pub const HOLDS: Duration = Duration::from_secs(3);
+    pub const VALIDITY: Duration = Duration::from_secs(3);
 }
--- a/crates/member/tests/registry.rs
+++ b/crates/member/tests/registry.rs
@@ -25,10 +25,10 @@
     let began = Instant::now();
     let mut registry = Registry::new(2, began, LEASE);
     registry.renew(agent("a", 1), 5, began);
-    assert!(!registry.in_force(5, began).everywhere);
+    assert!(!registry.note_rollout(5, began).everywhere);
     let later = began + LEASE;
     registry.renew(agent("a", 1), 5, later);
-    assert!(registry.in_force(5, later).everywhere);
+    assert!(registry.note_rollout(5, later).everywhere);
 }
 
 #[test]
@@ -40,9 +40,9 @@
     let mut registry = Registry::new(2, began, LEASE);
     registry.renew(agent("a", 1), 4, now);
     let soon = now + LEASE / 2;
-    assert_eq!(registry.in_force(5, soon).lagging[0].name, "a");
-    assert!(!registry.in_force(5, soon).everywhere);
-    assert!(registry.in_force(5, now + LEASE).everywhere);
+    assert_eq!(registry.note_rollout(5, soon).lagging[0].name, "a");
+    assert!(!registry.note_rollout(5, soon).everywhere);
+    assert!(registry.note_rollout(5, now + LEASE).everywhere);
 }
 
 #[test]
@@ -55,8 +55,8 @@
     let mut registry = Registry::new(2, began, LEASE);
     registry.renew(agent("a", 1), 4, now);
     registry.renew(agent("a", 2), 5, now + LEASE / 2);
-    assert!(!registry.in_force(5, now + LEASE / 2).everywhere);
-    assert!(registry.in_force(5, now + LEASE).everywhere);
+    assert!(!registry.note_rollout(5, now + LEASE / 2).everywhere);
+    assert!(registry.note_rollout(5, now + LEASE).everywhere);
 }
 
 #[test]
@@ -235,7 +235,7 @@
 impl Follower {
     fn ask(&mut self, registry: &Registry) {
         if let Some(changes) = registry.changes_since(self.version) {
-            for gone in changes.gone {
+            for gone in changes.removed {
                 self.nodes.remove(&gone.name);
             }
             for node in changes.nodes {
@@ -274,7 +274,7 @@
         }
         registry.expire(now);
         if count % DRAIN_EACH == DRAIN_EACH - 1 {
-            registry.renew_view();
+            registry.require_full_view();
         }
         for (place, follower) in followers.iter_mut().enumerate() {
             // Each asks at a pace of its own, and so lags by other versions.
--- a/crates/member/tests/renewal_path.rs
+++ b/crates/member/tests/renewal_path.rs
@@ -5,7 +5,7 @@
     reason = "quickcheck gives its arguments by value"
 )]
 
-use member::{RELAY_ABOVE, RELAY_GROUP, RenewalPath, Renewer, renewal_path};
+use member::{MAX_DIRECT_RENEWALS, NODES_PER_RELAY, RelayCandidate, RenewalPath, renewal_path};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
 
@@ -22,11 +22,11 @@
     }
 }
 
-fn renewers(rows: &[(String, bool)]) -> Vec<Renewer<'_>> {
+fn renewers(rows: &[(String, bool)]) -> Vec<RelayCandidate<'_>> {
     let rows = rows.iter();
-    rows.map(|(name, accepts)| Renewer {
+    rows.map(|(name, accepts_links)| RelayCandidate {
         name,
-        accepts: *accepts,
+        accepts_links: *accepts_links,
     })
     .collect()
 }
@@ -66,12 +66,16 @@
     fn property(zone: Zone) -> bool {
         let paths = paths(&zone.0);
         let count = |path| paths.values().filter(|other| **other == path).count();
-        let able = zone.0.iter().filter(|(_, accepts)| *accepts).count();
-        if zone.0.len() <= RELAY_ABOVE || able == 0 {
+        let able = zone
+            .0
+            .iter()
+            .filter(|(_, accepts_links)| *accepts_links)
+            .count();
+        if zone.0.len() <= MAX_DIRECT_RENEWALS || able == 0 {
             return count(RenewalPath::Direct) == zone.0.len();
         }
         count(RenewalPath::Direct) == 0
-            && count(RenewalPath::Relay) == zone.0.len().div_ceil(RELAY_GROUP).min(able)
+            && count(RenewalPath::Relay) == zone.0.len().div_ceil(NODES_PER_RELAY).min(able)
     }
     check(property);
 }
@@ -89,7 +93,7 @@
         let mut left = zone.0.clone();
         left.retain(|(name, _)| name != gone);
         let after = paths(&left);
-        if left.len() <= RELAY_ABOVE {
+        if left.len() <= MAX_DIRECT_RENEWALS {
             return true;
         }
         let relays = |paths: &BTreeMap<&str, RenewalPath<'_>>| {
@@ -132,7 +136,7 @@
     }
     assert_eq!(carried.len(), 11);
     assert!(
-        carried.values().all(|count| *count <= RELAY_GROUP * 2),
+        carried.values().all(|count| *count <= NODES_PER_RELAY * 2),
         "{carried:?}"
     );
 }
--- a/crates/node/src/renewer.rs
+++ b/crates/node/src/renewer.rs
@@ -3,7 +3,7 @@
 use crate::ask::ask;
 use crate::relay_link::Relay;
 use crate::shared::Shared;
-use member::{RenewalPath, Renewer as Node, renewal_path};
+use member::{RelayCandidate, RenewalPath, renewal_path};
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -118,8 +118,8 @@
     let info = shared.info();
     let view = shared.view();
     let zone = view.nodes.iter().filter(|node| node.zone == info.zone);
-    let zone: Vec<Node<'_>> = zone.map(as_node).collect();
-    let RenewalPath::Through(name) = renewal_path(as_node(&info), &zone) else {
+    let zone: Vec<RelayCandidate<'_>> = zone.map(as_candidate).collect();
+    let RenewalPath::Through(name) = renewal_path(as_candidate(&info), &zone) else {
         return None;
     };
     let named = |node: &&NodeInfo| node.role() == Role::Agent && node.name == name;
@@ -131,10 +131,10 @@
     })
 }
 
-fn as_node(info: &NodeInfo) -> Node<'_> {
-    Node {
+fn as_candidate(info: &NodeInfo) -> RelayCandidate<'_> {
+    RelayCandidate {
         name: &info.name,
-        accepts: info.role() == Role::Agent && !info.leaving && !info.link_address.is_empty(),
+        accepts_links: info.role() == Role::Agent && !info.leaving && !info.link_address.is_empty(),
     }
 }
 
--- a/crates/node/src/watched.rs
+++ b/crates/node/src/watched.rs
@@ -1,7 +1,7 @@
 //! What a watcher holds.
 
 use crate::watcher::Decode;
-use member::{Board, Entrance, Heard, Presence, TargetSpeed};
+use member::{EntryReport, Presence, ReportEffect, ReportStore, TargetSpeed};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,8 +19,8 @@
 pub struct Watched {
     decode: Decode,
     table: Mutex<Option<Arc<Table>>>,
-    board: Mutex<Board>,
-    here: watch::Sender<Entrance>,
+    board: Mutex<ReportStore>,
+    here: watch::Sender<EntryReport>,
     replicas: watch::Sender<BTreeSet<SocketAddr>>,
     /// Ticks at each change of table or board.
     changed: watch::Sender<u64>,
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct KnownTarget {
     /// What it told.
-    pub told: member::Sighting,
+    pub told: member::TargetReport,
     /// How many times longer than usual it takes for its work, as the agent
     /// beside it reports.
     pub slowdown: f64,
@@ -39,7 +39,7 @@
 }
 
 impl Watched {
-    pub(crate) fn new(here: Entrance, decode: Decode) -> Watched {
+    pub(crate) fn new(here: EntryReport, decode: Decode) -> Watched {
         Watched {
             decode,
             table: Mutex::default(),
@@ -109,16 +109,16 @@
         let mut board = lock(&self.board);
         for told in told.targets.into_iter().filter_map(sighting) {
             let (id, presence) = (told.id.clone(), told.presence);
-            let heard = board.hear(told, now);
-            if heard == Heard::News {
+            let heard = board.record_target(told, now);
+            if heard == ReportEffect::Changed {
                 log::info!(target_id = id.as_str(); "target is {presence:?}");
             }
-            news |= heard != Heard::Stale;
+            news |= heard != ReportEffect::Stale;
         }
         for told in told.speeds.iter().filter_map(target_speed) {
             news |= take_speed(&mut board, told, now);
         }
-        board.forget(FORGOTTEN, now);
+        board.remove_silent(FORGOTTEN, now);
         drop(board);
         if news {
             self.tick();
@@ -141,17 +141,17 @@
         self.replicas.subscribe()
     }
 
-    pub(crate) fn here(&self) -> watch::Receiver<Entrance> {
+    pub(crate) fn here(&self) -> watch::Receiver<EntryReport> {
         self.here.subscribe()
     }
 
     /// Changes what this entry tells of itself; it is reported at once.
-    pub(crate) fn tell(&self, change: impl FnOnce(&mut Entrance)) {
+    pub(crate) fn tell(&self, change: impl FnOnce(&mut EntryReport)) {
         self.here.send_modify(change);
     }
 
     /// What the entry tells now, numbered; a number is used once.
-    pub(crate) fn next_word(&self) -> Entrance {
+    pub(crate) fn next_word(&self) -> EntryReport {
         let mut word = None;
         self.here.send_if_modified(|here| {
             here.sequence += 1;
@@ -167,9 +167,9 @@
 }
 
 /// Whether a target's speed is another one now.
-fn take_speed(board: &mut Board, told: TargetSpeed, now: Instant) -> bool {
+fn take_speed(board: &mut ReportStore, told: TargetSpeed, now: Instant) -> bool {
     let before = board.slowdown(told.address, now);
-    board.hear_speed(told, now);
+    board.record_speed(told, now);
     let slowdown = board.slowdown(told.address, now);
     let news = (slowdown - before).abs() > f64::EPSILON;
     if news {
--- a/crates/node/src/watcher.rs
+++ b/crates/node/src/watcher.rs
@@ -1,7 +1,7 @@
 //! Follows any control replica, without a lease.
 
 use crate::watched::Watched;
-use member::Entrance;
+use member::EntryReport;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -47,7 +47,7 @@
 impl Watcher {
     /// Begins to follow control on the runtime that this is called on.
     #[must_use]
-    pub fn spawn(me: Identity, here: Entrance, cfg: WatcherSettings) -> Watcher {
+    pub fn spawn(me: Identity, here: EntryReport, cfg: WatcherSettings) -> Watcher {
         let watched = Arc::new(Watched::new(here, cfg.decode));
         let stop = CancellationToken::new();
         let following = follow(Arc::clone(&watched), me, cfg);
--- a/crates/wire/src/told.rs
+++ b/crates/wire/src/told.rs
@@ -2,11 +2,11 @@
 //! type.
 
 use crate::proto;
-use member::{Entrance, Presence, Sighting, TargetSpeed};
+use member::{EntryReport, Presence, TargetReport, TargetSpeed};
 
 /// The message of what a target tells.
 #[must_use]
-pub fn sighting_message(told: &Sighting) -> proto::Sighting {
+pub fn sighting_message(told: &TargetReport) -> proto::Sighting {
     let presence = match told.presence {
         Presence::Ready => proto::Presence::Ready,
         Presence::Draining => proto::Presence::Draining,
@@ -19,7 +19,7 @@
         zone: told.zone.clone(),
         slots: told.slots,
         presence: presence.into(),
-        born: told.born,
+        born: told.started_ms,
         sequence: told.sequence,
     }
 }
@@ -27,21 +27,21 @@
 /// What a target tells; none where the message can't be understood, which
 /// then names no target.
 #[must_use]
-pub fn sighting(told: proto::Sighting) -> Option<Sighting> {
+pub fn sighting(told: proto::Sighting) -> Option<TargetReport> {
     let presence = match told.presence() {
         proto::Presence::Ready => Presence::Ready,
         proto::Presence::Draining => Presence::Draining,
         proto::Presence::Gone => Presence::Gone,
         proto::Presence::Unspecified => return None,
     };
-    Some(Sighting {
+    Some(TargetReport {
         address: told.address.parse().ok()?,
         id: told.id,
         service: told.service,
         zone: told.zone,
         slots: told.slots,
         presence,
-        born: told.born,
+        started_ms: told.born,
         sequence: told.sequence,
     })
 }
@@ -71,7 +71,7 @@
 
 /// The message of what an entry tells.
 #[must_use]
-pub fn entrance_message(told: &Entrance) -> proto::Entrance {
+pub fn entrance_message(told: &EntryReport) -> proto::Entrance {
     proto::Entrance {
         name: told.name.clone(),
         incarnation: told.incarnation,
@@ -86,8 +86,8 @@
 
 /// What an entry tells; none where the message can't be understood.
 #[must_use]
-pub fn entrance(told: proto::Entrance) -> Option<Entrance> {
-    Some(Entrance {
+pub fn entrance(told: proto::Entrance) -> Option<EntryReport> {
+    Some(EntryReport {
         address: told.address.parse().ok()?,
         name: told.name,
         incarnation: told.incarnation,
