--- a/crates/member/src/registry.rs
+++ b/crates/member/src/registry.rs
@@ -19,7 +19,7 @@
 pub struct Registry {
     term: u64,
     version: u64,
-    /// ViewChanges since an earlier version than this can't be told one by one.
+    /// Oldest version since which changes can be sent one by one instead of the whole view.
     whole_since: u64,
     began: Instant,
     lease: Duration,
