--- a/crates/agent/src/engine/arming_client.rs
+++ b/crates/agent/src/engine/arming_client.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, CONTENT_TYPE, HOST, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
-use outlet::{ClientSettings, Connection, Failure, Pool, Unanswered};
+use outlet::{ClientSettings, Connection, Failure, Pool, SendError};
 use serde::Deserialize;
 use tokio::time::timeout;
 
@@ -251,9 +251,9 @@
         let body = (self.dialect.command)(command);
         let req = self.build_request(Method::POST, self.dialect.command_path, body.into())?;
         let cfg = ClientSettings {
-            connect: self.try_timeout,
-            head: self.try_timeout,
-            question: self.try_timeout,
+            connect_timeout: self.try_timeout,
+            head_timeout: self.try_timeout,
+            request_timeout: self.try_timeout,
             ..self.cfg.clone()
         };
         let (status, _) = self.request(&cfg, req).await?;
@@ -277,17 +277,17 @@
         mut req: Request<Full<Bytes>>,
     ) -> Result<(StatusCode, Bytes), Failure> {
         while let Some(mut conn) = self.pool.take(Instant::now()) {
-            if !conn.is_ready(cfg).await || !conn.is_quiet() {
+            if !conn.is_ready(cfg).await || !conn.is_idle() {
                 continue;
             }
-            match conn.try_send(req, cfg.question).await {
+            match conn.try_send(req, cfg.request_timeout).await {
                 Ok(response) => return self.read(cfg, response, conn).await,
-                Err(Unanswered::Failed(failure)) => return Err(failure),
-                Err(Unanswered::Unwritten(unwritten)) => req = *unwritten,
+                Err(SendError::Failed(failure)) => return Err(failure),
+                Err(SendError::Unwritten(unwritten)) => req = *unwritten,
             }
         }
         let mut conn = Connection::open(self.address, cfg).await?;
-        let response = conn.send(req, cfg.question).await?;
+        let response = conn.send(req, cfg.request_timeout).await?;
         self.read(cfg, response, conn).await
     }
 
@@ -300,11 +300,11 @@
         let status = response.status();
         let closes = response.headers().contains_key(CONNECTION);
         let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect();
-        let body = match timeout(cfg.question, body).await {
+        let body = match timeout(cfg.request_timeout, body).await {
             Ok(body) => body.map_err(|e| Failure::Broken(e.to_string()))?,
             Err(_) => return Err(Failure::Silent("no complete answer in time".to_owned())),
         };
-        if !closes && conn.keep(cfg).is_ok() {
+        if !closes && conn.prepare_for_reuse(cfg).is_ok() {
             self.pool.put(conn, Instant::now());
         }
         Ok((status, body.to_bytes()))
--- a/crates/agent/src/engine/reply.rs
+++ b/crates/agent/src/engine/reply.rs
@@ -83,7 +83,7 @@
     /// progress timeout, and when the body ends before it is complete.
     pub async fn next(&mut self) -> Result<Option<Bytes>, Failure> {
         loop {
-            let Ok(frame) = timeout(self.cfg.progress, self.body.frame()).await else {
+            let Ok(frame) = timeout(self.cfg.progress_timeout, self.body.frame()).await else {
                 return Err(Failure::Silent("no byte came in time".into()));
             };
             let Some(frame) = frame else {
@@ -108,7 +108,7 @@
             return Err(Failure::EndedEarly("the last event is missing".into()));
         }
         if let Some(mut conn) = self.conn.take()
-            && conn.keep(&self.cfg).is_ok()
+            && conn.prepare_for_reuse(&self.cfg).is_ok()
         {
             self.pool.put(conn, Instant::now());
         }
--- a/crates/agent/src/engine/target_client.rs
+++ b/crates/agent/src/engine/target_client.rs
@@ -12,7 +12,7 @@
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
 
-use ::outlet::{Connection, Pool, Unanswered, ask};
+use ::outlet::{Connection, Pool, SendError, fetch};
 use admin::HOP_HEADERS;
 
 use super::{
@@ -92,7 +92,7 @@
 
     /// Closes connections that have been idle for too long.
     pub fn evict_idle(&self, now: Instant) {
-        self.pool.tidy(now);
+        self.pool.evict_expired(now);
     }
 
     /// Closes all idle connections, since another target instance may answer now.
@@ -118,21 +118,21 @@
         let mut req = self.build_request(call)?;
         if let Some(mut conn) = self.pooled_connection(call).await {
             before_write();
-            match conn.try_send(req, self.cfg.head).await {
+            match conn.try_send(req, self.cfg.head_timeout).await {
                 Ok(response) => {
                     self.counts().reused.inc();
                     return Ok(self.reply(response, conn, call));
                 }
-                Err(Unanswered::Failed(failure)) => return Err(failure),
+                Err(SendError::Failed(failure)) => return Err(failure),
                 // The connection closed before anything was written, so the
                 // call hasn't run.
-                Err(Unanswered::Unwritten(unwritten)) => req = *unwritten,
+                Err(SendError::Unwritten(unwritten)) => req = *unwritten,
             }
         }
         let mut conn = Connection::open(self.address, &self.cfg).await?;
         self.counts().opened.inc();
         before_write();
-        let response = conn.send(req, self.cfg.head).await?;
+        let response = conn.send(req, self.cfg.head_timeout).await?;
         Ok(self.reply(response, conn, call))
     }
 
@@ -141,7 +141,7 @@
             return None;
         }
         while let Some(mut conn) = self.pool.take(Instant::now()) {
-            if conn.is_ready(&self.cfg).await && conn.is_quiet() {
+            if conn.is_ready(&self.cfg).await && conn.is_idle() {
                 return Some(conn);
             }
             self.counts().dropped.inc();
@@ -273,13 +273,13 @@
     /// A service that answers without a load report still counts as up.
     async fn service_load(&self) -> Result<Load, Failure> {
         let req = self.json_request(Method::GET, "/load", Bytes::new())?;
-        let (_, body) = ask(self.address, &self.cfg, req).await?;
+        let (_, body) = fetch(self.address, &self.cfg, req).await?;
         Ok(serde_json::from_slice(&body).unwrap_or_default())
     }
 
     async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Failure> {
         let req = self.json_request(Method::GET, path, Bytes::new())?;
-        let (status, body) = ask(self.address, &self.cfg, req).await?;
+        let (status, body) = fetch(self.address, &self.cfg, req).await?;
         if !status.is_success() {
             return Err(Failure::Broken(format!("{path} answered {status}")));
         }
@@ -288,7 +288,7 @@
 
     async fn post(&self, path: &str, body: String) -> Result<(StatusCode, Bytes), Failure> {
         let req = self.json_request(Method::POST, path, body.into())?;
-        ask(self.address, &self.cfg, req).await
+        fetch(self.address, &self.cfg, req).await
     }
 
     fn json_request(
--- a/crates/agent/src/rank_agent.rs
+++ b/crates/agent/src/rank_agent.rs
@@ -66,10 +66,10 @@
 const DEFAULT_MAX_GAP: Duration = Duration::from_millis(120);
 /// Timeouts of requests to the engine on the same host.
 const CLIENT_SETTINGS: ClientSettings = ClientSettings {
-    connect: Duration::from_millis(200),
-    head: Duration::from_millis(400),
-    progress: Duration::from_secs(1),
-    question: Duration::from_millis(500),
+    connect_timeout: Duration::from_millis(200),
+    head_timeout: Duration::from_millis(400),
+    progress_timeout: Duration::from_secs(1),
+    request_timeout: Duration::from_millis(500),
 };
 
 /// Settings of [`run_rank_agent`].
--- a/crates/agent/src/timing.rs
+++ b/crates/agent/src/timing.rs
@@ -49,10 +49,10 @@
             shutdown_timeout: duration(r, "shutdown_ms", 60 * second),
             connection_idle_timeout: duration(r, "kept_ms", second / 10),
             client: ClientSettings {
-                connect: duration(r, "connect_ms", second),
-                head: duration(r, "head_ms", 60 * second),
-                progress: duration(r, "progress_ms", 10 * second),
-                question: duration(r, "question_ms", 2 * second),
+                connect_timeout: duration(r, "connect_ms", second),
+                head_timeout: duration(r, "head_ms", 60 * second),
+                progress_timeout: duration(r, "progress_ms", 10 * second),
+                request_timeout: duration(r, "question_ms", 2 * second),
             },
         }
     }
--- a/crates/agent/tests/kept.rs
+++ b/crates/agent/tests/kept.rs
@@ -18,10 +18,10 @@
 
 fn cfg() -> ClientSettings {
     ClientSettings {
-        connect: LONG_TIMEOUT,
-        head: LONG_TIMEOUT,
-        progress: LONG_TIMEOUT,
-        question: LONG_TIMEOUT,
+        connect_timeout: LONG_TIMEOUT,
+        head_timeout: LONG_TIMEOUT,
+        progress_timeout: LONG_TIMEOUT,
+        request_timeout: LONG_TIMEOUT,
     }
 }
 
@@ -228,7 +228,7 @@
     // connection must not be reused.
     let (target, client, mut conn) = client_with_idle_connection().await;
     let quick = ClientSettings {
-        head: Duration::from_millis(50),
+        head_timeout: Duration::from_millis(50),
         ..cfg()
     };
     let quick = TargetClient::new(target.address(), TargetKind::Service, quick)
--- a/crates/agent/tests/nonsense.rs
+++ b/crates/agent/tests/nonsense.rs
@@ -52,10 +52,10 @@
     let target = garbage_target(Arc::clone(&answer)).await;
     let second = Duration::from_secs(1);
     let cfg = ClientSettings {
-        connect: second,
-        head: second,
-        progress: second,
-        question: second,
+        connect_timeout: second,
+        head_timeout: second,
+        progress_timeout: second,
+        request_timeout: second,
     };
     let mut random = Gen::from_size_and_seed(200, 31);
     for round in 0..300 {
--- a/crates/direct/src/balancer.rs
+++ b/crates/direct/src/balancer.rs
@@ -299,7 +299,7 @@
             .values()
             .flat_map(|targets| targets.endpoints.values());
         for (_, endpoint) in endpoints {
-            endpoint.pool.tidy(now);
+            endpoint.pool.evict_expired(now);
         }
     }
 
--- a/crates/direct/src/exchange.rs
+++ b/crates/direct/src/exchange.rs
@@ -8,7 +8,7 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::{HeaderMap, Request, StatusCode};
-use outlet::{ClientSettings, Connection, Failure, Unanswered};
+use outlet::{ClientSettings, Connection, Failure, SendError};
 use std::time::{Duration, Instant};
 
 /// Whether a request may be sent on a connection that was used before.
@@ -59,18 +59,18 @@
         if self.reuse == ConnectionReuse::Allowed
             && let Some(mut conn) = take_idle_connection(permit, &cfg).await
         {
-            match conn.try_send(req, cfg.head).await {
+            match conn.try_send(req, cfg.head_timeout).await {
                 Ok(response) => return self.check_head(response, conn),
-                Err(Unanswered::Failed(failure)) => return Err(lost(&failure)),
-                Err(Unanswered::Unwritten(unwritten)) => req = *unwritten,
+                Err(SendError::Failed(failure)) => return Err(lost(&failure)),
+                Err(SendError::Unwritten(unwritten)) => req = *unwritten,
             }
         }
         let opened = Connection::open(permit.endpoint().address, &cfg).await;
         let mut conn = opened.map_err(|failure| AttemptError::Unsent(failure.to_string()))?;
-        match conn.try_send(req, cfg.head).await {
+        match conn.try_send(req, cfg.head_timeout).await {
             Ok(response) => self.check_head(response, conn),
-            Err(Unanswered::Failed(failure)) => Err(lost(&failure)),
-            Err(Unanswered::Unwritten(_)) => Err(AttemptError::Unsent(
+            Err(SendError::Failed(failure)) => Err(lost(&failure)),
+            Err(SendError::Unwritten(_)) => Err(AttemptError::Unsent(
                 "connection closed before the request was written".to_owned(),
             )),
         }
@@ -107,15 +107,15 @@
     fn client_settings(&self) -> ClientSettings {
         let left = self.time_left();
         ClientSettings {
-            connect: self.timing.connect.min(left),
-            head: left,
+            connect_timeout: self.timing.connect.min(left),
+            head_timeout: left,
             // Bytes that stay unacknowledged point to a dead connection, however long
             // the response may take.
-            progress: match self.reuse {
+            progress_timeout: match self.reuse {
                 ConnectionReuse::Allowed => self.timing.inactivity,
                 ConnectionReuse::Forbidden => left,
             },
-            question: left,
+            request_timeout: left,
         }
     }
 
@@ -146,7 +146,7 @@
 /// response.
 async fn take_idle_connection(permit: &Permit, cfg: &ClientSettings) -> Option<Connection> {
     while let Some(mut conn) = permit.endpoint().pool.take(Instant::now()) {
-        if conn.is_ready(cfg).await && conn.is_quiet() {
+        if conn.is_ready(cfg).await && conn.is_idle() {
             permit.endpoint().pool.counts().reused.inc();
             return Some(conn);
         }
--- a/crates/direct/src/service_targets.rs
+++ b/crates/direct/src/service_targets.rs
@@ -190,12 +190,12 @@
         KeepAlive::Timeout(_) | KeepAlive::Unspecified => {}
     }
     let cfg = ClientSettings {
-        connect: timing.connect,
-        head: timing.inactivity,
-        progress: timing.inactivity,
-        question: timing.inactivity,
+        connect_timeout: timing.connect,
+        head_timeout: timing.inactivity,
+        progress_timeout: timing.inactivity,
+        request_timeout: timing.inactivity,
     };
-    match conn.keep(&cfg) {
+    match conn.prepare_for_reuse(&cfg) {
         Ok(()) => endpoint.pool.put(conn, Instant::now()),
         Err(e) => log::debug!(
             "connection to {} not returned to the pool: {e}",
--- a/crates/outlet/src/client.rs
+++ b/crates/outlet/src/client.rs
@@ -25,13 +25,13 @@
 #[derive(Clone, Debug)]
 pub struct ClientSettings {
     /// Time to connect at most.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Time from a request to the first byte of its answer at most.
-    pub head: Duration,
+    pub head_timeout: Duration,
     /// Time between two bytes of an answer at most.
-    pub progress: Duration,
+    pub progress_timeout: Duration,
     /// Time of a question or an order at most.
-    pub question: Duration,
+    pub request_timeout: Duration,
 }
 
 /// A connection to the target.
@@ -53,7 +53,7 @@
 
 /// How sending a request fails.
 #[derive(Debug)]
-pub enum Unanswered {
+pub enum SendError {
     /// Nothing of it was written; here it is again.
     Unwritten(Box<Request<Full<Bytes>>>),
     /// It may have been written.
@@ -67,7 +67,7 @@
     ///
     /// [`Failure::NotRun`], whatever went wrong.
     pub async fn open(address: SocketAddr, cfg: &ClientSettings) -> Result<Self, Failure> {
-        let opened = timeout(cfg.connect, connect(address, cfg)).await;
+        let opened = timeout(cfg.connect_timeout, connect(address, cfg)).await;
         match opened {
             Ok(Ok(conn)) => Ok(conn),
             Ok(Err(e)) => Err(Failure::NotRun(e.to_string())),
@@ -87,8 +87,8 @@
     ) -> Result<Response<Incoming>, Failure> {
         match self.try_send(req, within).await {
             Ok(response) => Ok(response),
-            Err(Unanswered::Failed(failure)) => Err(failure),
-            Err(Unanswered::Unwritten(_)) => {
+            Err(SendError::Failed(failure)) => Err(failure),
+            Err(SendError::Unwritten(_)) => {
                 Err(Failure::Broken("closed before it was written".into()))
             }
         }
@@ -101,12 +101,12 @@
     ///
     /// # Errors
     ///
-    /// [`Unanswered::Unwritten`] proves that the request never ran here.
+    /// [`SendError::Unwritten`] proves that the request never ran here.
     pub async fn try_send(
         &mut self,
         req: Request<Full<Bytes>>,
         within: Duration,
-    ) -> Result<Response<Incoming>, Unanswered> {
+    ) -> Result<Response<Incoming>, SendError> {
         // A target that stands still would read the request after its caller
         // has left, if an orderly close delivered it.
         self.set_close(Close::Reset);
@@ -116,12 +116,12 @@
                 Ok(response)
             }
             Ok(Err(mut e)) => Err(match e.take_message() {
-                Some(req) => Unanswered::Unwritten(Box::new(req)),
-                None => Unanswered::Failed(Failure::Broken(e.error().to_string())),
+                Some(req) => SendError::Unwritten(Box::new(req)),
+                None => SendError::Failed(Failure::Broken(e.error().to_string())),
             }),
             Err(_) => {
                 let silent = Failure::Silent("no answer began in time".into());
-                Err(Unanswered::Failed(silent))
+                Err(SendError::Failed(silent))
             }
         }
     }
@@ -136,14 +136,17 @@
     /// has ended.
     #[must_use]
     pub async fn is_ready(&mut self, cfg: &ClientSettings) -> bool {
-        matches!(timeout(cfg.connect, self.tx.ready()).await, Ok(Ok(())))
+        matches!(
+            timeout(cfg.connect_timeout, self.tx.ready()).await,
+            Ok(Ok(()))
+        )
     }
 
     /// Whether the target has neither ended the connection nor sent anything
     /// that no call asked for.
     #[must_use]
-    pub fn is_quiet(&self) -> bool {
-        !self.tx.is_closed() && self.socket.is_quiet()
+    pub fn is_idle(&self) -> bool {
+        !self.tx.is_closed() && self.socket.is_idle()
     }
 
     /// Makes the connection fit to be kept. One that goes silent while nobody
@@ -153,9 +156,9 @@
     /// # Errors
     ///
     /// The kernel refuses to watch the connection; it had better be dropped.
-    pub fn keep(&mut self, cfg: &ClientSettings) -> io::Result<()> {
+    pub fn prepare_for_reuse(&mut self, cfg: &ClientSettings) -> io::Result<()> {
         if self.used == Use::First {
-            self.socket.set_silence(cfg.connect)?;
+            self.socket.set_silence(cfg.connect_timeout)?;
             self.used = Use::Further;
         }
         Ok(())
@@ -186,12 +189,12 @@
 fn watch_over(stream: &TcpStream, cfg: &ClientSettings) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    let interval = (cfg.progress / 4).max(Duration::from_secs(1));
+    let interval = (cfg.progress_timeout / 4).max(Duration::from_secs(1));
     let keepalive = TcpKeepalive::new()
         .with_time(interval)
         .with_interval(interval);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(cfg.progress))
+    socket.set_tcp_user_timeout(Some(cfg.progress_timeout))
 }
 
 /// Asks a question or gives an order, and reads the whole answer.
@@ -199,21 +202,21 @@
 /// # Errors
 ///
 /// [`Failure::NotRun`] only if nothing was written.
-pub async fn ask(
+pub async fn fetch(
     address: SocketAddr,
     cfg: &ClientSettings,
     req: Request<Full<Bytes>>,
 ) -> Result<(StatusCode, Bytes), Failure> {
     let mut conn = Connection::open(address, cfg).await?;
     let answer = async {
-        let response = conn.send(req, cfg.question).await?;
+        let response = conn.send(req, cfg.request_timeout).await?;
         let status = response.status();
         let body = Limited::new(response.into_body(), MAX_DOCUMENT);
         let body = body.collect().await;
         let body = body.map_err(|e| Failure::Broken(e.to_string()))?;
         Ok((status, body.to_bytes()))
     };
-    match timeout(cfg.question, answer).await {
+    match timeout(cfg.request_timeout, answer).await {
         Ok(answer) => answer,
         Err(_) => Err(Failure::Silent("no whole answer in time".into())),
     }
--- a/crates/outlet/src/lib.rs
+++ b/crates/outlet/src/lib.rs
@@ -21,7 +21,7 @@
 mod pool_counts;
 mod socket;
 
-pub use client::{ClientSettings, Connection, Unanswered, ask};
+pub use client::{ClientSettings, Connection, SendError, fetch};
 pub use failure::Failure;
 pub use pool::Pool;
 pub use pool_counts::PoolCounts;
--- a/crates/outlet/src/pool.rs
+++ b/crates/outlet/src/pool.rs
@@ -55,17 +55,17 @@
     /// Keeps a connection whose answer has been read to its end.
     pub fn put(&self, conn: Connection, now: Instant) {
         let mut kept = self.kept();
-        if kept.len() < self.most && conn.is_quiet() {
+        if kept.len() < self.most && conn.is_idle() {
             kept.push(Kept { conn, since: now });
             self.counts.set_kept(kept.len());
         }
     }
 
     /// Closes what was kept for too long.
-    pub fn tidy(&self, now: Instant) {
+    pub fn evict_expired(&self, now: Instant) {
         let mut kept = self.kept();
         let before = kept.len();
-        kept.retain(|kept| self.is_fresh(kept, now) && kept.conn.is_quiet());
+        kept.retain(|kept| self.is_fresh(kept, now) && kept.conn.is_idle());
         self.counts.dropped.inc_by((before - kept.len()) as u64);
         self.counts.set_kept(kept.len());
     }
--- a/crates/outlet/src/socket.rs
+++ b/crates/outlet/src/socket.rs
@@ -31,7 +31,7 @@
     ///
     /// The task that reads the connection learns of an end later than the
     /// kernel; a call written in between would be lost.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         // Handles on one socket share that it doesn't wait.
         let peeked = self.0.peek(&mut byte);
--- a/crates/outlet/tests/connection.rs
+++ b/crates/outlet/tests/connection.rs
@@ -12,10 +12,10 @@
 
 fn cfg() -> ClientSettings {
     ClientSettings {
-        connect: LONG,
-        head: LONG,
-        progress: LONG,
-        question: LONG,
+        connect_timeout: LONG,
+        head_timeout: LONG,
+        progress_timeout: LONG,
+        request_timeout: LONG,
     }
 }
 
@@ -75,7 +75,7 @@
     let response = conn.try_send(request(), LONG).await.unwrap();
     response.into_body().collect().await.unwrap();
     assert!(conn.is_ready(&cfg()).await);
-    conn.keep(&cfg()).unwrap();
+    conn.prepare_for_reuse(&cfg()).unwrap();
     drop(conn);
     assert_eq!(target.await.unwrap(), Ok(()));
 }
