--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -171,7 +171,7 @@
     };
     let settings = FollowerSettings {
         controls: cfg.controls.clone(),
-        renew: cfg.timing.renew_interval,
+        renew_interval: cfg.timing.renew_interval,
         key: key.clone(),
         link: link.clone(),
     };
--- a/crates/agent/src/rank_agent.rs
+++ b/crates/agent/src/rank_agent.rs
@@ -6,7 +6,7 @@
 use expert::{MoveCost, SwitchCriteria, SwitchTiming};
 use eyre::WrapErr;
 use member::{SpeedReportSchedule, TargetSpeed};
-use node::{Decode, Follower, FollowerSettings};
+use node::{DecodeRouteTable, Follower, FollowerSettings};
 use note::{Group, Weights};
 use table::{Experts, Table};
 use tokio::net::TcpListener;
@@ -94,7 +94,7 @@
     /// Settings of links.
     pub link: LinkSettings,
     /// Decodes a route table.
-    pub decode: Decode,
+    pub decode: DecodeRouteTable,
     /// Fraction by which copying experts slows down a step.
     pub slowdown: f64,
 }
@@ -149,7 +149,7 @@
     };
     let settings = FollowerSettings {
         controls: cfg.controls.clone(),
-        renew: RENEW_INTERVAL,
+        renew_interval: RENEW_INTERVAL,
         key: cfg.key.clone(),
         link: cfg.link.clone(),
     };
--- a/crates/direct/src/balancer.rs
+++ b/crates/direct/src/balancer.rs
@@ -81,7 +81,7 @@
                 .or_insert_with(create);
             let of_service = known
                 .iter()
-                .filter(|known| known.told.service == service.name);
+                .filter(|known| known.report.service == service.name);
             targets.update(of_service, &self.zone, self.timing.idle_connection, now);
         }
         drop(inner);
--- a/crates/direct/src/proxy.rs
+++ b/crates/direct/src/proxy.rs
@@ -109,7 +109,7 @@
 
     /// The current route table. Shortly after the start, waits for the first one.
     async fn route_table(&self, req: &ProxyRequest) -> Result<Arc<Table>, Refusal> {
-        let mut changed = self.watcher.watched().changed();
+        let mut changed = self.watcher.state().changed();
         loop {
             if let Some(table) = self.watcher.table() {
                 return Ok(table);
@@ -176,11 +176,11 @@
 
 /// Keeps the balancer and metrics up to date with the watcher.
 async fn follow_watcher(watcher: Watcher, balancer: Arc<Balancer>, metrics: Metrics) {
-    let mut changed = watcher.watched().changed();
+    let mut changed = watcher.state().changed();
     loop {
         let now = Instant::now();
         if let Some(table) = watcher.table() {
-            balancer.update(&table, &watcher.watched().targets(now), now);
+            balancer.update(&table, &watcher.state().targets(now), now);
             metrics.set_route_table(table.number());
             for (service, available, all) in balancer.target_counts() {
                 metrics.set_targets(&service, available, all);
--- a/crates/direct/src/readiness.rs
+++ b/crates/direct/src/readiness.rs
@@ -62,7 +62,7 @@
     }
 
     async fn open_when_table_known(self) {
-        let mut changed = self.watcher.watched().changed();
+        let mut changed = self.watcher.state().changed();
         while self.watcher.table().is_none() {
             if changed.changed().await.is_err() {
                 return;
--- a/crates/direct/src/service_targets.rs
+++ b/crates/direct/src/service_targets.rs
@@ -94,14 +94,15 @@
         let mut present = BTreeSet::new();
         let mut slowdowns = Vec::new();
         let known: Vec<&KnownTarget> = known.collect();
-        let since_heartbeat = |known: &KnownTarget| now.saturating_duration_since(known.heard);
+        let since_heartbeat =
+            |known: &KnownTarget| now.saturating_duration_since(known.received_at);
         // If control is unreachable, no heartbeats arrive from any target, and
         // their absence says nothing about the targets.
         let any_heard = known
             .iter()
             .any(|known| since_heartbeat(known) < HEARTBEAT_TIMEOUT);
         for known in known {
-            let sighting = &known.told;
+            let sighting = &known.report;
             let moved = |endpoint: &Endpoint| endpoint.address != sighting.address;
             if self
                 .endpoints
@@ -119,7 +120,7 @@
             let is_stale = any_heard && since_heartbeat(known) >= HEARTBEAT_TIMEOUT;
             let open = sighting.presence == Presence::Ready && !is_stale;
             self.set.set_accepting(*key, open);
-            self.set.record_announcement(*key, known.heard);
+            self.set.record_announcement(*key, known.received_at);
             slowdowns.push((*key, known.slowdown));
             present.insert(sighting.id.clone());
         }
@@ -136,7 +137,7 @@
     }
 
     fn insert(&mut self, known: &KnownTarget, zone: &str, idle_timeout: Duration) {
-        let sighting = &known.told;
+        let sighting = &known.report;
         let distance = if sighting.zone == zone {
             Locality::SameZone
         } else {
--- a/crates/direct/tests/doors.rs
+++ b/crates/direct/tests/doors.rs
@@ -22,7 +22,7 @@
     };
     let cfg = WatcherSettings {
         seeds: watch::channel(Vec::new()).1,
-        report: Duration::from_millis(500),
+        report_interval: Duration::from_millis(500),
         key: ClusterKey::from_bytes(b"cluster key of this test").unwrap(),
         link: LinkSettings::default(),
         decode: |_| Ok(table::Table::default()),
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -50,7 +50,7 @@
         let info = info(&settings, &me, http);
         let follower = FollowerSettings {
             controls: settings.controls.clone(),
-            renew: settings.timing.renew,
+            renew_interval: settings.timing.renew,
             key: key.clone(),
             link: link.clone(),
         };
@@ -150,7 +150,7 @@
         token,
         Arc::new(move |command| {
             let follower = propose.clone();
-            Box::pin(async move { follower.propose_or_refuse(command, within).await })
+            Box::pin(async move { follower.propose_fail_fast(command, within).await })
         }),
         Arc::new(move |body| {
             let follower = query.clone();
--- a/crates/entry/src/links/roster.rs
+++ b/crates/entry/src/links/roster.rs
@@ -142,8 +142,11 @@
         if self.next_look.is_some_and(|next| now >= next) {
             self.look(myself);
         }
-        let uses = self.cx.placement.exchange(now, &self.cx.follower.parts());
-        self.cx.follower.set_uses(uses);
+        let uses = self
+            .cx
+            .placement
+            .exchange(now, &self.cx.follower.quota_shares());
+        self.cx.follower.set_account_usage(uses);
         self.cx.placement.advance(now);
         self.cx.placement.show(now, &self.cx.metrics);
         let up = self.held.values().filter(|held| held.agent.is_up());
--- a/crates/entry/src/placement/inner.rs
+++ b/crates/entry/src/placement/inner.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use node::Parts;
+use node::QuotaShares;
 use note::{Catalogue, Offer};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -154,7 +154,7 @@
     }
 
     /// Acts on the parts of accounts' limits that were granted, and says what is used.
-    pub(super) fn exchange(&mut self, now: Instant, parts: &Parts) -> Vec<AccountUse> {
+    pub(super) fn exchange(&mut self, now: Instant, parts: &QuotaShares) -> Vec<AccountUse> {
         let soon = now + GRANT_MARGIN;
         let fixed = self.account_part > 0.0;
         let mut told = Vec::new();
--- a/crates/entry/src/placement/mod.rs
+++ b/crates/entry/src/placement/mod.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-use node::Parts;
+use node::QuotaShares;
 use note::Catalogue;
 use route::{Fingerprint, Refusal, Suspicion, TargetLoadReport};
 use tokio::sync::oneshot;
@@ -156,7 +156,7 @@
     }
 
     /// Acts on the parts of accounts' limits that were granted, and says what is used.
-    pub(crate) fn exchange(&self, now: Instant, parts: &Parts) -> Vec<AccountUse> {
+    pub(crate) fn exchange(&self, now: Instant, parts: &QuotaShares) -> Vec<AccountUse> {
         self.lock().exchange(now, parts)
     }
 
--- a/crates/entry/src/work/records.rs
+++ b/crates/entry/src/work/records.rs
@@ -190,7 +190,7 @@
         let asked = match &command {
             // The call has run: its outcome is offered as long as there is time.
             command::Body::Finish(_) => self.follower.propose(command, within).await,
-            _ => self.follower.propose_or_refuse(command, within).await,
+            _ => self.follower.propose_fail_fast(command, within).await,
         };
         asked.body
     }
--- a/crates/entry/tests/entry/subsets.rs
+++ b/crates/entry/tests/entry/subsets.rs
@@ -54,7 +54,7 @@
     };
     let cfg = FollowerSettings {
         controls: vec![cluster.control.link_address()],
-        renew: Duration::from_millis(200),
+        renew_interval: Duration::from_millis(200),
         key: cluster.key(),
         link: LinkSettings::default(),
     };
--- a/crates/entry/tests/entry/support/stub.rs
+++ b/crates/entry/tests/entry/support/stub.rs
@@ -80,7 +80,7 @@
         };
         let settings = FollowerSettings {
             controls: vec![cluster.control.link_address()],
-            renew: Duration::from_millis(200),
+            renew_interval: Duration::from_millis(200),
             key: cluster.key(),
             link: link.clone(),
         };
--- a/crates/lovageramp/benches/capacity.rs
+++ b/crates/lovageramp/benches/capacity.rs
@@ -211,7 +211,7 @@
     };
     let cfg = FollowerSettings {
         controls,
-        renew: RENEW,
+        renew_interval: RENEW,
         key: key(),
         link: LinkSettings::default(),
     };
--- a/crates/node/src/follower.rs
+++ b/crates/node/src/follower.rs
@@ -4,7 +4,7 @@
 use crate::relayed;
 use crate::renewer::{Renewer, renew};
 use crate::settings::FollowerSettings;
-use crate::shared::{Parts, Shared};
+use crate::shared::{QuotaShares, Shared};
 use member::TargetSpeed;
 use note::Catalogue;
 use ractor::ActorRuntime;
@@ -116,19 +116,19 @@
 
     /// Tells control what this entry's callers use of their accounts; it goes with each
     /// renewal.
-    pub fn set_uses(&self, uses: Vec<AccountUse>) {
+    pub fn set_account_usage(&self, uses: Vec<AccountUse>) {
         self.shared.set_uses(uses);
     }
 
     /// The parts of accounts' limits that this entry may give out.
     #[must_use]
-    pub fn parts(&self) -> Arc<Parts> {
+    pub fn quota_shares(&self) -> Arc<QuotaShares> {
         self.shared.parts()
     }
 
     /// Name of the node that this one renews through, if it does.
     #[must_use]
-    pub fn renews_through(&self) -> Option<String> {
+    pub fn renewal_relay(&self) -> Option<String> {
         self.shared.relay_link.name()
     }
 
@@ -155,7 +155,7 @@
     /// As [`Follower::propose`], but answers at once when control says that asking
     /// again soon is of no use, as while the leader's disk is full: whoever waits is
     /// told now when to come back.
-    pub async fn propose_or_refuse(&self, command: command::Body, within: Duration) -> Outcome {
+    pub async fn propose_fail_fast(&self, command: command::Body, within: Duration) -> Outcome {
         let passes = |answer: &Unavailable| !answer.lasting;
         self.propose_while(command, within, passes).await
     }
--- a/crates/node/src/relay_link.rs
+++ b/crates/node/src/relay_link.rs
@@ -53,11 +53,11 @@
     /// the leader would else hear from all of them at once.
     pub(crate) async fn renew(&self, shared: &Shared, renew: &Renew) -> Option<Renewed> {
         let link = self.link(Instant::now())?;
-        let patience = shared.cfg.renew / 2;
+        let patience = shared.cfg.renew_interval / 2;
         if let Ok(Body::Renewed(renewed)) = link.call(Body::Renew(renew.clone()), patience).await {
             return Some(renewed);
         }
-        self.fail(&link, shared.cfg.renew * HOLD_RENEWALS);
+        self.fail(&link, shared.cfg.renew_interval * HOLD_RENEWALS);
         tokio::time::sleep(patience.mul_f64(rand::random_range(0.0..1.0))).await;
         None
     }
--- a/crates/node/src/relayed.rs
+++ b/crates/node/src/relayed.rs
@@ -130,7 +130,7 @@
 
 /// Sends all that wait to the leader in one message, and each its answer.
 async fn flush(shared: Arc<Shared>) {
-    let renew = shared.cfg.renew;
+    let renew = shared.cfg.renew_interval;
     tokio::time::sleep(renew / WAIT_PART).await;
     let pending = std::mem::take(&mut shared.relayed.state().pending);
     let (renewals, back): (Vec<Renew>, Vec<(Link, u64)>) = pending
@@ -179,7 +179,7 @@
 /// What the leader answers, or that none is known.
 async fn asked(shared: &Shared, body: Body) -> Body {
     // A node waits for half of a renewal's time in all.
-    let within = shared.cfg.renew / 4;
+    let within = shared.cfg.renew_interval / 4;
     let answer = ask(shared, &body, within).await;
     answer.unwrap_or_else(|_| Body::NotLeader(NotLeader::default()))
 }
--- a/crates/node/src/renewer.rs
+++ b/crates/node/src/renewer.rs
@@ -76,7 +76,7 @@
         if shared.relay_link.is_up() {
             // A relay brings its nodes together, and each counts from its answer. Were
             // an earlier renewal's end taken for this one's, they would come too soon.
-            let _ = timeout(shared.cfg.renew, ended.changed()).await;
+            let _ = timeout(shared.cfg.renew_interval, ended.changed()).await;
         }
         // Either outcome means that the next renewal is due.
         let _ = timeout(shared.take_next(), shared.hurry.notified()).await;
@@ -152,7 +152,7 @@
 }
 
 async fn ask_renewal(shared: &Shared, renewal: Renew) -> Option<Renewed> {
-    match ask(shared, &Body::Renew(renewal), shared.cfg.renew).await {
+    match ask(shared, &Body::Renew(renewal), shared.cfg.renew_interval).await {
         Ok(Body::Renewed(renewed)) => Some(renewed),
         _ => None,
     }
@@ -160,7 +160,7 @@
 
 async fn fetch(shared: &Shared) {
     let after = shared.catalogue().number();
-    let within = shared.cfg.renew;
+    let within = shared.cfg.renew_interval;
     let notes = match shared.relay_link.fetch(after, within).await {
         Some(notes) => Some(notes),
         None => ask_notes(shared, after, within).await,
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -10,7 +10,7 @@
     /// Link addresses of all control replicas.
     pub controls: Vec<SocketAddr>,
     /// Time between two renewals of the lease; a third of the lease or less.
-    pub renew: Duration,
+    pub renew_interval: Duration,
     /// The key that links are authenticated with.
     pub key: ClusterKey,
     /// Times and sizes of the links.
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -5,7 +5,7 @@
 use crate::relay_link::RelayLink;
 use crate::relayed::Relayed;
 use crate::settings::FollowerSettings;
-use crate::view::merge;
+use crate::view::merge_view;
 use note::Catalogue;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -45,12 +45,12 @@
     sequence: u64,
     /// What this node tells of its use of accounts.
     uses: Vec<AccountUse>,
-    parts: Arc<Parts>,
+    parts: Arc<QuotaShares>,
 }
 
-/// Parts of accounts' limits that this node may give out, by the account's number, and
-/// until when.
-pub type Parts = BTreeMap<u32, (u32, Instant)>;
+/// Shares of account quotas that this node may hand out, with their expiry, by account
+/// number. Shares have the unit of `route::FULL_QUOTA`.
+pub type QuotaShares = BTreeMap<u32, (u32, Instant)>;
 
 impl Shared {
     pub(crate) fn new(me: Identity, info: NodeInfo, cfg: FollowerSettings) -> Self {
@@ -131,7 +131,7 @@
         held.sequence
     }
 
-    pub(crate) fn parts(&self) -> Arc<Parts> {
+    pub(crate) fn parts(&self) -> Arc<QuotaShares> {
         Arc::clone(&self.held().parts)
     }
 
@@ -177,7 +177,7 @@
 
     /// The time until the next renewal.
     pub(crate) fn take_next(&self) -> Duration {
-        self.held().next.take().unwrap_or(self.cfg.renew)
+        self.held().next.take().unwrap_or(self.cfg.renew_interval)
     }
 
     /// Takes in the view and quarantine that came with a renewal.
@@ -185,7 +185,7 @@
         let mut held = self.held();
         let mut news = false;
         if let Some(view) = renewed.view.clone() {
-            held.view = Arc::new(merge(&held.view, view));
+            held.view = Arc::new(merge_view(&held.view, view));
             news = true;
         }
         if let Some(quarantine) = renewed.quarantine.clone()
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -16,7 +16,7 @@
 /// let node = |name: &str| NodeInfo { name: name.into(), ..NodeInfo::default() };
 /// let held = MemberView { term: 1, version: 9, settled: true, nodes: vec![node("a"), node("b")], ..MemberView::default() };
 /// let new = MemberView { term: 2, version: 1, settled: false, nodes: vec![node("b")], ..MemberView::default() };
-/// assert_eq!(node::merge(&held, new).nodes.len(), 2);
+/// assert_eq!(node::merge_view(&held, new).nodes.len(), 2);
 /// ```
 ///
 /// A view with `since` set holds only what changed since that version:
@@ -28,11 +28,11 @@
 /// let held = MemberView { term: 1, version: 9, settled: true, nodes: vec![node("a"), node("b")], ..MemberView::default() };
 /// let gone = vec![NodeRef { name: "a".into(), ..NodeRef::default() }];
 /// let news = MemberView { term: 1, version: 11, settled: true, since: 9, nodes: vec![node("c")], gone };
-/// let names: Vec<_> = node::merge(&held, news).nodes.into_iter().map(|n| n.name).collect();
+/// let names: Vec<_> = node::merge_view(&held, news).nodes.into_iter().map(|n| n.name).collect();
 /// assert_eq!(names, ["b", "c"]);
 /// ```
 #[must_use]
-pub fn merge(held: &MemberView, new: MemberView) -> MemberView {
+pub fn merge_view(held: &MemberView, new: MemberView) -> MemberView {
     if (new.term, new.version) < (held.term, held.version) {
         return held.clone();
     }
--- a/crates/node/src/watcher.rs
+++ b/crates/node/src/watcher.rs
@@ -1,6 +1,6 @@
 //! Follows any control replica, without a lease.
 
-use crate::watched::Watched;
+use crate::watcher_state::WatcherState;
 use member::EntryReport;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 use wire::{ClusterKey, Identity, Incoming, Link, LinkSettings, entrance_message, redial};
 
 /// Reads a route table as its operator wrote it.
-pub type Decode = fn(&[u8]) -> Result<Table, cfg::Findings>;
+pub type DecodeRouteTable = fn(&[u8]) -> Result<Table, cfg::Findings>;
 
 /// Settings of a watcher.
 #[derive(Clone, Debug)]
@@ -24,13 +24,13 @@
     /// Links of a few replicas, as the settings file names them now.
     pub seeds: watch::Receiver<Vec<SocketAddr>>,
     /// Time between two reports to each replica.
-    pub report: Duration,
+    pub report_interval: Duration,
     /// The cluster key.
     pub key: ClusterKey,
     /// Times of links.
     pub link: LinkSettings,
     /// Reads a route table.
-    pub decode: Decode,
+    pub decode: DecodeRouteTable,
 }
 
 /// Follows every control replica that can be found: it holds the newest route
@@ -40,7 +40,7 @@
 /// Clones share one state, and the last one to go ends the tasks.
 #[derive(Clone)]
 pub struct Watcher {
-    watched: Arc<Watched>,
+    watched: Arc<WatcherState>,
     _running: Arc<DropGuard>,
 }
 
@@ -48,7 +48,7 @@
     /// Begins to follow control on the runtime that this is called on.
     #[must_use]
     pub fn spawn(me: Identity, here: EntryReport, cfg: WatcherSettings) -> Watcher {
-        let watched = Arc::new(Watched::new(here, cfg.decode));
+        let watched = Arc::new(WatcherState::new(here, cfg.decode));
         let stop = CancellationToken::new();
         let following = follow(Arc::clone(&watched), me, cfg);
         tokio::spawn(stop.clone().run_until_cancelled_owned(following));
@@ -66,7 +66,7 @@
 
     /// What targets and entries told.
     #[must_use]
-    pub fn watched(&self) -> &Watched {
+    pub fn state(&self) -> &WatcherState {
         &self.watched
     }
 
@@ -77,7 +77,7 @@
 }
 
 /// Keeps links to the seeds and to all replicas that those name.
-async fn follow(watched: Arc<Watched>, me: Identity, cfg: WatcherSettings) {
+async fn follow(watched: Arc<WatcherState>, me: Identity, cfg: WatcherSettings) {
     let mut seeds = cfg.seeds.clone();
     let mut named = watched.replicas();
     let mut kept: BTreeMap<SocketAddr, AbortOnDropHandle<()>> = BTreeMap::new();
@@ -102,11 +102,11 @@
 
 fn keep(
     address: SocketAddr,
-    watched: &Arc<Watched>,
+    watched: &Arc<WatcherState>,
     me: &Identity,
     cfg: &WatcherSettings,
 ) -> AbortOnDropHandle<()> {
-    let (watched, report) = (Arc::clone(watched), cfg.report);
+    let (watched, report) = (Arc::clone(watched), cfg.report_interval);
     let dialled = redial(
         address,
         me.clone(),
@@ -120,7 +120,7 @@
 async fn serve(
     link: Link,
     mut rx: mpsc::Receiver<Incoming>,
-    watched: Arc<Watched>,
+    watched: Arc<WatcherState>,
     every: Duration,
 ) {
     log::info!(replica = link.peer().name.as_str(); "control replica reached");
@@ -133,7 +133,7 @@
     log::warn!(replica = link.peer().name.as_str(); "control replica lost");
 }
 
-async fn take(watched: &Watched, incoming: Incoming) {
+async fn take(watched: &WatcherState, incoming: Incoming) {
     match incoming.body {
         Body::RouteTable(table) => watched.take_table(&table),
         Body::Sightings(told) => {
@@ -151,7 +151,7 @@
 }
 
 /// Reports in turn, and at once when something changed.
-async fn report(link: Link, watched: Arc<Watched>, every: Duration) {
+async fn report(link: Link, watched: Arc<WatcherState>, every: Duration) {
     let mut here = watched.here();
     loop {
         let entrance = entrance_message(&watched.next_word());
--- a/crates/node/src/watched.rs
+++ b/crates/node/src/watcher_state.rs
@@ -1,6 +1,6 @@
 //! What a watcher holds.
 
-use crate::watcher::Decode;
+use crate::watcher::DecodeRouteTable;
 use member::{EntryReport, Presence, ReportEffect, ReportStore, TargetSpeed};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,8 +16,8 @@
 const FORGOTTEN: Duration = Duration::from_mins(1);
 
 /// What a watcher holds of control.
-pub struct Watched {
-    decode: Decode,
+pub struct WatcherState {
+    decode: DecodeRouteTable,
     table: Mutex<Option<Arc<Table>>>,
     board: Mutex<ReportStore>,
     here: watch::Sender<EntryReport>,
@@ -30,17 +30,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct KnownTarget {
     /// What it told.
-    pub told: member::TargetReport,
+    pub report: member::TargetReport,
     /// How many times longer than usual it takes for its work, as the agent
     /// beside it reports.
     pub slowdown: f64,
     /// When this was heard here.
-    pub heard: Instant,
+    pub received_at: Instant,
 }
 
-impl Watched {
-    pub(crate) fn new(here: EntryReport, decode: Decode) -> Watched {
-        Watched {
+impl WatcherState {
+    pub(crate) fn new(here: EntryReport, decode: DecodeRouteTable) -> WatcherState {
+        WatcherState {
             decode,
             table: Mutex::default(),
             board: Mutex::default(),
@@ -68,9 +68,9 @@
             .targets()
             .filter(|(told, _)| told.presence != Presence::Gone);
         let known = here.map(|(told, heard)| KnownTarget {
-            told: told.clone(),
+            report: told.clone(),
             slowdown: board.slowdown(told.address, now),
-            heard,
+            received_at: heard,
         });
         known.collect()
     }
--- a/crates/node/tests/follower.rs
+++ b/crates/node/tests/follower.rs
@@ -60,7 +60,7 @@
 ) -> Follower {
     let cfg = FollowerSettings {
         controls,
-        renew: Duration::from_millis(100),
+        renew_interval: Duration::from_millis(100),
         key: key(),
         link: LinkSettings::default(),
     };
--- a/crates/node/tests/relay/zone.rs
+++ b/crates/node/tests/relay/zone.rs
@@ -177,7 +177,7 @@
         };
         let cfg = FollowerSettings {
             controls: vec![proxy.address],
-            renew: RENEW,
+            renew_interval: RENEW,
             key: key(),
             link: LinkSettings::default(),
         };
@@ -202,7 +202,7 @@
     }
 
     pub fn relay(&self) -> Option<String> {
-        self.follower.renews_through()
+        self.follower.renewal_relay()
     }
 }
 
