--- a/crates/member/src/announcement.rs
+++ b/crates/member/src/announcement.rs
@@ -1,17 +1,17 @@
-//! A target as its agent announces it.
+//! A target as announced by its agent.
 
 use std::collections::BTreeSet;
 
 use crate::{Capability, Serves};
 
-/// A target as its agent announces it.
+/// A target as announced by its agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Announcement {
-    /// The target's name.
+    /// Name of the target.
     pub target: String,
-    /// What it serves.
+    /// Model group or service that it serves.
     pub serves: Serves,
-    /// Ranks of its group that run there.
+    /// Ranks of its model group that run on it.
     pub ranks: Vec<u32>,
     /// Models that are loaded.
     pub models: Vec<String>,
@@ -19,7 +19,7 @@
     pub adapters: Vec<String>,
     /// Versions that are loaded.
     pub versions: Vec<String>,
-    /// What it can do.
+    /// Optional features that it supports.
     pub capabilities: BTreeSet<Capability>,
     /// Whether the agent can reach it.
     pub healthy: bool,
--- a/crates/member/src/capability.rs
+++ b/crates/member/src/capability.rs
@@ -1,15 +1,15 @@
-//! What a target says that it can do.
+//! Optional features that a target supports.
 
-/// What a target says that it can do; what it doesn't say, it can't.
+/// Optional features that a target can declare; undeclared ones are not supported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Capability {
     /// Resumes a stream after a number of events.
     Resume,
-    /// Cancels a request that runs.
+    /// Cancels running requests.
     Cancel,
     /// Honours priorities.
     Priority,
-    /// Refuses orders with an old fencing number.
+    /// Rejects commands with an outdated fencing number.
     ChecksFencing,
     /// Exports and imports KV cache.
     ExportsKv,
--- a/crates/member/src/entry_report.rs
+++ b/crates/member/src/entry_report.rs
@@ -1,29 +1,30 @@
-//! What an entry tells of itself.
+//! What an entry reports about itself.
 
 use std::net::SocketAddr;
 
-/// What an entry tells of itself to each control replica.
+/// What an entry reports about itself to each control replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryReport {
     /// Name from its settings.
     pub name: String,
-    /// Drawn anew at each start of the process, higher at each later one.
+    /// Generated at each start of the process; later starts have higher values.
     pub incarnation: u64,
-    /// Counts the reports of this incarnation.
+    /// Number of the report within the incarnation.
     pub sequence: u64,
     /// Availability zone.
     pub zone: String,
     /// Region of the availability zone.
     pub region: String,
-    /// Where callers connect.
+    /// Address at which it accepts callers.
     pub address: SocketAddr,
-    /// Whether it takes new callers.
+    /// Whether it accepts new callers.
     pub open: bool,
-    /// Number of the route table in force there; 0 for none.
+    /// Number of the route table in use; 0 for none.
     pub table: u64,
 }
 
 impl EntryReport {
+    /// Sort key of the reports of one entry: incarnation, then sequence number.
     pub(crate) fn order(&self) -> (u64, u64) {
         (self.incarnation, self.sequence)
     }
--- a/crates/member/src/hash.rs
+++ b/crates/member/src/hash.rs
@@ -1,10 +1,10 @@
-//! Hashes that are the same in every process and version.
+//! Hash functions that give the same values in every process and version.
 
 /// FNV-1a, 64 bit: offset basis and prime.
 const FNV_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// FNV-1a over some bytes; its high bits need [`mix`].
+/// FNV-1a hash of bytes. Its high bits are weak; apply [`mix`] where they matter.
 ///
 /// ```
 /// assert_ne!(member::hash_bytes(b"desk-01".iter().copied()), member::hash_bytes([]));
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,11 +1,11 @@
 //! Announcements, liveness, draining and the address list.
 //!
-//! The leader of the control replicas holds one [`Registry`]: soft state, built
-//! anew by each leader from the renewals that reach it. Its [`View`] goes to all
-//! nodes; [`nearest_first`] orders the entries of the list for callers.
+//! The leader of the control replicas holds one [`Registry`]: soft state that
+//! each leader rebuilds from the renewals that it receives. Its [`View`] is sent
+//! to all nodes; [`nearest_first`] sorts the address list of entries for callers.
 //!
-//! Targets without an agent tell any replica of themselves; what they and the
-//! entries tell stands on each replica's [`ReportStore`].
+//! Targets without an agent report to any replica. Each replica keeps the
+//! reports of targets and entries in a [`ReportStore`].
 //!
 //! ```
 //! use std::time::{Duration, Instant};
@@ -19,7 +19,7 @@
 //! assert_eq!(registry.renew(node, 1, began), Renewal::Granted { changed: true });
 //! assert_eq!(registry.view().nodes.len(), 1);
 //!
-//! // Nothing is told about "everywhere" before all that live were heard.
+//! // Not in use everywhere until the leases of earlier leaders have expired.
 //! assert!(!registry.note_rollout(1, began).everywhere);
 //! ```
 
@@ -31,6 +31,7 @@
 mod nearest_first;
 mod node;
 mod node_key;
+mod node_record;
 mod note_rollout;
 mod presence;
 mod refusal;
@@ -41,7 +42,7 @@
 mod report_store;
 mod role;
 mod serves;
-mod slot;
+
 mod speed_report_schedule;
 mod target_report;
 mod target_speed;
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -8,10 +8,10 @@
 /// A node that holds a lease.
 #[derive(Debug, Clone)]
 pub struct Member {
-    /// What it last told of itself.
+    /// The node as of its last renewal.
     pub node: Arc<Node>,
-    /// Number of the note in force there.
+    /// Number of the release note in use on the node.
     pub note: u64,
-    /// When its lease ends unless it is renewed.
+    /// Time at which its lease ends unless it is renewed.
     pub expires: Instant,
 }
--- a/crates/member/src/nearest_first.rs
+++ b/crates/member/src/nearest_first.rs
@@ -1,12 +1,12 @@
-//! The order of the address list for callers.
+//! Order of the address list for callers.
 
 use crate::hash_bytes;
 
-/// Orders entries for a caller, those at the least distance first.
+/// Sorts entries for a caller by distance, nearest first.
 ///
-/// Callers keep the list and start with its head, so at equal distance the
-/// order depends on `seed`: were it the same for all, they would all meet at
-/// one entry, and move together to the next when it leaves.
+/// Callers cache the list and use its first element, so entries at equal
+/// distance are ordered by `seed`. With one order for all, all callers would
+/// use the same entry and move together to the next one when it leaves.
 ///
 /// ```
 /// let mut entries = [("entry-1", "celje"), ("entry-2", "ptuj")];
@@ -20,13 +20,13 @@
     distance: impl Fn(&T) -> u32,
     name: impl Fn(&T) -> &str,
 ) {
-    entries.sort_by_cached_key(|entry| (distance(entry), place(seed, name(entry))));
+    entries.sort_by_cached_key(|entry| (distance(entry), tie_break(seed, name(entry))));
 }
 
-fn place(seed: u64, name: &str) -> u64 {
+fn tie_break(seed: u64, name: &str) -> u64 {
     let seeded = seed.to_le_bytes();
     let bytes = seeded.iter().copied().chain(name.bytes());
     let hash = hash_bytes(bytes);
-    // The last byte barely reaches the high bits; fold them in.
+    // The last byte hardly affects the high bits, so fold them into the low ones.
     hash ^ (hash >> 32)
 }
--- a/crates/member/src/node.rs
+++ b/crates/member/src/node.rs
@@ -1,30 +1,30 @@
-//! What a node tells of itself.
+//! What a node reports about itself.
 
 use std::net::SocketAddr;
 
 use crate::{Announcement, NodeKey, Role};
 
-/// What a node tells of itself with each lease renewal.
+/// What a node reports about itself with each lease renewal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Node {
     /// Role and name.
     pub key: NodeKey,
-    /// Drawn anew at each start of the process.
+    /// Random number generated at each start of the process.
     pub incarnation: u64,
     /// Availability zone.
     pub zone: String,
-    /// Where the node accepts links.
+    /// Address at which the node accepts links.
     pub link_address: Option<SocketAddr>,
-    /// Where an entry accepts callers.
+    /// Address at which an entry accepts callers.
     pub caller_address: Option<SocketAddr>,
-    /// Whether it is shutting down and takes nothing new.
+    /// Whether it is shutting down and accepts no new work.
     pub leaving: bool,
-    /// What stands behind an agent.
+    /// The target of an agent.
     pub announcement: Option<Announcement>,
 }
 
 impl Node {
-    /// A node without addresses or target, to be filled in.
+    /// Creates a node without addresses or target.
     ///
     /// ```
     /// let node = member::Node::new(member::Role::Agent, "advisor-01", 42, "allgaeu");
--- a/crates/member/src/node_key.rs
+++ b/crates/member/src/node_key.rs
@@ -1,10 +1,10 @@
-//! What names a node across its restarts.
+//! Identity of a node across restarts.
 
 use std::fmt;
 
 use crate::Role;
 
-/// Role and name of a node, the same across its restarts.
+/// Role and name of a node, which stay the same across restarts.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct NodeKey {
     /// The node's role.
--- a/crates/member/src/node_record.rs
+++ b/crates/member/src/node_record.rs
@@ -1,4 +1,4 @@
-//! All that is held under one node key.
+//! State of one node key in the registry.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -6,25 +6,26 @@
 
 use crate::{Member, Node};
 
-/// Incarnations that are remembered as superseded, for each name. A message
-/// of one that is older still would have to outlive that many restarts.
-const MOST_SUPERSEDED: usize = 64;
+/// Maximum number of superseded incarnations that are remembered for each key.
+/// A message of an older incarnation would have to be delayed by that many restarts.
+const MAX_SUPERSEDED: usize = 64;
 
-/// The newest incarnation of a node, living or not, and those before it.
+/// The newest incarnation of a node, whether or not it is live, and the superseded ones.
 #[derive(Debug)]
-pub(crate) struct Slot {
+pub(crate) struct NodeRecord {
     pub(crate) member: Member,
     pub(crate) live: bool,
-    /// Version of the view that last showed it otherwise than before.
+    /// Version of the view in which the node last changed.
     pub(crate) changed: u64,
     superseded: VecDeque<u64>,
-    /// Number of the newest renewal of this incarnation; 0 when they aren't numbered.
+    /// Sequence number of the newest renewal of this incarnation; 0 if its renewals
+    /// are not numbered.
     sequence: u64,
 }
 
-impl Slot {
+impl NodeRecord {
     pub(crate) fn new(member: Member, version: u64, sequence: u64) -> Self {
-        Slot {
+        NodeRecord {
             sequence,
             member,
             live: true,
@@ -37,14 +38,14 @@
         self.superseded.contains(&incarnation)
     }
 
-    /// Takes in a renewal; whether what is seen from outside changed.
+    /// Applies a renewal. Returns whether the node changed in the view.
     ///
-    /// One that was overtaken by a later one of the same process prolongs the lease
-    /// and changes nothing else: it would show a target that is leaving as ready.
+    /// A renewal that arrives after a later one of the same process only extends the
+    /// lease: applied in full, it would show a target that is leaving as ready.
     pub(crate) fn renew(
         &mut self,
         node: Node,
-        number: u64,
+        note_number: u64,
         sequence: u64,
         expires: Instant,
     ) -> bool {
@@ -57,7 +58,7 @@
         self.sequence = sequence;
         if !same {
             self.superseded.push_back(known.incarnation);
-            if self.superseded.len() > MOST_SUPERSEDED {
+            if self.superseded.len() > MAX_SUPERSEDED {
                 self.superseded.pop_front();
             }
         }
@@ -65,7 +66,7 @@
         if changed {
             self.member.node = Arc::new(node);
         }
-        self.member.note = number;
+        self.member.note = note_number;
         self.member.expires = expires;
         self.live = true;
         changed
--- a/crates/member/src/note_rollout.rs
+++ b/crates/member/src/note_rollout.rs
@@ -1,12 +1,12 @@
-//! How far a note has come.
+//! Rollout status of a release note.
 
 use crate::NodeKey;
 
-/// How far a note has come.
+/// Rollout status of a release note.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NoteRollout {
-    /// Whether every node that may take work acts on this note or a later one.
+    /// Whether every node that may take work uses this note or a later one.
     pub everywhere: bool,
-    /// Nodes with a live lease that act on an earlier note.
+    /// Nodes with a live lease that use an earlier note.
     pub lagging: Vec<NodeKey>,
 }
--- a/crates/member/src/presence.rs
+++ b/crates/member/src/presence.rs
@@ -1,12 +1,12 @@
-//! Whether a target takes work.
+//! Whether a target accepts work.
 
-/// Whether a target takes work, by its own word.
+/// Whether a target accepts work, as reported by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
-    /// It takes work.
+    /// It accepts work.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes the requests that it has and accepts no new ones.
     Draining,
-    /// It has left for good.
+    /// It has left permanently.
     Gone,
 }
--- a/crates/member/src/refusal.rs
+++ b/crates/member/src/refusal.rs
@@ -3,9 +3,9 @@
 /// Why a renewal is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// A later incarnation of the same name was seen: this process is a
-    /// leftover, or two hosts were given one name.
+    /// A later incarnation of the same name is known: either this process was
+    /// replaced, or two hosts are configured with the same name.
     Superseded,
-    /// The registry holds as many nodes as it may.
+    /// The registry holds its maximum number of nodes.
     Full,
 }
--- a/crates/member/src/registry.rs
+++ b/crates/member/src/registry.rs
@@ -1,38 +1,38 @@
-//! Who holds a lease.
+//! The nodes that hold a lease.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use crate::slot::Slot;
+use crate::node_record::NodeRecord;
 use crate::{Member, Node, NodeKey, NoteRollout, Refusal, Renewal, View, ViewChanges};
 
-/// Most nodes, living or remembered. Ten times what the system is built for:
-/// enough for any real one, and a bound on memory when names are made up.
-const MOST_NODES: usize = 10_000;
+/// Maximum number of live and remembered nodes: ten times the size that the system is
+/// designed for. Bounds the memory if nodes renew under made-up names.
+const MAX_NODES: usize = 10_000;
 
-/// Who holds a lease from this leader, and on which note each of them acts.
+/// The nodes that hold a lease from this leader, and the release note that each uses.
 ///
-/// The leader must not grant leases beyond its own; the registry doesn't know
-/// of that.
+/// The leader must not grant leases that outlast its own; the registry does not check
+/// that.
 #[derive(Debug)]
 pub struct Registry {
     term: u64,
     version: u64,
     /// Oldest version since which changes can be sent one by one instead of the whole view.
-    whole_since: u64,
+    full_view_version: u64,
     began: Instant,
     lease: Duration,
     settled: bool,
-    /// No lease ends before this moment.
-    none_ends_before: Instant,
-    slots: BTreeMap<NodeKey, Slot>,
-    /// Processes that were replaced before their lease ran out.
+    /// No lease ends before this time.
+    earliest_expiry: Instant,
+    records: BTreeMap<NodeKey, NodeRecord>,
+    /// Processes that were replaced before their lease expired.
     replaced: Vec<Member>,
 }
 
 impl Registry {
-    /// Begins empty, at the moment when this leader was elected.
+    /// Creates an empty registry for a leader that was elected at `began`.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -46,17 +46,17 @@
         Registry {
             term,
             version: 1,
-            whole_since: 1,
+            full_view_version: 1,
             began,
             lease,
             settled: false,
-            none_ends_before: began,
-            slots: BTreeMap::new(),
+            earliest_expiry: began,
+            records: BTreeMap::new(),
             replaced: Vec::new(),
         }
     }
 
-    /// How long a lease lasts.
+    /// Duration of a lease.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -69,12 +69,12 @@
         self.lease
     }
 
-    /// Takes in a node's renewal. `number` is that of the note in force there.
+    /// Applies a node's renewal. `note_number` is that of the release note in use there.
     ///
-    /// Incarnations are random, so the later one is the one seen later. Once
-    /// it was seen, an earlier one of that name is refused for good: its late
-    /// message would otherwise bring a dead process back into the view, and
-    /// calls would be sent to it until its lease ran out.
+    /// Incarnations are random numbers, so the one that is seen last is the newest.
+    /// From then on, earlier ones of the same name are refused: a delayed message
+    /// would otherwise return a dead process to the view, and calls would be sent
+    /// to it until its lease expired.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -89,12 +89,12 @@
     /// let late = registry.renew(before, 1, now);
     /// assert_eq!(late, Renewal::Refused(Refusal::Superseded));
     /// ```
-    pub fn renew(&mut self, node: Node, number: u64, now: Instant) -> Renewal {
-        self.renew_in_order(node, number, 0, now)
+    pub fn renew(&mut self, node: Node, note_number: u64, now: Instant) -> Renewal {
+        self.renew_in_order(node, note_number, 0, now)
     }
 
-    /// Takes in a renewal that may have been overtaken on its way through another
-    /// node. `sequence` counts the renewals of each process.
+    /// Applies a renewal that may arrive out of order because another node relayed it.
+    /// `sequence` is its number among the renewals of the process.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -112,44 +112,44 @@
     pub fn renew_in_order(
         &mut self,
         node: Node,
-        number: u64,
+        note_number: u64,
         sequence: u64,
         now: Instant,
     ) -> Renewal {
         let mut changed = self.expire(now);
         let expires = now + self.lease;
-        if let Some(slot) = self.slots.get_mut(&node.key) {
-            if slot.is_superseded(node.incarnation) {
+        if let Some(record) = self.records.get_mut(&node.key) {
+            if record.is_superseded(node.incarnation) {
                 return Renewal::Refused(Refusal::Superseded);
             }
-            if slot.live && slot.member.node.incarnation != node.incarnation {
-                self.replaced.push(slot.member.clone());
+            if record.live && record.member.node.incarnation != node.incarnation {
+                self.replaced.push(record.member.clone());
             }
-            if slot.renew(node, number, sequence, expires) {
+            if record.renew(node, note_number, sequence, expires) {
                 self.version += 1;
-                slot.changed = self.version;
+                record.changed = self.version;
                 changed = true;
             }
             return Renewal::Granted { changed };
         }
-        if self.slots.len() >= MOST_NODES && !self.forget_oldest() {
+        if self.records.len() >= MAX_NODES && !self.remove_oldest_expired() {
             return Renewal::Refused(Refusal::Full);
         }
         let key = node.key.clone();
         let node = Arc::new(node);
         let member = Member {
             node,
-            note: number,
+            note: note_number,
             expires,
         };
         self.version += 1;
-        self.slots
-            .insert(key, Slot::new(member, self.version, sequence));
+        self.records
+            .insert(key, NodeRecord::new(member, self.version, sequence));
         Renewal::Granted { changed: true }
     }
 
-    /// Ends the leases that have run out and settles the view one lease after
-    /// the leader began; whether the view has another version than before.
+    /// Expires leases, and settles the view one lease after the leader was elected.
+    /// Returns whether the version of the view changed.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -162,19 +162,19 @@
     /// assert!(registry.view().nodes.is_empty() && registry.view().settled);
     /// ```
     pub fn expire(&mut self, now: Instant) -> bool {
-        let mut changed = now >= self.none_ends_before && self.end_leases(now);
+        let mut changed = now >= self.earliest_expiry && self.expire_leases(now);
         if !self.settled && now >= self.began + self.lease {
             self.settled = true;
             changed = true;
-            // Whoever holds an unsettled view may also hold nodes that only an
-            // earlier leader knew, and has to be told the whole to drop them.
-            self.whole_since = self.version + 1;
+            // Nodes with an unsettled view may still hold nodes that only an earlier
+            // leader knew, and need the full view to remove them.
+            self.full_view_version = self.version + 1;
         }
         self.version += u64::from(changed);
         changed
     }
 
-    /// The nodes that live, as of the last renewal or expiry.
+    /// Returns the live nodes as of the last renewal or expiry.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -195,12 +195,12 @@
         }
     }
 
-    /// What has changed since an earlier version of this term's view, or `None`
-    /// when only the whole view tells.
+    /// Returns the changes since an earlier version of this term's view, or `None`
+    /// if the full view is needed.
     ///
-    /// A view of all nodes to each node at each change would be a cost by the square
-    /// of their number: with a thousand of them a common restart would keep the
-    /// leader so busy with it that leases ran out, which changes the view again.
+    /// Sending the full view to each node at each change costs the square of the number
+    /// of nodes. When a thousand nodes restarted together, the leader would be so busy
+    /// with it that leases expired, which changes the view again.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -217,16 +217,16 @@
     /// ```
     #[must_use]
     pub fn changes_since(&self, version: u64) -> Option<ViewChanges> {
-        if version < self.whole_since || version > self.version {
+        if version < self.full_view_version || version > self.version {
             return None;
         }
         let mut changes = ViewChanges::default();
-        for (key, slot) in &self.slots {
-            if slot.changed <= version {
+        for (key, record) in &self.records {
+            if record.changed <= version {
                 continue;
             }
-            if slot.live {
-                changes.nodes.push(Arc::clone(&slot.member.node));
+            if record.live {
+                changes.nodes.push(Arc::clone(&record.member.node));
             } else {
                 changes.removed.push(key.clone());
             }
@@ -234,7 +234,7 @@
         Some(changes)
     }
 
-    /// Counts a new version that only the whole view tells.
+    /// Starts a new version that can only be sent as a full view.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -246,11 +246,11 @@
     /// ```
     pub fn require_full_view(&mut self) {
         self.version += 1;
-        self.whole_since = self.version;
+        self.full_view_version = self.version;
     }
 
-    /// Whether all who may hold a lease of an earlier leader have been heard of or
-    /// have lost it.
+    /// Whether every lease that an earlier leader granted has been renewed here or has
+    /// expired.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -263,7 +263,7 @@
         self.settled
     }
 
-    /// The version of the view, without making it.
+    /// Version of the view, without building the view.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -276,7 +276,7 @@
         self.version
     }
 
-    /// The nodes that live, with their note and lease, in order of their keys.
+    /// Returns the live nodes with their note and lease, ordered by key.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -285,13 +285,13 @@
     /// assert_eq!(registry.members().count(), 0);
     /// ```
     pub fn members(&self) -> impl Iterator<Item = &Member> {
-        self.slots
+        self.records
             .values()
-            .filter(|slot| slot.live)
-            .map(|slot| &slot.member)
+            .filter(|record| record.live)
+            .map(|record| &record.member)
     }
 
-    /// The node of this key, if it lives.
+    /// Returns the node with this key if it is live.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -305,15 +305,15 @@
     /// ```
     #[must_use]
     pub fn member(&self, key: &NodeKey) -> Option<&Member> {
-        let slot = self.slots.get(key).filter(|slot| slot.live);
-        slot.map(|slot| &slot.member)
+        let record = self.records.get(key).filter(|record| record.live);
+        record.map(|record| &record.member)
     }
 
-    /// Whether a note is in force everywhere: every node with a live lease
-    /// acts on it or a later one, and every lease that a former leader granted
-    /// has run out. A node without a lease takes no new work, so it doesn't
-    /// count. A process that was replaced does until its lease ends: it may
-    /// still run and know nothing of the other.
+    /// Returns whether a release note is in use everywhere: every node with a live
+    /// lease uses it or a later one, and every lease that an earlier leader granted
+    /// has expired. A node without a lease accepts no new work, so it does not count.
+    /// A replaced process counts until its lease ends: it may still run without
+    /// knowing of its replacement.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -339,35 +339,36 @@
         }
     }
 
-    /// Each scan moves the next one to the earliest end of a lease, so that
-    /// renewals don't each walk all nodes.
-    fn end_leases(&mut self, now: Instant) -> bool {
+    /// Expires leases. Each scan schedules the next one for the earliest end of a
+    /// lease, so that not every renewal iterates over all nodes.
+    fn expire_leases(&mut self, now: Instant) -> bool {
         let mut changed = false;
         let mut earliest = now + self.lease;
-        for slot in self.slots.values_mut().filter(|slot| slot.live) {
-            if now >= slot.member.expires {
-                slot.live = false;
-                // The version that the caller is about to count.
-                slot.changed = self.version + 1;
+        for record in self.records.values_mut().filter(|record| record.live) {
+            if now >= record.member.expires {
+                record.live = false;
+                // The caller increments the version to this value.
+                record.changed = self.version + 1;
                 changed = true;
             } else {
-                earliest = earliest.min(slot.member.expires);
+                earliest = earliest.min(record.member.expires);
             }
         }
         self.replaced.retain(|member| now < member.expires);
-        self.none_ends_before = earliest;
+        self.earliest_expiry = earliest;
         changed
     }
 
-    /// Makes room by forgetting the node that has been gone for longest.
-    fn forget_oldest(&mut self) -> bool {
-        let gone = self.slots.iter().filter(|(_, slot)| !slot.live);
-        let oldest = gone.min_by_key(|(_, slot)| slot.member.expires);
+    /// Frees a record by removing the node that expired first. Returns whether there
+    /// was one.
+    fn remove_oldest_expired(&mut self) -> bool {
+        let gone = self.records.iter().filter(|(_, record)| !record.live);
+        let oldest = gone.min_by_key(|(_, record)| record.member.expires);
         let Some(key) = oldest.map(|(key, _)| key.clone()) else {
             return false;
         };
-        self.slots.remove(&key);
-        self.whole_since = self.version + 1;
+        self.records.remove(&key);
+        self.full_view_version = self.version + 1;
         true
     }
 }
--- a/crates/member/src/renewal.rs
+++ b/crates/member/src/renewal.rs
@@ -1,15 +1,15 @@
-//! The answer to a renewal.
+//! The result of a renewal.
 
 use crate::Refusal;
 
-/// The answer to a renewal.
+/// The result of a renewal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Renewal {
-    /// The lease runs from now.
+    /// The lease was extended, starting now.
     Granted {
-        /// Whether the view has another version than before.
+        /// Whether the version of the view changed.
         changed: bool,
     },
-    /// No lease.
+    /// No lease was granted.
     Refused(Refusal),
 }
--- a/crates/member/src/report_effect.rs
+++ b/crates/member/src/report_effect.rs
@@ -1,12 +1,12 @@
-//! What hearing of something changed.
+//! The effect of recording a report.
 
-/// What hearing of a target or an entry changed.
+/// The effect of recording a report of a target or an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportEffect {
-    /// Something that others have to be told at once.
+    /// The content changed, so that others have to be notified at once.
     Changed,
-    /// Only that it was heard again.
+    /// Only the time of the last report changed.
     Refreshed,
-    /// Nothing: it was older than what is known.
+    /// The report was older than what is known and was ignored.
     Stale,
 }
--- a/crates/member/src/report_store.rs
+++ b/crates/member/src/report_store.rs
@@ -1,27 +1,27 @@
-//! What targets and entries tell of themselves, newest first.
+//! The latest reports of targets and entries.
 
 use crate::{EntryReport, Presence, ReportEffect, TargetReport, TargetSpeed};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long the word of a target that has left is kept. A check-in of it that
-/// was held up on its way could bring it back otherwise; the longest delays
-/// seen are those of links that were cut, some tens of seconds.
-const GONE_KEPT: Duration = Duration::from_mins(2);
+/// How long the report of a target that has left is kept, so that an earlier
+/// report that arrives late does not bring it back. The longest delays, on
+/// links that were interrupted, are some tens of seconds.
+const DEPARTED_RETENTION: Duration = Duration::from_mins(2);
 
-/// Soft state of each replica and entry: the newest word of each target and
+/// Soft state of each replica and entry: the latest report of each target and
 /// each entry.
 ///
-/// What is told is ordered by incarnation, then by sequence, so that it may
-/// come on any way, late and more than once, and all boards end up equal.
+/// Reports are ordered by incarnation, then by sequence number. They may arrive
+/// on any path, late or repeatedly, and all stores converge to the same state.
 ///
 /// ```
-/// use member::{ReportStore, ReportEffect, Presence, TargetReport};
+/// use member::{Presence, ReportEffect, ReportStore, TargetReport};
 /// use std::time::{Duration, Instant};
 ///
 /// let now = Instant::now();
-/// let mut board = ReportStore::default();
+/// let mut store = ReportStore::default();
 /// let ready = TargetReport {
 ///     id: "i-7f3a".into(),
 ///     service: "order-desk".into(),
@@ -32,46 +32,51 @@
 ///     started_ms: 1_700_000_000_000,
 ///     sequence: 1,
 /// };
-/// assert_eq!(board.record_target(ready.clone(), now), ReportEffect::Changed);
-/// assert_eq!(board.record_target(ready, now), ReportEffect::Stale);
-/// assert_eq!(board.targets().count(), 1);
+/// assert_eq!(store.record_target(ready.clone(), now), ReportEffect::Changed);
+/// assert_eq!(store.record_target(ready, now), ReportEffect::Stale);
+/// assert_eq!(store.targets().count(), 1);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct ReportStore {
-    targets: BTreeMap<String, Row<TargetReport>>,
-    entries: BTreeMap<String, Row<EntryReport>>,
-    /// What agents report of targets that are slow.
-    slow: BTreeMap<SocketAddr, Row<TargetSpeed>>,
+    targets: BTreeMap<String, Received<TargetReport>>,
+    entries: BTreeMap<String, Received<EntryReport>>,
+    /// Reports of agents about slow targets, by the target's address.
+    slow: BTreeMap<SocketAddr, Received<TargetSpeed>>,
 }
 
-/// What was told, and when it was heard here.
+/// A report and when it was received here.
 #[derive(Clone, Debug)]
-struct Row<T> {
-    told: T,
-    heard: Instant,
+struct Received<T> {
+    report: T,
+    received_at: Instant,
 }
 
 impl ReportStore {
-    /// Takes what a target tells of itself, on whatever way it came.
-    pub fn record_target(&mut self, told: TargetReport, now: Instant) -> ReportEffect {
-        if self.is_superseded(&told) {
+    /// Records the report of a target, whichever path it came on.
+    pub fn record_target(&mut self, report: TargetReport, now: Instant) -> ReportEffect {
+        if self.is_superseded(&report) {
             return ReportEffect::Stale;
         }
-        let heard = match self.targets.get(&told.id) {
-            Some(row) if row.told.order() >= told.order() => return ReportEffect::Stale,
-            Some(row) if same_place(&row.told, &told) => ReportEffect::Refreshed,
+        let effect = match self.targets.get(&report.id) {
+            Some(row) if row.report.order() >= report.order() => return ReportEffect::Stale,
+            Some(row) if same_target(&row.report, &report) => ReportEffect::Refreshed,
             _ => ReportEffect::Changed,
         };
-        if told.presence != Presence::Gone {
-            self.displace(&told);
+        if report.presence != Presence::Gone {
+            self.mark_replaced(&report);
         }
-        let row = Row { told, heard: now };
-        self.targets.insert(row.told.id.clone(), row);
-        heard
+        let row = Received {
+            report,
+            received_at: now,
+        };
+        self.targets.insert(row.report.id.clone(), row);
+        effect
     }
 
-    /// Takes the word that a target has left, where only its id is told. Its
-    /// incarnation is the one that is known, if it isn't told either.
+    /// Records that a target has left, given its identifier and, if known, the start
+    /// time of its incarnation in Unix milliseconds. Without one, the known incarnation
+    /// has left. Returns the resulting report, or `None` if the target is unknown or a
+    /// later incarnation of it is known.
     pub fn record_departure(
         &mut self,
         id: &str,
@@ -79,30 +84,33 @@
         now: Instant,
     ) -> Option<TargetReport> {
         let row = self.targets.get_mut(id)?;
-        if started_ms.is_some_and(|started_ms| started_ms < row.told.started_ms) {
+        if started_ms.is_some_and(|started_ms| started_ms < row.report.started_ms) {
             return None;
         }
-        row.told.started_ms = started_ms.unwrap_or(row.told.started_ms);
-        // Nothing that this incarnation said before comes after it.
-        row.told.sequence = u64::MAX;
-        row.told.presence = Presence::Gone;
-        row.heard = now;
-        Some(row.told.clone())
+        row.report.started_ms = started_ms.unwrap_or(row.report.started_ms);
+        // No earlier report of this incarnation may supersede its departure.
+        row.report.sequence = u64::MAX;
+        row.report.presence = Presence::Gone;
+        row.received_at = now;
+        Some(row.report.clone())
     }
 
-    /// Takes what an entry tells of itself.
-    pub fn record_entry(&mut self, told: EntryReport, now: Instant) -> ReportEffect {
-        let heard = match self.entries.get(&told.name) {
-            Some(row) if row.told.order() >= told.order() => return ReportEffect::Stale,
-            Some(row) if same_entry(&row.told, &told) => ReportEffect::Refreshed,
+    /// Records the report of an entry.
+    pub fn record_entry(&mut self, report: EntryReport, now: Instant) -> ReportEffect {
+        let effect = match self.entries.get(&report.name) {
+            Some(row) if row.report.order() >= report.order() => return ReportEffect::Stale,
+            Some(row) if same_entry(&row.report, &report) => ReportEffect::Refreshed,
             _ => ReportEffect::Changed,
         };
-        let row = Row { told, heard: now };
-        self.entries.insert(row.told.name.clone(), row);
-        heard
+        let row = Received {
+            report,
+            received_at: now,
+        };
+        self.entries.insert(row.report.name.clone(), row);
+        effect
     }
 
-    /// Takes what an agent reports of its target's speed.
+    /// Records the speed of a target that its agent reports.
     ///
     /// ```
     /// use member::{ReportStore, TargetSpeed};
@@ -110,81 +118,94 @@
     ///
     /// let now = Instant::now();
     /// let address = "127.0.0.1:8080".parse().unwrap();
-    /// let mut board = ReportStore::default();
-    /// assert_eq!(board.slowdown(address, now), 1.0);
-    /// board.record_speed(TargetSpeed { address, slowdown: 4.0 }, now);
-    /// assert_eq!(board.slowdown(address, now), 4.0);
-    /// assert_eq!(board.slowdown(address, now + TargetSpeed::VALIDITY), 1.0);
+    /// let mut store = ReportStore::default();
+    /// assert_eq!(store.slowdown(address, now), 1.0);
+    /// store.record_speed(TargetSpeed { address, slowdown: 4.0 }, now);
+    /// assert_eq!(store.slowdown(address, now), 4.0);
+    /// assert_eq!(store.slowdown(address, now + TargetSpeed::VALIDITY), 1.0);
     /// ```
-    pub fn record_speed(&mut self, told: TargetSpeed, now: Instant) {
-        self.slow
-            .retain(|_, row| now.saturating_duration_since(row.heard) < TargetSpeed::VALIDITY);
-        if told.slowdown > 1.0 {
-            self.slow.insert(told.address, Row { told, heard: now });
+    pub fn record_speed(&mut self, report: TargetSpeed, now: Instant) {
+        self.slow.retain(|_, row| {
+            now.saturating_duration_since(row.received_at) < TargetSpeed::VALIDITY
+        });
+        if report.slowdown > 1.0 {
+            self.slow.insert(
+                report.address,
+                Received {
+                    report,
+                    received_at: now,
+                },
+            );
         } else {
-            self.slow.remove(&told.address);
+            self.slow.remove(&report.address);
         }
     }
 
-    /// How many times longer than usual the target at an address takes.
+    /// Processing time of the target at an address as a multiple of the usual one;
+    /// 1.0 if no slowdown is reported.
     #[must_use]
     pub fn slowdown(&self, address: SocketAddr, now: Instant) -> f64 {
         let row = self.slow.get(&address);
-        let row =
-            row.filter(|row| now.saturating_duration_since(row.heard) < TargetSpeed::VALIDITY);
-        row.map_or(1.0, |row| row.told.slowdown)
+        let row = row
+            .filter(|row| now.saturating_duration_since(row.received_at) < TargetSpeed::VALIDITY);
+        row.map_or(1.0, |row| row.report.slowdown)
     }
 
-    /// All targets that were ever heard and not forgotten, and when they were.
+    /// Returns the latest report of each target and when it was received.
     pub fn targets(&self) -> impl Iterator<Item = (&TargetReport, Instant)> {
-        self.targets.values().map(|row| (&row.told, row.heard))
+        self.targets
+            .values()
+            .map(|row| (&row.report, row.received_at))
     }
 
-    /// The target of that id.
+    /// Returns the latest report of the target with this identifier.
     #[must_use]
     pub fn target(&self, id: &str) -> Option<&TargetReport> {
-        self.targets.get(id).map(|row| &row.told)
+        self.targets.get(id).map(|row| &row.report)
     }
 
-    /// All entries, and when they were heard.
+    /// Returns the latest report of each entry and when it was received.
     pub fn entries(&self) -> impl Iterator<Item = (&EntryReport, Instant)> {
-        self.entries.values().map(|row| (&row.told, row.heard))
+        self.entries
+            .values()
+            .map(|row| (&row.report, row.received_at))
     }
 
-    /// Forgets targets and entries that have been silent for `within`, and
-    /// those that left long ago.
-    pub fn remove_silent(&mut self, within: Duration, now: Instant) {
-        let silent = |heard: Instant| now.saturating_duration_since(heard);
+    /// Removes targets and entries that have not reported for `max_silence`, and targets
+    /// that left longer than two minutes ago.
+    pub fn remove_silent(&mut self, max_silence: Duration, now: Instant) {
+        let silence = |received_at: Instant| now.saturating_duration_since(received_at);
         self.targets.retain(|_, row| {
-            let keep = match row.told.presence {
-                Presence::Gone => GONE_KEPT,
-                Presence::Ready | Presence::Draining => within,
+            let retention = match row.report.presence {
+                Presence::Gone => DEPARTED_RETENTION,
+                Presence::Ready | Presence::Draining => max_silence,
             };
-            silent(row.heard) < keep
+            silence(row.received_at) < retention
         });
-        self.entries.retain(|_, row| silent(row.heard) < within);
+        self.entries
+            .retain(|_, row| silence(row.received_at) < max_silence);
     }
 
-    /// Whether a later process has the address. A check-in that was held up
-    /// behind a cut may arrive after its sender has crashed and the address
-    /// was given to another service: requests would go to the wrong one.
-    fn is_superseded(&self, told: &TargetReport) -> bool {
-        let mut others = self.targets.values().map(|row| &row.told);
+    /// Whether a later process uses the address. A report that an interrupted link
+    /// delayed may arrive after its sender has crashed and its address was assigned
+    /// to another service, and requests would go to the wrong service.
+    fn is_superseded(&self, report: &TargetReport) -> bool {
+        let mut others = self.targets.values().map(|row| &row.report);
         others.any(|other| {
-            other.address == told.address
-                && other.id != told.id
+            other.address == report.address
+                && other.id != report.id
                 && other.presence != Presence::Gone
-                && other.started_ms > told.started_ms
+                && other.started_ms > report.started_ms
         })
     }
 
     /// Marks earlier processes at the address as gone.
-    fn displace(&mut self, told: &TargetReport) {
+    fn mark_replaced(&mut self, report: &TargetReport) {
         for row in self.targets.values_mut() {
-            let other = &mut row.told;
-            if other.address == told.address
-                && other.id != told.id
-                && other.started_ms <= told.started_ms
+            let other = &mut row.report;
+            if other.address == report.address
+                && other.id != report.id
+                && other.started_ms <= report.started_ms
             {
                 other.presence = Presence::Gone;
                 other.sequence = u64::MAX;
@@ -193,19 +214,19 @@
     }
 }
 
-/// Whether nothing changed but the count and, perhaps, the incarnation's word.
-fn same_place(known: &TargetReport, told: &TargetReport) -> bool {
-    let told = TargetReport {
+/// Whether two reports of a target differ in the sequence number only.
+fn same_target(known: &TargetReport, report: &TargetReport) -> bool {
+    let report = TargetReport {
         sequence: known.sequence,
-        ..told.clone()
+        ..report.clone()
     };
-    *known == told
+    *known == report
 }
 
-fn same_entry(known: &EntryReport, told: &EntryReport) -> bool {
-    let told = EntryReport {
+fn same_entry(known: &EntryReport, report: &EntryReport) -> bool {
+    let report = EntryReport {
         sequence: known.sequence,
-        ..told.clone()
+        ..report.clone()
     };
-    *known == told
+    *known == report
 }
--- a/crates/member/src/role.rs
+++ b/crates/member/src/role.rs
@@ -3,8 +3,8 @@
 /// Role of a node that holds a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
-    /// Takes callers' requests.
+    /// Accepts requests of callers.
     Entry,
-    /// Stands before one target.
+    /// Forwards requests to one target.
     Agent,
 }
--- a/crates/member/src/speed_report_schedule.rs
+++ b/crates/member/src/speed_report_schedule.rs
@@ -1,15 +1,15 @@
-//! When an agent reports how fast its target is.
+//! Decides when an agent reports the speed of its target.
 
 use std::time::{Duration, Instant};
 
-/// Between two reports of a target that stays slow: a third of the time that a
-/// report holds.
-const REPEAT: Duration = Duration::from_secs(1);
-/// Slowdowns that differ by a smaller part are taken for equal.
-const DIFFERS: f64 = 0.1;
+/// Interval between reports of a target that stays slow: a third of
+/// [`TargetSpeed::VALIDITY`](crate::TargetSpeed::VALIDITY).
+const REPEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// Relative difference up to which two slowdowns count as equal.
+const TOLERANCE: f64 = 0.1;
 
-/// When an agent reports how fast its target is: at each change, and again
-/// while it is slow.
+/// Decides when an agent reports the speed of its target: at each change, and
+/// repeatedly while the target is slow.
 ///
 /// ```
 /// use member::SpeedReportSchedule;
@@ -26,27 +26,26 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct SpeedReportSchedule {
-    /// What was confirmed last, and when.
+    /// Slowdown that was confirmed last, and when.
     last: Option<(f64, Instant)>,
 }
 
 impl SpeedReportSchedule {
-    /// Whether a target that is `slowdown` times slower than usual is to be
-    /// reported.
+    /// Whether the current slowdown has to be reported.
     #[must_use]
     pub fn is_due(&self, slowdown: f64, now: Instant) -> bool {
-        let is_slow = slowdown > 1.0 + DIFFERS;
+        let is_slow = slowdown > 1.0 + TOLERANCE;
         match self.last {
             None => is_slow,
-            Some((told, at)) => {
-                let differs = (slowdown - told).abs() > DIFFERS * told;
-                let old = now.saturating_duration_since(at) >= REPEAT;
-                differs || (is_slow && old)
+            Some((reported, at)) => {
+                let differs = (slowdown - reported).abs() > TOLERANCE * reported;
+                let repeat = now.saturating_duration_since(at) >= REPEAT_INTERVAL;
+                differs || (is_slow && repeat)
             }
         }
     }
 
-    /// Takes in that a report was confirmed.
+    /// Records that a report was confirmed.
     pub fn confirmed(&mut self, slowdown: f64, now: Instant) {
         self.last = Some((slowdown, now));
     }
--- a/crates/member/src/target_report.rs
+++ b/crates/member/src/target_report.rs
@@ -1,33 +1,33 @@
-//! What a target tells of itself.
+//! What a target reports about itself.
 
 use crate::Presence;
 use std::net::SocketAddr;
 
-/// What a target without an agent tells of itself.
+/// What a target without an agent reports about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetReport {
-    /// Identity of the target's process; a restart mostly makes a new one.
+    /// Identifier of the target's process; usually a new one after a restart.
     pub id: String,
-    /// The service that it is a target of.
+    /// Service that the target serves.
     pub service: String,
-    /// Where it accepts requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
     /// Availability zone.
     pub zone: String,
-    /// Requests that it runs at a time.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     pub presence: Presence,
-    /// Milliseconds since 1970 at which this incarnation started, by the
-    /// target's own clock. Only compared with the target's other words.
+    /// Start time of this incarnation in Unix milliseconds, by the target's
+    /// clock. Compared only with start times that targets report.
     pub started_ms: u64,
-    /// Counts what this incarnation has told.
+    /// Number of the report within the incarnation.
     pub sequence: u64,
 }
 
 impl TargetReport {
-    /// Orders what one target tells: the later incarnation, then the later
-    /// word of it.
+    /// Sort key of the reports of one target: start time of the incarnation,
+    /// then sequence number.
     pub(crate) fn order(&self) -> (u64, u64) {
         (self.started_ms, self.sequence)
     }
--- a/crates/member/src/target_speed.rs
+++ b/crates/member/src/target_speed.rs
@@ -1,19 +1,19 @@
-//! How fast a target is, as the agent beside it reports.
+//! Speed of a target as reported by its agent.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How fast a target is, as the agent beside it reports.
+/// Speed of a target as reported by the agent on its host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TargetSpeed {
-    /// Where the target accepts requests.
+    /// Address at which the target accepts requests.
     pub address: SocketAddr,
-    /// How many times longer than usual it takes for its work.
+    /// Processing time as a multiple of the usual one.
     pub slowdown: f64,
 }
 
 impl TargetSpeed {
-    /// How long a report holds. Agents of slow targets repeat theirs every
-    /// second, so one that is older comes from an agent that is gone.
+    /// How long a report is valid. Agents of slow targets repeat their report
+    /// every second, so an older one comes from an agent that no longer runs.
     pub const VALIDITY: Duration = Duration::from_secs(3);
 }
--- a/crates/member/src/view.rs
+++ b/crates/member/src/view.rs
@@ -1,27 +1,27 @@
-//! The nodes that live.
+//! The live nodes.
 
 use std::sync::Arc;
 
 use crate::{Node, NodeKey};
 
-/// The nodes that live, as one leader knows them.
+/// The live nodes as known to one leader.
 ///
-/// Views are ordered by term, then version.
+/// Views are ordered by term, then by version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct View {
-    /// Term of the leader that made it.
+    /// Term of the leader that created the view.
     pub term: u64,
-    /// Counts the changes within the term.
+    /// Number of the version within the term.
     pub version: u64,
-    /// Until this is set, what is missing must not be taken for gone: it may
-    /// not have reached the new leader yet.
+    /// Whether the view is complete. Until then, a missing node must not be
+    /// considered gone: it may not have renewed with the new leader yet.
     pub settled: bool,
-    /// The nodes, in order of their keys.
+    /// The nodes, ordered by key.
     pub nodes: Vec<Arc<Node>>,
 }
 
 impl View {
-    /// The node of this key.
+    /// Returns the node with this key.
     ///
     /// ```
     /// use std::sync::Arc;
--- a/crates/member/src/view_changes.rs
+++ b/crates/member/src/view_changes.rs
@@ -1,14 +1,14 @@
-//! What changed between two versions of the view.
+//! Changes between two versions of the view.
 
 use std::sync::Arc;
 
 use crate::{Node, NodeKey};
 
-/// What changed between two versions of the view.
+/// Changes between two versions of the view.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ViewChanges {
-    /// Nodes that are new or tell something else of themselves.
+    /// Nodes that were added or whose own data changed.
     pub nodes: Vec<Arc<Node>>,
-    /// Nodes whose lease has run out.
+    /// Nodes whose lease has expired.
     pub removed: Vec<NodeKey>,
 }
--- a/crates/member/tests/board.rs
+++ b/crates/member/tests/board.rs
@@ -1,9 +1,9 @@
-//! What stands on a board after words came late, twice or from elsewhere.
+//! State of a report store after reports arrived late, repeatedly or out of order.
 
 use member::{Presence, ReportEffect, ReportStore, TargetReport};
 use std::time::{Duration, Instant};
 
-fn told(id: &str, address: &str, started_ms: u64, sequence: u64) -> TargetReport {
+fn report(id: &str, address: &str, started_ms: u64, sequence: u64) -> TargetReport {
     TargetReport {
         id: id.to_owned(),
         service: "order-desk".to_owned(),
@@ -16,98 +16,101 @@
     }
 }
 
-fn presence(board: &ReportStore, id: &str) -> Option<Presence> {
-    board.target(id).map(|told| told.presence)
+fn presence(store: &ReportStore, id: &str) -> Option<Presence> {
+    store.target(id).map(|report| report.presence)
 }
 
 #[test]
-fn hear_again() {
+fn record_target_again() {
     let now = Instant::now();
-    let mut board = ReportStore::default();
+    let mut store = ReportStore::default();
     assert_eq!(
-        board.record_target(told("a", "127.0.0.1:1", 5, 1), now),
+        store.record_target(report("a", "127.0.0.1:1", 5, 1), now),
         ReportEffect::Changed
     );
     assert_eq!(
-        board.record_target(told("a", "127.0.0.1:1", 5, 2), now),
+        store.record_target(report("a", "127.0.0.1:1", 5, 2), now),
         ReportEffect::Refreshed
     );
-    let mut draining = told("a", "127.0.0.1:1", 5, 3);
+    let mut draining = report("a", "127.0.0.1:1", 5, 3);
     draining.presence = Presence::Draining;
-    assert_eq!(board.record_target(draining, now), ReportEffect::Changed);
+    assert_eq!(store.record_target(draining, now), ReportEffect::Changed);
 }
 
-/// A check-in that says "ready" is held up and arrives after one that says
-/// "draining". Were it believed, the leaving target would get new work.
+/// Guards against applying a delayed "ready" report that arrives after a "draining"
+/// one: the leaving target would get new work.
 #[test]
-fn hear_older_sequence() {
+fn record_target_older_sequence() {
     let now = Instant::now();
-    let mut board = ReportStore::default();
-    let mut draining = told("a", "127.0.0.1:1", 5, 3);
+    let mut store = ReportStore::default();
+    let mut draining = report("a", "127.0.0.1:1", 5, 3);
     draining.presence = Presence::Draining;
-    board.record_target(draining, now);
+    store.record_target(draining, now);
     assert_eq!(
-        board.record_target(told("a", "127.0.0.1:1", 5, 2), now),
+        store.record_target(report("a", "127.0.0.1:1", 5, 2), now),
         ReportEffect::Stale
     );
-    assert_eq!(presence(&board, "a"), Some(Presence::Draining));
+    assert_eq!(presence(&store, "a"), Some(Presence::Draining));
 }
 
-/// A target starts again under its id and counts from 1 once more. Were only
-/// the count compared, it would stay away for as long as it ran before.
+/// Guards against comparing sequence numbers only. A target that restarts under the same
+/// identifier numbers its reports from 1 again, and would be ignored for as long as it
+/// ran before.
 #[test]
-fn hear_same_id_born_later() {
+fn record_target_restarted_under_same_id() {
     let now = Instant::now();
-    let mut board = ReportStore::default();
-    board.record_target(told("a", "127.0.0.1:1", 5, 90), now);
-    board.record_departure("a", None, now);
+    let mut store = ReportStore::default();
+    store.record_target(report("a", "127.0.0.1:1", 5, 90), now);
+    store.record_departure("a", None, now);
     assert_eq!(
-        board.record_target(told("a", "127.0.0.1:1", 6, 1), now),
+        store.record_target(report("a", "127.0.0.1:1", 6, 1), now),
         ReportEffect::Changed
     );
-    assert_eq!(presence(&board, "a"), Some(Presence::Ready));
+    assert_eq!(presence(&store, "a"), Some(Presence::Ready));
 }
 
-/// The address of a target that crashed is given to another service, and a
-/// check-in that the first had sent arrives after that. Were it believed,
-/// requests of one service would go to the other.
+/// Guards against applying a delayed report of a crashed target whose address was
+/// assigned to another service: requests of one service would go to the other.
 #[test]
-fn hear_late_at_reused_address() {
+fn record_target_late_at_reused_address() {
     let now = Instant::now();
-    let mut board = ReportStore::default();
-    board.record_target(told("old", "127.0.0.1:1", 5, 1), now);
-    board.record_target(told("new", "127.0.0.1:1", 9, 1), now);
-    assert_eq!(presence(&board, "old"), Some(Presence::Gone));
+    let mut store = ReportStore::default();
+    store.record_target(report("old", "127.0.0.1:1", 5, 1), now);
+    store.record_target(report("new", "127.0.0.1:1", 9, 1), now);
+    assert_eq!(presence(&store, "old"), Some(Presence::Gone));
     assert_eq!(
-        board.record_target(told("old", "127.0.0.1:1", 5, 2), now),
+        store.record_target(report("old", "127.0.0.1:1", 5, 2), now),
         ReportEffect::Stale
     );
-    assert_eq!(presence(&board, "new"), Some(Presence::Ready));
+    assert_eq!(presence(&store, "new"), Some(Presence::Ready));
 }
 
-/// A target signs off and an earlier check-in of it comes after. It must not
-/// be back: its process has ended.
+/// Guards against a target that has left returning through an earlier report that
+/// arrives late: its process has ended.
 #[test]
-fn leave_then_late_word() {
+fn record_departure_then_late_report() {
     let now = Instant::now();
-    let mut board = ReportStore::default();
-    board.record_target(told("a", "127.0.0.1:1", 5, 1), now);
-    assert!(board.record_departure("a", None, now).is_some());
+    let mut store = ReportStore::default();
+    store.record_target(report("a", "127.0.0.1:1", 5, 1), now);
+    assert!(store.record_departure("a", None, now).is_some());
     let later = now + Duration::from_mins(1);
-    board.remove_silent(Duration::from_secs(6), later);
+    store.remove_silent(Duration::from_secs(6), later);
     assert_eq!(
-        board.record_target(told("a", "127.0.0.1:1", 5, 2), later),
+        store.record_target(report("a", "127.0.0.1:1", 5, 2), later),
         ReportEffect::Stale
     );
 }
 
 #[test]
-fn forget_silent() {
+fn remove_silent_targets() {
     let now = Instant::now();
-    let mut board = ReportStore::default();
-    board.record_target(told("a", "127.0.0.1:1", 5, 1), now);
-    board.record_target(told("b", "127.0.0.1:2", 5, 1), now + Duration::from_secs(4));
-    board.remove_silent(Duration::from_secs(6), now + Duration::from_secs(7));
-    assert_eq!(presence(&board, "a"), None);
-    assert_eq!(presence(&board, "b"), Some(Presence::Ready));
+    let mut store = ReportStore::default();
+    store.record_target(report("a", "127.0.0.1:1", 5, 1), now);
+    store.record_target(
+        report("b", "127.0.0.1:2", 5, 1),
+        now + Duration::from_secs(4),
+    );
+    store.remove_silent(Duration::from_secs(6), now + Duration::from_secs(7));
+    assert_eq!(presence(&store, "a"), None);
+    assert_eq!(presence(&store, "b"), Some(Presence::Ready));
 }
--- a/crates/member/tests/registry.rs
+++ b/crates/member/tests/registry.rs
@@ -17,11 +17,10 @@
 }
 
 #[test]
-fn in_force_new_leader() {
-    // A leader has just been elected and one entry, which still acts on the old
-    // note under a lease of the former leader, hasn't reached it. Were the note
-    // reported as in force everywhere, the operator would trust it while that
-    // entry sends work to a target that is withdrawn.
+fn note_rollout_new_leader() {
+    // Guards against a new leader reporting a note as in use everywhere while an
+    // entry that has not reached it yet still uses the old note under a lease of the
+    // former leader: that entry would send work to a withdrawn target.
     let began = Instant::now();
     let mut registry = Registry::new(2, began, LEASE);
     registry.renew(agent("a", 1), 5, began);
@@ -32,9 +31,9 @@
 }
 
 #[test]
-fn in_force_silent_node() {
-    // A node is cut off and never acknowledges the note. It must hold the report
-    // up for as long as its lease lets it take work, and no longer.
+fn note_rollout_silent_node() {
+    // A node is disconnected and never acknowledges the note. The rollout must stay
+    // incomplete for as long as its lease lets it accept work, and no longer.
     let began = Instant::now();
     let now = began + LEASE;
     let mut registry = Registry::new(2, began, LEASE);
@@ -46,10 +45,10 @@
 }
 
 #[test]
-fn in_force_replaced_process() {
-    // Two processes were started under one name, and the first still runs under
-    // its lease when the second renews. It may go on by the old note, so the new
-    // one must not be reported as in force everywhere.
+fn note_rollout_replaced_process() {
+    // Two processes run under one name, and the first still holds its lease when the
+    // second renews. It may still use the old note, so the new one must not be reported
+    // as in use everywhere.
     let began = Instant::now();
     let now = began + LEASE;
     let mut registry = Registry::new(2, began, LEASE);
@@ -61,8 +60,8 @@
 
 #[test]
 fn renew_same_after_expiry() {
-    // A host was cut off for longer than its lease and comes back, the same
-    // process. Its targets would stay unused if it were refused.
+    // A process reconnects after its lease has expired. If it were refused, its target
+    // would stay unused.
     let now = Instant::now();
     let mut registry = Registry::new(1, now, LEASE);
     registry.renew(agent("a", 1), 1, now);
@@ -72,8 +71,8 @@
 
 #[test]
 fn renew_full() {
-    // Processes with made-up names renew without end. Memory must stay bounded
-    // and nodes that live must keep their leases; names long gone give way.
+    // Processes keep renewing under made-up names. Memory must stay bounded and live
+    // nodes must keep their leases; only expired nodes are evicted.
     let now = Instant::now();
     let mut registry = Registry::new(1, now, LEASE);
     for n in 0..10_000 {
@@ -85,13 +84,13 @@
     assert_eq!(granted, Renewal::Granted { changed: true });
 }
 
-/// One step of a schedule, over three names.
+/// One step of a schedule with three names.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Renew {
         name: u8,
     },
-    /// An earlier incarnation's message arrives late.
+    /// A renewal of an earlier incarnation arrives late.
     RenewLate {
         name: u8,
         back: u8,
@@ -125,14 +124,14 @@
     }
 }
 
-/// What the registry should hold, kept in the plainest way.
+/// Simple model of what the registry must hold.
 #[derive(Default)]
 struct Model {
     /// Newest incarnation of each name that was started.
     started: BTreeMap<u8, u64>,
-    /// All incarnations that were heard, the newest last, and the end of the
-    /// newest one's lease.
-    heard: BTreeMap<u8, (Vec<u64>, Instant)>,
+    /// All incarnations that renewed, the newest last, and the end of the lease of the
+    /// newest one.
+    renewed: BTreeMap<u8, (Vec<u64>, Instant)>,
     leaving: BTreeSet<u8>,
 }
 
@@ -144,28 +143,31 @@
         node
     }
 
-    fn hear(&mut self, name: u8, incarnation: u64, expires: Instant) {
-        let heard = self.heard.entry(name).or_insert((Vec::new(), expires));
-        if heard.0.last() != Some(&incarnation) {
-            heard.0.push(incarnation);
+    fn record(&mut self, name: u8, incarnation: u64, expires: Instant) {
+        let renewed = self.renewed.entry(name).or_insert((Vec::new(), expires));
+        if renewed.0.last() != Some(&incarnation) {
+            renewed.0.push(incarnation);
         }
-        heard.1 = expires;
+        renewed.1 = expires;
     }
 
-    fn late(&self, name: u8, back: u8) -> Option<u64> {
-        let (heard, _) = self.heard.get(&name)?;
-        let earlier = heard.len().checked_sub(2 + usize::from(back))?;
-        Some(heard[earlier])
+    fn earlier_incarnation(&self, name: u8, back: u8) -> Option<u64> {
+        let (renewed, _) = self.renewed.get(&name)?;
+        let earlier = renewed.len().checked_sub(2 + usize::from(back))?;
+        Some(renewed[earlier])
     }
 
     fn live(&self, now: Instant) -> Vec<(String, u64)> {
-        let live = self.heard.iter().filter(|(_, (_, expires))| now < *expires);
-        live.map(|(name, (heard, _))| (name.to_string(), heard[heard.len() - 1]))
+        let live = self
+            .renewed
+            .iter()
+            .filter(|(_, (_, expires))| now < *expires);
+        live.map(|(name, (renewed, _))| (name.to_string(), renewed[renewed.len() - 1]))
             .collect()
     }
 }
 
-fn take(step: Step, registry: &mut Registry, model: &mut Model, now: &mut Instant) -> bool {
+fn apply(step: Step, registry: &mut Registry, model: &mut Model, now: &mut Instant) -> bool {
     match step {
         Step::Wait { ms } => *now += Duration::from_millis(ms.into()),
         Step::Restart { name } => {
@@ -175,11 +177,11 @@
         Step::Leave { name } => drop(model.leaving.insert(name)),
         Step::Renew { name } => {
             let node = model.node(name);
-            model.hear(name, node.incarnation, *now + LEASE);
+            model.record(name, node.incarnation, *now + LEASE);
             return matches!(registry.renew(node, 1, *now), Renewal::Granted { .. });
         }
         Step::RenewLate { name, back } => {
-            if let Some(late) = model.late(name, back) {
+            if let Some(late) = model.earlier_incarnation(name, back) {
                 let renewal = registry.renew(agent(&name.to_string(), late), 1, *now);
                 return renewal == Renewal::Refused(Refusal::Superseded);
             }
@@ -195,7 +197,7 @@
     let mut model = Model::default();
     let mut seen = registry.view();
     for step in steps {
-        if !take(step, &mut registry, &mut model, &mut now) {
+        if !apply(step, &mut registry, &mut model, &mut now) {
             return false;
         }
         registry.expire(now);
@@ -216,16 +218,16 @@
 
 #[test]
 fn renew_schedules() {
-    // Agents restart, leave, fall silent, and messages of processes that are
-    // gone arrive late. The view must hold exactly the newest incarnations with
-    // a live lease, or calls go to a process that is no longer there.
+    // Agents restart, leave or stop renewing, and renewals of ended processes arrive
+    // late. The view must hold exactly the newest incarnations with a live lease;
+    // otherwise calls go to a process that no longer runs.
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(120, 23))
         .tests(2_000)
         .quickcheck(follows_model as fn(Vec<Step>) -> bool);
 }
 
-/// A node that holds some version of the view and is told what changed since.
+/// A node that holds a version of the view and applies the changes since.
 #[derive(Default)]
 struct Follower {
     version: u64,
@@ -233,10 +235,10 @@
 }
 
 impl Follower {
-    fn ask(&mut self, registry: &Registry) {
+    fn update(&mut self, registry: &Registry) {
         if let Some(changes) = registry.changes_since(self.version) {
-            for gone in changes.removed {
-                self.nodes.remove(&gone.name);
+            for removed in changes.removed {
+                self.nodes.remove(&removed.name);
             }
             for node in changes.nodes {
                 self.nodes.insert(node.key.name.clone(), node.incarnation);
@@ -261,7 +263,7 @@
 
 fn changes_lead_to_view(steps: Vec<Step>) -> bool {
     const FOLLOWERS: usize = 5;
-    const DRAIN_EACH: usize = 17;
+    const FULL_VIEW_EVERY: usize = 17;
     let began = Instant::now();
     let mut now = began;
     let mut registry = Registry::new(1, began, LEASE);
@@ -269,17 +271,17 @@
     let mut followers: Vec<Follower> = Vec::new();
     followers.resize_with(FOLLOWERS, Follower::default);
     for (count, step) in steps.into_iter().enumerate() {
-        if !take(step, &mut registry, &mut model, &mut now) {
+        if !apply(step, &mut registry, &mut model, &mut now) {
             return false;
         }
         registry.expire(now);
-        if count % DRAIN_EACH == DRAIN_EACH - 1 {
+        if count % FULL_VIEW_EVERY == FULL_VIEW_EVERY - 1 {
             registry.require_full_view();
         }
-        for (place, follower) in followers.iter_mut().enumerate() {
-            // Each asks at a pace of its own, and so lags by other versions.
-            if count % (place + 1) == 0 {
-                follower.ask(&registry);
+        for (position, follower) in followers.iter_mut().enumerate() {
+            // Followers update at different intervals, so they lag by different versions.
+            if count % (position + 1) == 0 {
+                follower.update(&registry);
                 if !follower.agrees(&registry) {
                     return false;
                 }
@@ -291,9 +293,9 @@
 
 #[test]
 fn changes_since_schedules() {
-    // Nodes are told only what changed in the view since the version that they hold.
-    // Were one change left out, an entry would go on sending calls to a target that
-    // is gone, or never send any to one that is there.
+    // Nodes receive only the changes since the version of the view that they hold. If
+    // one were missing, an entry would keep sending calls to a removed target, or never
+    // send any to a new one.
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(120, 29))
         .tests(2_000)
--- a/crates/member/tests/renewal_path.rs
+++ b/crates/member/tests/renewal_path.rs
@@ -1,4 +1,4 @@
-//! Who renews through whom.
+//! Selection of the relays of renewals.
 
 #![allow(
     clippy::needless_pass_by_value,
@@ -22,7 +22,7 @@
     }
 }
 
-fn renewers(rows: &[(String, bool)]) -> Vec<RelayCandidate<'_>> {
+fn candidates(rows: &[(String, bool)]) -> Vec<RelayCandidate<'_>> {
     let rows = rows.iter();
     rows.map(|(name, accepts_links)| RelayCandidate {
         name,
@@ -32,7 +32,7 @@
 }
 
 fn paths(rows: &[(String, bool)]) -> BTreeMap<&str, RenewalPath<'_>> {
-    let zone = renewers(rows);
+    let zone = candidates(rows);
     zone.iter()
         .map(|me| (me.name, renewal_path(*me, &zone)))
         .collect()
@@ -45,8 +45,8 @@
         .quickcheck(property);
 }
 
-/// A node that renewed through one which itself renews through another would depend on
-/// both, and a circle of them would never reach the leader.
+/// Guards against chains of relays: a node would depend on two others, and a cycle would
+/// never reach the leader.
 #[test]
 fn renewal_path_through_relays_only() {
     fn property(zone: Zone) -> bool {
@@ -59,31 +59,32 @@
     check(property);
 }
 
-/// Small zones renew straight, and a larger one has just so many relays as its size
-/// takes, as far as its nodes accept links.
+/// Nodes of small zones renew directly. A larger zone has as many relays as its size
+/// requires, limited by the number of nodes that accept links.
 #[test]
 fn renewal_path_by_size() {
     fn property(zone: Zone) -> bool {
         let paths = paths(&zone.0);
         let count = |path| paths.values().filter(|other| **other == path).count();
-        let able = zone
+        let candidates = zone
             .0
             .iter()
             .filter(|(_, accepts_links)| *accepts_links)
             .count();
-        if zone.0.len() <= MAX_DIRECT_RENEWALS || able == 0 {
+        if zone.0.len() <= MAX_DIRECT_RENEWALS || candidates == 0 {
             return count(RenewalPath::Direct) == zone.0.len();
         }
         count(RenewalPath::Direct) == 0
-            && count(RenewalPath::Relay) == zone.0.len().div_ceil(NODES_PER_RELAY).min(able)
+            && count(RenewalPath::Relay) == zone.0.len().div_ceil(NODES_PER_RELAY).min(candidates)
     }
     check(property);
 }
 
-/// A relay dies. If the others changed theirs as well, each death would have the whole
-/// zone dial anew. At most one more relay comes or goes for the zone's size.
+/// Guards against a relay failure reassigning nodes of other relays, which would make
+/// the whole zone reconnect. The change of the zone's size adds or removes at most one
+/// more relay.
 #[test]
-fn renewal_path_relay_gone_few_move() {
+fn renewal_path_relay_gone_few_reassigned() {
     fn property(zone: Zone) -> bool {
         let before = paths(&zone.0);
         let relay = before.iter().find(|(_, path)| **path == RenewalPath::Relay);
@@ -107,36 +108,38 @@
         let (old, new) = (relays(&before), relays(&after));
         let kept = old.iter().filter(|name| new.contains(name)).count();
         let added = new.len() - kept;
-        let moved_needlessly = after.iter().any(|(name, path)| match (before[name], path) {
+        let reassigned_needlessly = after.iter().any(|(name, path)| match (before[name], path) {
             (RenewalPath::Through(old), RenewalPath::Through(new)) if old != *new => {
-                old != *gone && added == 0 && paths_has(&after, old)
+                old != *gone && added == 0 && is_relay(&after, old)
             }
             _ => false,
         });
-        kept + 2 >= old.len() && added <= 1 && !moved_needlessly
+        kept + 2 >= old.len() && added <= 1 && !reassigned_needlessly
     }
     check(property);
 }
 
-fn paths_has(paths: &BTreeMap<&str, RenewalPath<'_>>, relay: &str) -> bool {
+fn is_relay(paths: &BTreeMap<&str, RenewalPath<'_>>, relay: &str) -> bool {
     paths.get(relay) == Some(&RenewalPath::Relay)
 }
 
-/// The relays of a large zone carry about as many nodes each.
+/// The nodes of a large zone are spread evenly over its relays.
 #[test]
 fn renewal_path_spread() {
     let rows: Vec<(String, bool)> = (0..170)
         .map(|n| (format!("node-{n:03}"), n % 2 == 0))
         .collect();
-    let mut carried: BTreeMap<&str, usize> = BTreeMap::new();
+    let mut nodes_by_relay: BTreeMap<&str, usize> = BTreeMap::new();
     for path in paths(&rows).into_values() {
         if let RenewalPath::Through(relay) = path {
-            *carried.entry(relay).or_default() += 1;
+            *nodes_by_relay.entry(relay).or_default() += 1;
         }
     }
-    assert_eq!(carried.len(), 11);
+    assert_eq!(nodes_by_relay.len(), 11);
     assert!(
-        carried.values().all(|count| *count <= NODES_PER_RELAY * 2),
-        "{carried:?}"
+        nodes_by_relay
+            .values()
+            .all(|count| *count <= NODES_PER_RELAY * 2),
+        "{nodes_by_relay:?}"
     );
 }
