--- a/crates/outlet/src/client.rs
+++ b/crates/outlet/src/client.rs
@@ -1,4 +1,4 @@
-//! Connections to the target.
+//! Connections to a target.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,56 +16,56 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use crate::Failure;
-use crate::socket::{Close, Socket};
+use crate::socket::{CloseMode, Socket};
 
-/// Bytes of an answer to an order or a question at most.
-const MAX_DOCUMENT: usize = 16 << 20;
+/// Maximum size of a response body that [`fetch`] reads.
+const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// Times towards the target.
+/// Time-outs of connections to a target.
 #[derive(Clone, Debug)]
 pub struct ClientSettings {
-    /// Time to connect at most.
+    /// Time to establish a connection.
     pub connect_timeout: Duration,
-    /// Time from a request to the first byte of its answer at most.
+    /// Time from a request to the head of its response.
     pub head_timeout: Duration,
-    /// Time between two bytes of an answer at most.
+    /// Time between two bytes of a response.
     pub progress_timeout: Duration,
-    /// Time of a question or an order at most.
+    /// Time of a whole request of [`fetch`], response body included.
     pub request_timeout: Duration,
 }
 
-/// A connection to the target.
+/// A connection to a target.
 #[derive(Debug)]
 pub struct Connection {
     tx: SendRequest<Full<Bytes>>,
     socket: Socket,
-    used: Use,
-    /// Ends the connection when dropped, and so tells the target to stop.
+    use_state: UseState,
+    /// Closes the connection when dropped, which makes the target stop its work.
     _conn: AbortOnDropHandle<()>,
 }
 
-/// Whether a connection has had a call before.
+/// Whether a connection has been used for a request before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Use {
-    First,
-    Further,
+enum UseState {
+    New,
+    Reused,
 }
 
-/// How sending a request fails.
+/// Error of sending a request.
 #[derive(Debug)]
 pub enum SendError {
-    /// Nothing of it was written; here it is again.
+    /// No byte of it was written; holds the request.
     Unwritten(Box<Request<Full<Bytes>>>),
     /// It may have been written.
     Failed(Failure),
 }
 
 impl Connection {
-    /// Connects; nothing is written yet.
+    /// Connects without writing anything.
     ///
     /// # Errors
     ///
-    /// [`Failure::NotRun`], whatever went wrong.
+    /// Returns [`Failure::NotRun`] for every error.
     pub async fn open(address: SocketAddr, cfg: &ClientSettings) -> Result<Self, Failure> {
         let opened = timeout(cfg.connect_timeout, connect(address, cfg)).await;
         match opened {
@@ -75,11 +75,11 @@
         }
     }
 
-    /// Writes a request and waits for the head of its answer.
+    /// Writes a request and waits for the head of its response.
     ///
     /// # Errors
     ///
-    /// The request may have run.
+    /// Fails if no response begins within `within`. The request may have run.
     pub async fn send(
         &mut self,
         req: Request<Full<Bytes>>,
@@ -94,25 +94,25 @@
         }
     }
 
-    /// Like `send`, but gives a request back of which nothing was written.
+    /// Like [`Connection::send`], but returns a request of which no byte was written.
     ///
-    /// The request waits in a queue of one until the task of the connection
-    /// takes it out to write it, and comes back only from that queue.
+    /// The request waits in a queue of length one until the connection's task
+    /// removes it for writing, and is returned only from that queue.
     ///
     /// # Errors
     ///
-    /// [`SendError::Unwritten`] proves that the request never ran here.
+    /// [`SendError::Unwritten`] guarantees that the target did not run the request.
     pub async fn try_send(
         &mut self,
         req: Request<Full<Bytes>>,
         within: Duration,
     ) -> Result<Response<Incoming>, SendError> {
-        // A target that stands still would read the request after its caller
-        // has left, if an orderly close delivered it.
-        self.set_close(Close::Reset);
+        // After an orderly close, a target that hangs would still receive the request,
+        // and run it after its caller has left.
+        self.set_close_mode(CloseMode::Reset);
         match timeout(within, self.tx.try_send_request(req)).await {
             Ok(Ok(response)) => {
-                self.set_close(Close::Deliver);
+                self.set_close_mode(CloseMode::Graceful);
                 Ok(response)
             }
             Ok(Err(mut e)) => Err(match e.take_message() {
@@ -126,14 +126,14 @@
         }
     }
 
-    fn set_close(&self, close: Close) {
-        if let Err(e) = self.socket.set_close(close) {
-            log::debug!("a close of the connection stays as it was: {e}");
+    fn set_close_mode(&self, mode: CloseMode) {
+        if let Err(e) = self.socket.set_close_mode(mode) {
+            log::debug!("cannot set the close mode of the connection: {e}");
         }
     }
 
-    /// Waits until the connection has done with the former call; false if it
-    /// has ended.
+    /// Waits until the connection has finished its previous request. Returns false if
+    /// the connection has ended.
     #[must_use]
     pub async fn is_ready(&mut self, cfg: &ClientSettings) -> bool {
         matches!(
@@ -142,24 +142,23 @@
         )
     }
 
-    /// Whether the target has neither ended the connection nor sent anything
-    /// that no call asked for.
+    /// Whether the target has neither closed the connection nor sent unsolicited bytes.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         !self.tx.is_closed() && self.socket.is_idle()
     }
 
-    /// Makes the connection fit to be kept. One that goes silent while nobody
-    /// uses it fails as soon as its next call isn't acknowledged for as long
-    /// as a fresh one may take to be made.
+    /// Prepares the connection for reuse. If the peer became unreachable while the
+    /// connection was idle, the next request fails once it has not been acknowledged
+    /// for the connect time-out.
     ///
     /// # Errors
     ///
-    /// The kernel refuses to watch the connection; it had better be dropped.
+    /// Fails if the socket option cannot be set; the connection should then be dropped.
     pub fn prepare_for_reuse(&mut self, cfg: &ClientSettings) -> io::Result<()> {
-        if self.used == Use::First {
-            self.socket.set_silence(cfg.connect_timeout)?;
-            self.used = Use::Further;
+        if self.use_state == UseState::New {
+            self.socket.set_ack_timeout(cfg.connect_timeout)?;
+            self.use_state = UseState::Reused;
         }
         Ok(())
     }
@@ -167,26 +166,26 @@
 
 async fn connect(address: SocketAddr, cfg: &ClientSettings) -> io::Result<Connection> {
     let stream = TcpStream::connect(address).await?;
-    watch_over(&stream, cfg)?;
-    let socket = Socket::of(&stream)?;
+    set_socket_options(&stream, cfg)?;
+    let socket = Socket::try_clone_from(&stream)?;
     let (tx, conn) = http1::handshake(TokioIo::new(stream))
         .await
         .map_err(io::Error::other)?;
     let conn = tokio::spawn(async move {
-        // The error reaches whoever waits for the answer.
+        // The sender of the pending request receives the error.
         let _ = conn.await;
     });
     Ok(Connection {
         tx,
         socket,
-        used: Use::First,
+        use_state: UseState::New,
         _conn: AbortOnDropHandle::new(conn),
     })
 }
 
-/// A connection can go silent for good when something between the two ends
-/// loses track of it; the kernel is told to notice on its own.
-fn watch_over(stream: &TcpStream, cfg: &ClientSettings) -> io::Result<()> {
+/// Lets the kernel detect dead connections: a device on the path may lose the
+/// connection's state without either end being notified.
+fn set_socket_options(stream: &TcpStream, cfg: &ClientSettings) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let interval = (cfg.progress_timeout / 4).max(Duration::from_secs(1));
@@ -197,27 +196,27 @@
     socket.set_tcp_user_timeout(Some(cfg.progress_timeout))
 }
 
-/// Asks a question or gives an order, and reads the whole answer.
+/// Sends a request on a new connection and reads the whole response.
 ///
 /// # Errors
 ///
-/// [`Failure::NotRun`] only if nothing was written.
+/// Returns [`Failure::NotRun`] only if nothing was written.
 pub async fn fetch(
     address: SocketAddr,
     cfg: &ClientSettings,
     req: Request<Full<Bytes>>,
 ) -> Result<(StatusCode, Bytes), Failure> {
     let mut conn = Connection::open(address, cfg).await?;
-    let answer = async {
+    let exchange = async {
         let response = conn.send(req, cfg.request_timeout).await?;
         let status = response.status();
-        let body = Limited::new(response.into_body(), MAX_DOCUMENT);
+        let body = Limited::new(response.into_body(), MAX_BODY_BYTES);
         let body = body.collect().await;
         let body = body.map_err(|e| Failure::Broken(e.to_string()))?;
         Ok((status, body.to_bytes()))
     };
-    match timeout(cfg.request_timeout, answer).await {
-        Ok(answer) => answer,
+    match timeout(cfg.request_timeout, exchange).await {
+        Ok(result) => result,
         Err(_) => Err(Failure::Silent("no whole answer in time".into())),
     }
 }
--- a/crates/outlet/src/failure.rs
+++ b/crates/outlet/src/failure.rs
@@ -1,17 +1,17 @@
-//! How a call fails.
+//! How a call to a target fails.
 
 use std::fmt;
 
-/// How a call of a target fails.
+/// How a call to a target fails.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// Nothing was written to the target.
     NotRun(String),
     /// The connection broke; the target may have crashed.
     Broken(String),
-    /// The target said nothing for too long.
+    /// The target sent nothing within the time-out.
     Silent(String),
-    /// The target ended its answer before it was whole.
+    /// The target ended its response before it was complete.
     EndedEarly(String),
 }
 
--- a/crates/outlet/src/lib.rs
+++ b/crates/outlet/src/lib.rs
@@ -1,10 +1,10 @@
-//! HTTP connections to a target: opened, watched for silence, kept.
+//! HTTP connections to a target, with time-outs and a pool for reuse.
 //!
-//! A [`Connection`] says of each request that got no answer whether it was
-//! written: only one of which nothing was written surely never ran. A
-//! [`Pool`] keeps connections between two calls and gives out none on which
-//! the target has said or ended something meanwhile. Agents and entries call
-//! their targets through it.
+//! For each request without a response, a [`Connection`] reports whether it was
+//! written, since only an unwritten request is certain not to have run. A [`Pool`]
+//! keeps idle connections for later calls. Before a connection is reused,
+//! [`Connection::is_idle`] tells whether the target has closed it or sent anything
+//! on it. Agents and entries call their targets through this crate.
 //!
 //! ```
 //! use outlet::Pool;
--- a/crates/outlet/src/pool.rs
+++ b/crates/outlet/src/pool.rs
@@ -1,15 +1,15 @@
-//! Connections that are kept between two calls.
+//! A pool of idle connections.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
 use crate::{Connection, PoolCounts};
 
-/// Connections that are kept between two calls, the latest used last.
+/// A pool of idle connections to one target, most recently used last.
 #[derive(Debug)]
 pub struct Pool {
-    most: usize,
-    idle: Duration,
+    max_kept: usize,
+    max_idle: Duration,
     kept: Mutex<Vec<Kept>>,
     counts: PoolCounts,
 }
@@ -17,34 +17,35 @@
 #[derive(Debug)]
 struct Kept {
     conn: Connection,
-    since: Instant,
+    idle_since: Instant,
 }
 
 impl Pool {
-    /// Keeps at most `most` connections, each for at most `idle` unused.
+    /// Creates a pool that keeps at most `max_kept` connections, each for an idle time
+    /// of at most `max_idle`.
     #[must_use]
-    pub fn new(most: usize, idle: Duration) -> Self {
+    pub fn new(max_kept: usize, max_idle: Duration) -> Self {
         Pool {
-            most,
-            idle,
+            max_kept,
+            max_idle,
             kept: Mutex::default(),
             counts: PoolCounts::default(),
         }
     }
 
-    /// Counts of its connections.
+    /// Counters of the pool's connections.
     #[must_use]
     pub fn counts(&self) -> &PoolCounts {
         &self.counts
     }
 
-    /// The connection that was used last; whether it still stands isn't known.
+    /// Removes the most recently used connection. It may have been closed meanwhile.
     #[must_use]
     pub fn take(&self, now: Instant) -> Option<Connection> {
         let mut kept = self.kept();
         let last = kept.pop().filter(|last| self.is_fresh(last, now));
         if last.is_none() {
-            // Those below were used even earlier.
+            // The remaining connections have been idle for even longer.
             self.counts.dropped.inc_by(kept.len() as u64);
             kept.clear();
         }
@@ -52,16 +53,21 @@
         last.map(|last| last.conn)
     }
 
-    /// Keeps a connection whose answer has been read to its end.
+    /// Adds a connection whose last response has been read completely. The connection is
+    /// closed if the pool is full or the target has closed it or sent anything more.
     pub fn put(&self, conn: Connection, now: Instant) {
         let mut kept = self.kept();
-        if kept.len() < self.most && conn.is_idle() {
-            kept.push(Kept { conn, since: now });
+        if kept.len() < self.max_kept && conn.is_idle() {
+            kept.push(Kept {
+                conn,
+                idle_since: now,
+            });
             self.counts.set_kept(kept.len());
         }
     }
 
-    /// Closes what was kept for too long.
+    /// Closes connections that were idle for too long, were closed by the target or
+    /// have unsolicited bytes to read.
     pub fn evict_expired(&self, now: Instant) {
         let mut kept = self.kept();
         let before = kept.len();
@@ -70,7 +76,7 @@
         self.counts.set_kept(kept.len());
     }
 
-    /// Closes all: they may lead to a target that is gone.
+    /// Closes all connections, as they may lead to a target that no longer runs.
     pub fn clear(&self) {
         let mut kept = self.kept();
         self.counts.dropped.inc_by(kept.len() as u64);
@@ -79,7 +85,7 @@
     }
 
     fn is_fresh(&self, kept: &Kept, now: Instant) -> bool {
-        now.saturating_duration_since(kept.since) < self.idle
+        now.saturating_duration_since(kept.idle_since) < self.max_idle
     }
 
     fn kept(&self) -> MutexGuard<'_, Vec<Kept>> {
--- a/crates/outlet/src/pool_counts.rs
+++ b/crates/outlet/src/pool_counts.rs
@@ -1,24 +1,24 @@
-//! Counts of connections to the target.
+//! Metrics of the connections to a target.
 
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// Counts of connections to the target; clones share the counts.
+/// Metrics of the connections to a target; clones share the values.
 #[derive(Clone, Debug, Default)]
 pub struct PoolCounts {
-    /// Calls that were given a connection of their own.
+    /// Connections that were opened for a call.
     pub opened: Counter,
-    /// Calls written to a connection that was kept.
+    /// Calls that reused a kept connection.
     pub reused: Counter,
-    /// Kept connections that were closed without a further call.
+    /// Kept connections that were closed without being reused.
     pub dropped: Counter,
-    /// Connections that are kept now.
+    /// Connections that are currently kept.
     pub kept: Gauge,
 }
 
 impl PoolCounts {
-    /// Registers the counts under their names; the registry gives the prefix.
+    /// Registers the metrics. The registry supplies the prefix of their names.
     ///
     /// ```
     /// let mut registry = prometheus_client::registry::Registry::default();
