--- a/crates/cfg/src/field.rs
+++ b/crates/cfg/src/field.rs
@@ -1,4 +1,4 @@
-//! Values that a setting can hold, from and to JSON.
+//! Conversion of settings from and to JSON.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
@@ -6,21 +6,21 @@
 
 use serde_json::Value;
 
-/// A value that a key can hold.
+/// A type of settings that can be read from JSON.
 ///
-/// A [`Duration`] is a whole number of milliseconds, so its key ends in `_ms`.
+/// A [`Duration`] is a whole number of milliseconds; its key should end in `_ms`.
 pub trait Field: Sized {
-    /// What the value should have been, for the finding: `a string`.
+    /// Description of a valid value for findings, such as `a string`.
     const EXPECTED: &'static str;
 
-    /// Reads the value; `None` when it is something else.
+    /// Converts from JSON; `None` if the value is not valid for the type.
     fn from_json(value: &Value) -> Option<Self>;
 
-    /// Writes the value as [`Field::from_json`] reads it.
+    /// Converts to the JSON value that [`Field::from_json`] reads.
     fn to_json(&self) -> Value;
 }
 
-macro_rules! whole_number {
+macro_rules! unsigned_integer {
     ($($type:ty),*) => {$(
         impl Field for $type {
             const EXPECTED: &'static str = concat!("a whole number (", stringify!($type), ")");
@@ -36,10 +36,10 @@
     )*};
 }
 
-whole_number!(u8, u16, u32, u64, usize);
+unsigned_integer!(u8, u16, u32, u64, usize);
 
-/// Types that are written as a string which they parse themselves.
-macro_rules! parsed {
+/// Types that are represented as a string and implement `FromStr` and `Display`.
+macro_rules! from_str {
     ($($type:ty, $expected:literal;)*) => {$(
         impl Field for $type {
             const EXPECTED: &'static str = $expected;
@@ -55,7 +55,7 @@
     )*};
 }
 
-parsed! {
+from_str! {
     IpAddr, "an IP number";
     SocketAddr, "an address \"ip:port\"";
 }
--- a/crates/cfg/src/finding.rs
+++ b/crates/cfg/src/finding.rs
@@ -1,18 +1,18 @@
-//! One thing that is wrong, and where.
+//! An error in a document, with its place.
 
 use std::fmt;
 
-/// One thing that is wrong in a document, with its JSON path.
+/// An error in a document, with its JSON path.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
     /// JSON path such as `replicas[0].address`; empty for the whole document.
     pub place: String,
-    /// What is wrong, in lower case and without a full stop.
+    /// Description of the error, in lower case and without a full stop.
     pub message: String,
 }
 
 impl Finding {
-    /// Makes a finding.
+    /// Creates a finding.
     ///
     /// ```
     /// let finding = cfg::Finding::new("changed[3].model", "unknown model \"x\"");
--- a/crates/cfg/src/findings.rs
+++ b/crates/cfg/src/findings.rs
@@ -1,15 +1,15 @@
-//! All that is wrong in a document, reported together.
+//! All errors in a document, reported together.
 
 use std::fmt;
 
 use crate::Finding;
 
-/// All findings of one document; one line each when displayed.
+/// All findings of one document, displayed on one line each.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Findings(Vec<Finding>);
 
 impl Findings {
-    /// Whether nothing is wrong.
+    /// Whether there are no findings.
     ///
     /// ```
     /// assert!(cfg::Findings::default().is_empty());
@@ -19,7 +19,7 @@
         self.0.is_empty()
     }
 
-    /// The findings in the order in which they were made.
+    /// Returns the findings in the order in which they were added.
     ///
     /// ```
     /// let findings = cfg::Findings::from(vec![cfg::Finding::new("a", "missing")]);
@@ -30,7 +30,7 @@
         &self.0
     }
 
-    /// The findings, taken out.
+    /// Converts into the list of findings.
     ///
     /// ```
     /// assert_eq!(cfg::Findings::default().into_vec(), Vec::new());
--- a/crates/cfg/src/lib.rs
+++ b/crates/cfg/src/lib.rs
@@ -1,9 +1,9 @@
-//! JSON settings, checked, with every finding reported at once.
+//! Validated JSON settings, with all findings reported at once.
 //!
-//! A [`Reader`] walks one JSON object. Each call asks for one key, gives its
-//! value or the default, and writes down what is wrong instead of stopping
-//! there. [`Reader::finish`] then reports all findings together, keys that
-//! nobody asked for among them.
+//! A [`Reader`] reads one JSON object. Each call reads one key, returns its value
+//! or the default, and records errors instead of stopping at the first one.
+//! [`Reader::finish`] then reports all findings together, including keys that
+//! were not read.
 //!
 //! ```
 //! use std::time::Duration;
--- a/crates/cfg/src/nearest.rs
+++ b/crates/cfg/src/nearest.rs
@@ -1,9 +1,9 @@
-//! The known word that a misspelt one most likely stands for.
+//! Suggestions for misspelt words.
 
-/// Below this Jaro-Winkler similarity a suggestion would only mislead.
-const LEAST_SIMILARITY: f64 = 0.8;
+/// Minimum Jaro-Winkler similarity of a suggestion; less similar words would mislead.
+const MIN_SIMILARITY: f64 = 0.8;
 
-/// Finds the candidate nearest to `word`, if one is near enough to be meant.
+/// Returns the candidate that is most similar to `word`, if one is similar enough.
 ///
 /// ```
 /// assert_eq!(cfg::nearest("adress", ["address", "name"]), Some("address"));
@@ -13,8 +13,8 @@
     let mut best: Option<(f64, &str)> = None;
     for candidate in candidates {
         let similarity = strsim::jaro_winkler(word, candidate);
-        let better = best.is_none_or(|(known, _)| similarity > known);
-        if similarity >= LEAST_SIMILARITY && better {
+        let better = best.is_none_or(|(highest, _)| similarity > highest);
+        if similarity >= MIN_SIMILARITY && better {
             best = Some((similarity, candidate));
         }
     }
--- a/crates/cfg/src/reader.rs
+++ b/crates/cfg/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads one JSON object, key by key.
+//! Reads a JSON object key by key.
 
 use std::cell::RefCell;
 use std::ops::RangeInclusive;
@@ -7,11 +7,11 @@
 use serde_json::{Map, Value};
 
 use crate::strict::Strict;
-use crate::tree::{InForce, Tree};
+use crate::tree::{Effective, Tree};
 use crate::{Field, Finding, Findings};
 
-/// Reads one JSON object, remembers the keys that were asked for and collects
-/// what is wrong. Sections share the findings of the reader they came from.
+/// Reads one JSON object, tracks the keys that were read and collects findings.
+/// Readers of sections share the findings of the reader that they came from.
 #[derive(Debug)]
 pub struct Reader {
     tree: Rc<RefCell<Tree>>,
@@ -19,12 +19,12 @@
 }
 
 impl Reader {
-    /// Opens a document, which must be one JSON object.
+    /// Parses a document, which must be one JSON object.
     ///
     /// # Errors
     ///
-    /// One finding when the bytes aren't JSON (with line and column) or aren't
-    /// an object.
+    /// Returns one finding if the bytes are not JSON (with line and column) or not an
+    /// object.
     ///
     /// ```
     /// assert!(cfg::Reader::from_slice(b"{}").is_ok());
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Opens an object that was parsed before.
+    /// Creates a reader of a parsed object.
     ///
     /// ```
     /// let mut r = cfg::Reader::from_map(serde_json::Map::new());
@@ -54,8 +54,8 @@
         }
     }
 
-    /// The value of a key that must be there; a finding when it is missing or
-    /// of the wrong type.
+    /// Returns the value of a required key. Adds a finding if it is missing or of the
+    /// wrong type.
     ///
     /// ```
     /// let mut r = cfg::Reader::from_slice(br#"{"name": 3}"#).unwrap();
@@ -68,10 +68,10 @@
         if value.is_none() {
             self.finding(key, "missing");
         }
-        self.read(key, value)
+        self.convert(key, value)
     }
 
-    /// The value of a key that may be missing or null.
+    /// Returns the value of a key that may be missing or null.
     ///
     /// ```
     /// let mut r = cfg::Reader::from_slice(br#"{"zone": "celje"}"#).unwrap();
@@ -80,11 +80,11 @@
     /// ```
     pub fn optional<T: Field>(&mut self, key: &str) -> Option<T> {
         let value = self.take(key);
-        self.read(key, value)
+        self.convert(key, value)
     }
 
-    /// The value of a key, or its default when it is missing. A value of the
-    /// wrong type is a finding, and the default stands in for it.
+    /// Returns the value of a key, or the default if it is missing or null. For a value
+    /// of the wrong type, adds a finding and returns the default.
     ///
     /// ```
     /// use std::time::Duration;
@@ -95,12 +95,12 @@
     /// ```
     pub fn or<T: Field>(&mut self, key: &str, default: T) -> T {
         let value = self.take(key);
-        let value = self.read(key, value).unwrap_or(default);
-        self.put(key, InForce::Value(value.to_json()));
+        let value = self.convert(key, value).unwrap_or(default);
+        self.set_effective(key, Effective::Value(value.to_json()));
         value
     }
 
-    /// As [`Reader::or`], with a finding when the value lies outside `range`.
+    /// Like [`Reader::or`], but adds a finding if the value lies outside `range`.
     ///
     /// ```
     /// let mut r = cfg::Reader::from_slice(br#"{"replicas": 12}"#).unwrap();
@@ -116,18 +116,14 @@
     ) -> T {
         let value = self.or(key, default);
         if !range.contains(&value) {
-            let (least, most) = (range.start().to_json(), range.end().to_json());
-            let message = format!(
-                "must lie between {least} and {most}, is {}",
-                value.to_json()
-            );
+            let (min, max) = (range.start().to_json(), range.end().to_json());
+            let message = format!("must lie between {min} and {max}, is {}", value.to_json());
             self.finding(key, message);
         }
         value
     }
 
-    /// Whether the key is given and isn't null; it then counts as known only
-    /// once it is read.
+    /// Whether the key is present and not null. This does not count as reading it.
     ///
     /// ```
     /// let r = cfg::Reader::from_slice(br#"{"group": "blank-advisor"}"#).unwrap();
@@ -140,7 +136,7 @@
         object.given.get(key).is_some_and(|value| !value.is_null())
     }
 
-    /// The object below a key; an empty one when the key is missing.
+    /// Returns a reader of the object at a key, which is empty if the key is missing.
     ///
     /// ```
     /// let mut r = cfg::Reader::from_slice(br#"{"timing": {"beat_ms": 0}}"#).unwrap();
@@ -163,11 +159,11 @@
         };
         let path = self.place(key);
         let id = self.tree.borrow_mut().open(path, given);
-        self.put(key, InForce::Section(id));
-        self.with_id(id)
+        self.set_effective(key, Effective::Section(id));
+        self.reader_of(id)
     }
 
-    /// The objects of the list below a key; none when the key is missing.
+    /// Returns readers of the objects in the list at a key; none if the key is missing.
     ///
     /// ```
     /// let json = br#"{"replicas": [{"name": "a"}, {}]}"#;
@@ -197,11 +193,11 @@
                 self.finding(&name, "expected an object");
             }
         }
-        self.put(key, InForce::Sections(ids.clone()));
-        ids.into_iter().map(|id| self.with_id(id)).collect()
+        self.set_effective(key, Effective::Sections(ids.clone()));
+        ids.into_iter().map(|id| self.reader_of(id)).collect()
     }
 
-    /// Writes down what is wrong with a key of this object.
+    /// Adds a finding at a key of this object.
     ///
     /// ```
     /// let mut r = cfg::Reader::from_slice(b"{}").unwrap();
@@ -214,8 +210,9 @@
         tree.findings.push(Finding::new(place, message));
     }
 
-    /// Takes every key of this object for known: once its kind isn't known,
-    /// naming each of its keys would bury the finding that matters.
+    /// Accepts all remaining keys of this object, so that they are not reported as
+    /// unknown. For an object of unknown kind, such findings would hide the one that
+    /// matters.
     ///
     /// ```
     /// let mut r = cfg::Reader::from_slice(br#"{"kind": "x", "ranks": 1}"#).unwrap();
@@ -227,14 +224,14 @@
         let mut tree = self.tree.borrow_mut();
         let object = &mut tree.objects[self.id];
         for (key, value) in &object.given {
-            if !object.known.contains_key(key) {
-                let in_force = InForce::Value(value.clone());
-                object.known.insert(key.clone(), in_force);
+            if !object.read_keys.contains_key(key) {
+                let effective = Effective::Value(value.clone());
+                object.read_keys.insert(key.clone(), effective);
             }
         }
     }
 
-    /// The JSON path of a key of this object.
+    /// Returns the JSON path of a key of this object.
     ///
     /// ```
     /// let mut r = cfg::Reader::from_slice(b"{}").unwrap();
@@ -245,8 +242,8 @@
         self.tree.borrow().objects[self.id].place(key)
     }
 
-    /// What is in force in this object and below, defaults included, for the
-    /// keys that were asked for until now.
+    /// Returns the effective values, defaults included, of the keys in this object and
+    /// its sections that were read so far.
     ///
     /// ```
     /// let mut r = cfg::Reader::from_slice(b"{}").unwrap();
@@ -258,12 +255,12 @@
         self.tree.borrow().effective(self.id)
     }
 
-    /// Ends the reading of the whole document.
+    /// Finishes reading the whole document.
     ///
     /// # Errors
     ///
-    /// All findings of this reader and its sections, and each key that nobody
-    /// asked for.
+    /// Returns all findings of this reader and its sections, including one for each key
+    /// that was not read.
     ///
     /// ```
     /// let r = cfg::Reader::from_slice(br#"{"bogus": 1}"#).unwrap();
@@ -278,31 +275,33 @@
         Err(std::mem::take(&mut tree.findings).into())
     }
 
-    /// The given value, null counting as missing; the key is known from now.
+    /// Returns the given value, treating null as missing, and marks the key as read.
     fn take(&mut self, key: &str) -> Option<Value> {
         let mut tree = self.tree.borrow_mut();
         let object = &mut tree.objects[self.id];
         let value = object.given.get(key).filter(|value| !value.is_null());
         let value = value.cloned();
-        let in_force = InForce::Value(value.clone().unwrap_or(Value::Null));
-        object.known.insert(key.to_owned(), in_force);
+        let effective = Effective::Value(value.clone().unwrap_or(Value::Null));
+        object.read_keys.insert(key.to_owned(), effective);
         value
     }
 
-    fn put(&mut self, key: &str, in_force: InForce) {
+    fn set_effective(&mut self, key: &str, effective: Effective) {
         let mut tree = self.tree.borrow_mut();
-        tree.objects[self.id].known.insert(key.to_owned(), in_force);
+        tree.objects[self.id]
+            .read_keys
+            .insert(key.to_owned(), effective);
     }
 
-    fn read<T: Field>(&mut self, key: &str, value: Option<Value>) -> Option<T> {
-        let read = T::from_json(&value?);
-        if read.is_none() {
+    fn convert<T: Field>(&mut self, key: &str, value: Option<Value>) -> Option<T> {
+        let converted = T::from_json(&value?);
+        if converted.is_none() {
             self.finding(key, format!("expected {}", T::EXPECTED));
         }
-        read
+        converted
     }
 
-    fn with_id(&self, id: usize) -> Reader {
+    fn reader_of(&self, id: usize) -> Reader {
         Reader {
             tree: Rc::clone(&self.tree),
             id,
--- a/crates/cfg/src/strict.rs
+++ b/crates/cfg/src/strict.rs
@@ -1,15 +1,14 @@
-//! A JSON value in which no key stands twice.
+//! JSON values without duplicate keys.
 //!
-//! Parsers keep the last of two equal keys and say nothing, while whoever
-//! wrote the file may look at the first. So the second is refused with its
-//! place.
+//! JSON parsers silently keep the last of two equal keys, while the author of a
+//! file may look at the first. The second one is therefore rejected, with its place.
 
 use std::fmt;
 
 use serde::de::{Deserialize, Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Number, Value};
 
-/// A value whose objects have been checked for repeated keys.
+/// A JSON value whose objects have no duplicate keys.
 pub(crate) struct Strict(pub(crate) Value);
 
 impl<'de> Deserialize<'de> for Strict {
--- a/crates/cfg/src/tree.rs
+++ b/crates/cfg/src/tree.rs
@@ -1,4 +1,4 @@
-//! What all readers of one document share.
+//! State shared by all readers of one document.
 
 use std::collections::BTreeMap;
 
@@ -6,9 +6,9 @@
 
 use crate::{Finding, nearest};
 
-/// What is in force at a key.
+/// The effective value of a key.
 #[derive(Debug)]
-pub(crate) enum InForce {
+pub(crate) enum Effective {
     Value(Value),
     Section(usize),
     Sections(Vec<usize>),
@@ -19,8 +19,8 @@
 pub(crate) struct Object {
     pub(crate) path: String,
     pub(crate) given: Map<String, Value>,
-    /// Every key that was asked for, with what is in force there.
-    pub(crate) known: BTreeMap<String, InForce>,
+    /// Keys that were read, with their effective values.
+    pub(crate) read_keys: BTreeMap<String, Effective>,
 }
 
 impl Object {
@@ -33,7 +33,7 @@
     }
 }
 
-/// The objects of one document and what was found in them.
+/// The objects of one document and their findings.
 #[derive(Debug, Default)]
 pub(crate) struct Tree {
     pub(crate) objects: Vec<Object>,
@@ -45,7 +45,7 @@
         self.objects.push(Object {
             path,
             given,
-            known: BTreeMap::new(),
+            read_keys: BTreeMap::new(),
         });
         self.objects.len() - 1
     }
@@ -54,26 +54,26 @@
         let Some(object) = self.objects.get(id) else {
             return Value::Null;
         };
-        let members = object.known.iter().map(|(key, in_force)| {
-            let value = match in_force {
-                InForce::Value(value) => value.clone(),
-                InForce::Section(id) => self.effective(*id),
-                InForce::Sections(ids) => ids.iter().map(|id| self.effective(*id)).collect(),
+        let members = object.read_keys.iter().map(|(key, effective)| {
+            let value = match effective {
+                Effective::Value(value) => value.clone(),
+                Effective::Section(id) => self.effective(*id),
+                Effective::Sections(ids) => ids.iter().map(|id| self.effective(*id)).collect(),
             };
             (key.clone(), value)
         });
         Value::Object(members.collect())
     }
 
-    /// Writes down each key that was given but never asked for: most likely
-    /// it is misspelt, and the default would be in force unnoticed.
+    /// Adds a finding for each key that was given but not read: it is probably misspelt,
+    /// and the default would be used unnoticed.
     pub(crate) fn find_unknown_keys(&mut self) {
         for object in &self.objects {
             for key in object.given.keys() {
-                if object.known.contains_key(key) {
+                if object.read_keys.contains_key(key) {
                     continue;
                 }
-                let message = match nearest(key, object.known.keys().map(String::as_str)) {
+                let message = match nearest(key, object.read_keys.keys().map(String::as_str)) {
                     Some(known) => format!("unknown key, did you mean \"{known}\"?"),
                     None => "unknown key".to_owned(),
                 };
--- a/crates/cfg/tests/reader.rs
+++ b/crates/cfg/tests/reader.rs
@@ -1,4 +1,4 @@
-//! Reading settings: findings, defaults, unknown keys, arbitrary bytes.
+//! Reading of settings: findings, defaults, unknown keys and arbitrary bytes.
 #![allow(
     clippy::needless_pass_by_value,
     reason = "quickcheck gives its arguments by value"
@@ -41,9 +41,9 @@
 }
 
 #[test]
-fn finish_several_faults() {
-    // An operator writes a settings file with several slips at once. Were they
-    // reported one at a time, each start of the daemon would show only the next.
+fn finish_several_errors() {
+    // A settings file has several errors. If they were reported one at a time, each
+    // start of the daemon would only show the next one.
     let json = r#"{"listen": "celje", "beat_ms": 0, "engine": {"rank": 3},
         "replicas": [{"address": "127.0.0.1:1"}, {"adress": "127.0.0.1:2"}, 7]}"#;
     assert_eq!(
@@ -62,7 +62,7 @@
 
 #[test]
 fn from_slice_malformed() {
-    // A file cut short while it was copied must be reported with its place.
+    // A file that was truncated while it was copied is reported with the place.
     assert_eq!(
         findings("{\"name\":"),
         ["malformed JSON: EOF while parsing a value at line 1 column 8"]
@@ -70,9 +70,9 @@
 }
 
 #[test]
-fn from_slice_repeated_key() {
-    // The same key stands twice, after an edit. JSON parsers take the last one
-    // silently, and the operator looks at the other.
+fn from_slice_duplicate_key() {
+    // An edit leaves a key in the file twice. JSON parsers silently use the last one,
+    // while the operator may look at the first.
     assert_eq!(
         findings("{\"name\": \"a\",\n \"name\": \"b\"}"),
         ["malformed JSON: key \"name\" stands twice at line 2 column 7"]
@@ -94,9 +94,9 @@
 
 #[test]
 fn from_slice_arbitrary_bytes() {
-    // A settings file is damaged or is not one at all. The daemon must say so
-    // and must not crash, whatever the bytes are.
-    fn survives(noise: Vec<u8>, at: usize) -> bool {
+    // A file is damaged or is not a settings file. The reader must report findings and
+    // not panic for any bytes.
+    fn does_not_panic(noise: Vec<u8>, at: usize) -> bool {
         let mut json = br#"{"name":"a","listen":"127.0.0.1:1","beat_ms":5,"engine":{"ranks":[1]},"replicas":[{}]}"#.to_vec();
         let start = at % json.len();
         let end = (start + noise.len()).min(json.len());
@@ -113,5 +113,5 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(64, 11))
         .tests(2_000)
-        .quickcheck(survives as fn(Vec<u8>, usize) -> bool);
+        .quickcheck(does_not_panic as fn(Vec<u8>, usize) -> bool);
 }
