--- a/crates/node/src/follower.rs
+++ b/crates/node/src/follower.rs
@@ -1,7 +1,7 @@
-//! The handle on all that a node knows from control.
+//! Handle to the state that a node receives from control.
 
-use crate::ask::{Unanswered, ask, pause, tell_any};
-use crate::relayed;
+use crate::leader_call::{Unanswered, call_leader, notify_any_replica, pause_before_retry};
+use crate::renewal_relay;
 use crate::renewer::{Renewer, renew};
 use crate::settings::FollowerSettings;
 use crate::shared::{QuotaShares, Shared};
@@ -22,10 +22,11 @@
 };
 use wire::{Error, Identity, Incoming, Link, Result, redial, target_speed_message};
 
-/// When to come back after control could not be asked.
+/// When callers should retry after control could not be reached.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Follows control; clones share one state, and the last one to go ends the tasks.
+/// Follows the state of control. Clones share one state; dropping the last one ends the
+/// tasks.
 #[derive(Clone)]
 pub struct Follower {
     shared: Arc<Shared>,
@@ -33,16 +34,16 @@
 }
 
 impl Follower {
-    /// Begins to follow control on the runtime that this is called on.
+    /// Starts to follow control on the current runtime.
     ///
-    /// `info` is what the node tells of itself with each renewal.
+    /// `info` is what the node reports about itself with each renewal.
     #[must_use]
     pub fn spawn(me: Identity, info: NodeInfo, cfg: FollowerSettings) -> Follower {
         let shared = Arc::new(Shared::new(me, info, cfg));
         let stop = shared.stop.clone();
         for address in shared.cfg.controls.clone() {
-            let keep = keep_link(Arc::clone(&shared), address);
-            tokio::spawn(stop.clone().run_until_cancelled_owned(keep));
+            let linking = maintain_link(Arc::clone(&shared), address);
+            tokio::spawn(stop.clone().run_until_cancelled_owned(linking));
         }
         match ActorRuntime::spawn_instant(None, Renewer, Arc::clone(&shared)) {
             Ok((renewer, _)) => {
@@ -52,7 +53,7 @@
                     renewer.stop(None);
                 });
             }
-            Err(err) => log::error!("can't start renewing the lease: {err}"),
+            Err(err) => log::error!("cannot start the renewal of the lease: {err}"),
         }
         Follower {
             shared,
@@ -60,111 +61,113 @@
         }
     }
 
-    /// As [`Follower::spawn`], where the settings name a few replicas only: the
-    /// leader is dialled where they tell that it answers, if it is another one.
+    /// Like [`Follower::spawn`], for settings that name only some of the replicas: a
+    /// leader that is not among them is dialled at the address that replicas advertise.
     ///
-    /// Where all are named, the addresses of the settings are the only ones that
-    /// are dialled: those that replicas advertise may lead another way.
+    /// If the settings name all replicas, use [`Follower::spawn`], which dials only the
+    /// addresses in the settings: advertised ones may lead over another path.
     #[must_use]
     pub fn spawn_from_seeds(me: Identity, info: NodeInfo, cfg: FollowerSettings) -> Follower {
         let follower = Follower::spawn(me, info, cfg);
         let shared = &follower.shared;
-        let found = keep_found(Arc::clone(shared), shared.controls.found());
-        tokio::spawn(shared.stop.clone().run_until_cancelled_owned(found));
+        let linking =
+            maintain_discovered_links(Arc::clone(shared), shared.control_links.discovered());
+        tokio::spawn(shared.stop.clone().run_until_cancelled_owned(linking));
         follower
     }
 
-    /// All that is offered by the note in force at this node.
+    /// Everything that the release note in use at this node offers.
     #[must_use]
     pub fn catalogue(&self) -> Arc<Catalogue> {
         self.shared.catalogue()
     }
 
-    /// True while this node may take new work.
+    /// Whether this node may accept new work at `now`.
     #[must_use]
     pub fn leased(&self, now: Instant) -> bool {
         self.shared.leased(now)
     }
 
-    /// The nodes that live, as far as this node knows.
+    /// The live nodes as known to this node.
     #[must_use]
     pub fn view(&self) -> Arc<MemberView> {
         self.shared.view()
     }
 
-    /// The requests that crash targets.
+    /// The requests that are quarantined for crashing targets.
     #[must_use]
     pub fn quarantine(&self) -> Arc<Quarantine> {
         self.shared.quarantine()
     }
 
-    /// Ticks at each change of what the follower holds.
+    /// Subscribes to a counter of the changes of the follower's state.
     #[must_use]
     pub fn changed(&self) -> watch::Receiver<u64> {
         self.shared.changed()
     }
 
-    /// Tells control that this node takes no new work, or takes it again.
+    /// Tells control whether this node has stopped accepting new work.
     pub fn set_leaving(&self, leaving: bool) {
         self.shared.announce(|info| info.leaving = leaving);
     }
 
-    /// Tells control what stands behind this agent.
+    /// Announces the target of this agent to control.
     pub fn set_announcement(&self, target: Announcement) {
         self.shared.announce(|info| info.target = Some(target));
     }
 
-    /// Tells control what this entry's callers use of their accounts; it goes with each
-    /// renewal.
-    pub fn set_account_usage(&self, uses: Vec<AccountUse>) {
-        self.shared.set_uses(uses);
+    /// Sets the usage of account quotas by this entry's callers, which is reported to
+    /// control with each renewal.
+    pub fn set_account_usage(&self, usage: Vec<AccountUse>) {
+        self.shared.set_account_usage(usage);
     }
 
-    /// The parts of accounts' limits that this entry may give out.
+    /// The shares of account quotas that this entry may hand out.
     #[must_use]
     pub fn quota_shares(&self) -> Arc<QuotaShares> {
-        self.shared.parts()
+        self.shared.quota_shares()
     }
 
-    /// Name of the node that this one renews through, if it does.
+    /// Name of the relay that this node renews through, if any.
     #[must_use]
     pub fn renewal_relay(&self) -> Option<String> {
         self.shared.relay_link.name()
     }
 
-    /// Passes on what another node of the availability zone sends: its renewals and
-    /// its questions for notes. Others of its messages are passed over.
+    /// Forwards the renewals of another node in the availability zone and answers its
+    /// requests for release notes. Other messages are ignored.
     pub fn relay(&self, incoming: Incoming) {
-        relayed::take(&self.shared, incoming);
+        renewal_relay::handle(&self.shared, incoming);
     }
 
-    /// Asks for the newest note now, and returns when it was fetched or can't be.
+    /// Renews now and fetches the newest release note. Returns when that has succeeded or
+    /// failed.
     pub async fn refresh(&self) {
         renew(&self.shared).await;
     }
 
-    /// Has a command committed to the durable state.
+    /// Commits a command to the durable state.
     ///
-    /// Commands are idempotent, so it is sent again after a lost answer, until
-    /// `within` is over. An outcome `Unavailable` tells in `maybe` whether the command
-    /// may still be committed.
+    /// Commands are idempotent, so the command is sent again after a lost answer, until
+    /// `within` has passed. In an `Unavailable` outcome, `maybe` tells whether the
+    /// command may still be committed.
     pub async fn propose(&self, command: command::Body, within: Duration) -> Outcome {
         self.propose_while(command, within, |_| true).await
     }
 
-    /// As [`Follower::propose`], but answers at once when control says that asking
-    /// again soon is of no use, as while the leader's disk is full: whoever waits is
-    /// told now when to come back.
+    /// Like [`Follower::propose`], but returns at once if control reports that an early
+    /// retry is pointless, for example because the leader's disk is full. The waiting
+    /// caller then learns without delay when to retry.
     pub async fn propose_fail_fast(&self, command: command::Body, within: Duration) -> Outcome {
-        let passes = |answer: &Unavailable| !answer.lasting;
-        self.propose_while(command, within, passes).await
+        let is_transient = |answer: &Unavailable| !answer.lasting;
+        self.propose_while(command, within, is_transient).await
     }
 
     async fn propose_while(
         &self,
         command: command::Body,
         within: Duration,
-        goes_on: impl Fn(&Unavailable) -> bool,
+        should_retry: impl Fn(&Unavailable) -> bool,
     ) -> Outcome {
         let command = Command {
             now_ms: 0,
@@ -177,46 +180,46 @@
         let mut may_be_committed = false;
         loop {
             let left = deadline.saturating_duration_since(Instant::now());
-            match ask(&self.shared, &request, left).await {
+            match call_leader(&self.shared, &request, left).await {
                 Ok(Body::Outcome(outcome)) => match outcome.body {
                     Some(outcome::Body::Unavailable(answer)) => {
                         may_be_committed |= answer.maybe;
-                        if left.is_zero() || !goes_on(&answer) {
+                        if left.is_zero() || !should_retry(&answer) {
                             return final_answer(answer, may_be_committed);
                         }
-                        pause().await;
+                        pause_before_retry().await;
                     }
                     _ => return outcome,
                 },
                 Ok(_) => {
                     return unavailable("unexpected answer".to_owned(), true);
                 }
-                Err(Unanswered { maybe }) => {
+                Err(Unanswered { maybe_received }) => {
                     let reason = "no control replica answered in time".to_owned();
-                    return unavailable(reason, may_be_committed | maybe);
+                    return unavailable(reason, may_be_committed | maybe_received);
                 }
             }
         }
     }
 
-    /// Reports how fast the target beside this node is; any replica passes it
-    /// on to the entries. Whether one has taken it.
+    /// Reports the speed of the target on this node's host to any replica, which forwards
+    /// it to the entries. Returns whether a replica confirmed it.
     pub async fn report_speed(&self, speed: TargetSpeed, within: Duration) -> bool {
         let report = Body::Sightings(Sightings {
             speeds: vec![target_speed_message(&speed)],
             ..Sightings::default()
         });
-        tell_any(&self.shared, &report, within).await
+        notify_any_replica(&self.shared, &report, within).await
     }
 
-    /// Reads the durable state, as of now or later.
+    /// Reads the durable state as of the time of the call or later.
     ///
     /// # Errors
     ///
-    /// Fails when no leader answers within `within`.
+    /// Fails if no leader answers within `within`.
     pub async fn query(&self, query: query::Body, within: Duration) -> Result<QueryReply> {
         let request = Body::Query(Query { body: Some(query) });
-        match ask(&self.shared, &request, within).await {
+        match call_leader(&self.shared, &request, within).await {
             Ok(Body::QueryReply(reply)) => Ok(reply),
             Ok(_) => Err(Error::Protocol("unexpected answer".to_owned())),
             Err(_) => Err(Error::TimedOut),
@@ -242,25 +245,28 @@
     }
 }
 
-/// Keeps links to replicas that were found beside those of the settings.
-async fn keep_found(shared: Arc<Shared>, mut found: watch::Receiver<BTreeSet<SocketAddr>>) {
-    let mut kept: BTreeSet<SocketAddr> = shared.cfg.controls.iter().copied().collect();
+/// Maintains links to discovered replicas that are not in the settings.
+async fn maintain_discovered_links(
+    shared: Arc<Shared>,
+    mut discovered: watch::Receiver<BTreeSet<SocketAddr>>,
+) {
+    let mut dialled: BTreeSet<SocketAddr> = shared.cfg.controls.iter().copied().collect();
     loop {
-        let all = found.borrow_and_update().clone();
+        let all = discovered.borrow_and_update().clone();
         for address in all {
-            if kept.insert(address) {
-                let keep = keep_link(Arc::clone(&shared), address);
-                tokio::spawn(shared.stop.clone().run_until_cancelled_owned(keep));
+            if dialled.insert(address) {
+                let linking = maintain_link(Arc::clone(&shared), address);
+                tokio::spawn(shared.stop.clone().run_until_cancelled_owned(linking));
             }
         }
-        if found.changed().await.is_err() {
+        if discovered.changed().await.is_err() {
             return;
         }
     }
 }
 
-async fn keep_link(shared: Arc<Shared>, address: SocketAddr) {
-    let mut wanted = shared.controls.wanted();
+async fn maintain_link(shared: Arc<Shared>, address: SocketAddr) {
+    let mut wanted = shared.control_links.wanted();
     while wanted.wait_for(|wanted| *wanted).await.is_ok() {
         let (me, key) = (shared.me.clone(), shared.cfg.key.clone());
         let (cfg, served) = (shared.cfg.link.clone(), Arc::clone(&shared));
@@ -268,7 +274,7 @@
             serve(Arc::clone(&served), address, link, rx)
         });
         let released = async {
-            // An error means that the follower is gone too.
+            // An error means that the follower was dropped.
             let _ = wanted.wait_for(|wanted| !*wanted).await;
         };
         tokio::select! {
@@ -284,13 +290,13 @@
     link: Link,
     mut rx: mpsc::Receiver<Incoming>,
 ) -> impl Future<Output = ()> {
-    shared.controls.add(address, link);
+    shared.control_links.add(address, link);
     async move {
         while let Some(incoming) = rx.recv().await {
-            if shared.heed(&incoming.body) {
-                shared.relayed.hint(&incoming.body);
+            if shared.handle_hint(&incoming.body) {
+                shared.renewal_relay.forward_hint(&incoming.body);
             }
         }
-        shared.controls.remove(address);
+        shared.control_links.remove(address);
     }
 }
--- a/crates/node/src/lease.rs
+++ b/crates/node/src/lease.rs
@@ -1,8 +1,8 @@
-//! How long this node may take new work.
+//! The lease under which this node may accept work.
 
 use std::time::{Duration, Instant};
 
-/// The permission to take new work, with its end on this node's monotonic clock.
+/// The permission to accept new work, with its end on this node's monotonic clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Lease {
     end: Option<Instant>,
@@ -10,13 +10,13 @@
 }
 
 impl Lease {
-    /// Extends the lease by a grant of a leader of `term`, counted from when the
-    /// renewal was *sent*.
+    /// Extends the lease to `length` after `sent`, the time at which the renewal was
+    /// *sent* that the leader of `term` granted.
     ///
-    /// The leader counts from when it answered, which is later: so this node's lease
-    /// is over before the leader takes it to be, and "in force everywhere" is never
-    /// reported while this node still works by an older note. A grant of a former
-    /// leader that arrives late changes nothing.
+    /// The leader counts from its answer, which is later. This node's lease therefore
+    /// ends before the leader considers it expired, and a release note is never reported
+    /// as in use everywhere while this node still uses an older one. A late grant of a
+    /// former leader is ignored.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -37,7 +37,7 @@
         self.end = self.end.max(Some(sent + length));
     }
 
-    /// True while the lease lasts.
+    /// Whether the lease is valid at `now`.
     #[must_use]
     pub fn holds(&self, now: Instant) -> bool {
         self.end.is_some_and(|end| now < end)
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,20 +1,23 @@
-//! What every entry and agent runs to follow control.
+//! The client of control that every entry and agent runs.
 //!
-//! A [`Follower`] keeps a link to each control replica, finds the leader, renews the
-//! node's lease, fetches release notes, and holds the newest of everything: the
-//! catalogue, the member view, the quarantine. Nothing that it holds ever goes back to
-//! an older state, whichever replica it hears it from.
+//! A [`Follower`] maintains a link to each control replica, finds the leader, renews the
+//! node's lease, fetches release notes, and holds the newest catalogue, member view and
+//! quarantine. This state never reverts to an older one, whichever replica an update
+//! comes from.
 //!
-//! In an availability zone of many nodes it renews through another node, and may have
-//! to pass on the renewals of others: whoever accepts links hands such messages to
+//! In a large availability zone, a node renews through another node, or forwards the
+//! renewals of others: the code that accepts links passes such messages to
 //! [`Follower::relay`].
+//!
+//! A [`Watcher`] follows any control replica without a lease, for entries that need only
+//! the route table and the reports of targets.
 
-mod ask;
-mod controls;
+mod control_links;
 mod follower;
+mod leader_call;
 mod lease;
 mod relay_link;
-mod relayed;
+mod renewal_relay;
 mod renewer;
 mod seeds;
 mod settings;
--- a/crates/node/src/relay_link.rs
+++ b/crates/node/src/relay_link.rs
@@ -1,4 +1,4 @@
-//! The link to the node that this one renews through.
+//! The link to the relay that this node renews through.
 
 use crate::shared::Shared;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -9,24 +9,25 @@
 use wire::proto::{FetchNotes, Notes, Renew, Renewed};
 use wire::{Incoming, Link, redial};
 
-/// Renewal times for which a relay that failed is left alone.
-const HOLD_RENEWALS: u32 = 10;
+/// Number of renewal intervals for which a failed relay is not used.
+const BACKOFF_RENEWALS: u32 = 10;
 
-/// The link to the node that this one renews through, if there is one.
+/// The link to the relay that this node renews through, if there is one.
 #[derive(Default)]
 pub(crate) struct RelayLink {
-    held: Mutex<Option<Held>>,
+    current: Mutex<Option<CurrentRelay>>,
 }
 
-struct Held {
+struct CurrentRelay {
     relay: Relay,
     link: watch::Receiver<Option<Link>>,
-    /// It failed and is left alone until then.
-    until: Option<Instant>,
-    _dialled: DropGuard,
+    /// Set after a failure: the relay is not used until then.
+    unused_until: Option<Instant>,
+    /// Stops dialling when dropped.
+    _stop: DropGuard,
 }
 
-/// Which run of which node renewals go through.
+/// The relay of renewals: a node and its incarnation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Relay {
     pub(crate) name: String,
@@ -35,34 +36,34 @@
 }
 
 impl RelayLink {
-    /// Turns to a relay, or to none, and lets go of another one.
-    pub(crate) fn turn_to(&self, shared: &Arc<Shared>, relay: Option<Relay>) {
-        let mut held = self.held();
-        if held.as_ref().map(|held| &held.relay) == relay.as_ref() {
+    /// Switches to another relay, or to none, and closes the link to the previous one.
+    pub(crate) fn switch_to(&self, shared: &Arc<Shared>, relay: Option<Relay>) {
+        let mut current = self.current();
+        if current.as_ref().map(|current| &current.relay) == relay.as_ref() {
             return;
         }
-        *held = relay.map(|relay| dial(shared, relay));
+        *current = relay.map(|relay| dial(shared, relay));
     }
 
-    /// Renews through the relay. `None` when that is not possible now: the caller
-    /// renews straight, within the same lease.
+    /// Renews through the relay. Returns `None` if that is currently not possible; the
+    /// caller then renews directly, within the same lease.
     ///
-    /// The relay may be dead, frozen, cut off from control or slow. It is given half of
-    /// the time between two renewals; after that it is left alone for a while. Its
-    /// nodes find out together, so each waits a moment of its own before it goes on:
-    /// the leader would else hear from all of them at once.
+    /// The relay may have failed, hang, be slow or have no connection to control. The
+    /// time-out is half of the renewal interval; afterwards the relay is not used for a
+    /// while. Its nodes detect the failure at the same time, so each waits for a random
+    /// time before it continues, to keep them from all reaching the leader at once.
     pub(crate) async fn renew(&self, shared: &Shared, renew: &Renew) -> Option<Renewed> {
         let link = self.link(Instant::now())?;
-        let patience = shared.cfg.renew_interval / 2;
-        if let Ok(Body::Renewed(renewed)) = link.call(Body::Renew(renew.clone()), patience).await {
+        let timeout = shared.cfg.renew_interval / 2;
+        if let Ok(Body::Renewed(renewed)) = link.call(Body::Renew(renew.clone()), timeout).await {
             return Some(renewed);
         }
-        self.fail(&link, shared.cfg.renew_interval * HOLD_RENEWALS);
-        tokio::time::sleep(patience.mul_f64(rand::random_range(0.0..1.0))).await;
+        self.mark_failed(&link, shared.cfg.renew_interval * BACKOFF_RENEWALS);
+        tokio::time::sleep(timeout.mul_f64(rand::random_range(0.0..1.0))).await;
         None
     }
 
-    /// Fetches notes through the relay, if it has them or gets them.
+    /// Fetches release notes through the relay. Returns `None` if it cannot provide them.
     pub(crate) async fn fetch(&self, after: u64, within: Duration) -> Option<Notes> {
         let link = self.link(Instant::now())?;
         match link
@@ -74,50 +75,50 @@
         }
     }
 
-    /// Name of the relay that renewals go through now.
+    /// Name of the relay that is currently used.
     pub(crate) fn name(&self) -> Option<String> {
         self.link(Instant::now())
             .map(|link| link.peer().name.clone())
     }
 
-    /// Whether renewals go through a relay now.
+    /// Whether a relay is currently used.
     pub(crate) fn is_up(&self) -> bool {
         self.link(Instant::now()).is_some()
     }
 
     fn link(&self, now: Instant) -> Option<Link> {
-        let held = self.held();
-        let held = held.as_ref()?;
-        if held.until.is_some_and(|until| now < until) {
+        let current = self.current();
+        let current = current.as_ref()?;
+        if current.unused_until.is_some_and(|until| now < until) {
             return None;
         }
-        let link = held.link.borrow().clone();
+        let link = current.link.borrow().clone();
         link.filter(|link| !link.is_closed())
     }
 
-    fn fail(&self, link: &Link, hold: Duration) {
+    fn mark_failed(&self, link: &Link, backoff: Duration) {
         link.close();
-        if let Some(held) = self.held().as_mut() {
-            let hold = hold.mul_f64(rand::random_range(0.5..1.5));
-            held.until = Some(Instant::now() + hold);
+        if let Some(current) = self.current().as_mut() {
+            let backoff = backoff.mul_f64(rand::random_range(0.5..1.5));
+            current.unused_until = Some(Instant::now() + backoff);
         }
     }
 
-    fn held(&self) -> MutexGuard<'_, Option<Held>> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    fn current(&self) -> MutexGuard<'_, Option<CurrentRelay>> {
+        self.current.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn dial(shared: &Arc<Shared>, relay: Relay) -> Held {
+fn dial(shared: &Arc<Shared>, relay: Relay) -> CurrentRelay {
     let (tx, link) = watch::channel(None);
     let stop = CancellationToken::new();
     let (me, key) = (shared.me.clone(), shared.cfg.key.clone());
     let cfg = shared.cfg.link.clone();
-    let (told, expected) = (Arc::clone(shared), relay.clone());
+    let (served, expected) = (Arc::clone(shared), relay.clone());
     let tx = Arc::new(tx);
-    let kept = redial(relay.address, me, key, cfg, move |link, rx| {
+    let dialled = redial(relay.address, me, key, cfg, move |link, rx| {
         serve(
-            Arc::clone(&told),
+            Arc::clone(&served),
             Arc::clone(&tx),
             expected.clone(),
             link,
@@ -128,16 +129,16 @@
     let stopped = stop.clone();
     tokio::spawn(async move {
         tokio::select! {
-            () = kept => {}
+            () = dialled => {}
             () = ended.cancelled() => {}
             () = stopped.cancelled() => {}
         }
     });
-    Held {
+    CurrentRelay {
         relay,
         link,
-        until: None,
-        _dialled: stop.drop_guard(),
+        unused_until: None,
+        _stop: stop.drop_guard(),
     }
 }
 
@@ -153,8 +154,8 @@
         tx.send_replace(Some(link.clone()));
     }
     while let Some(incoming) = rx.recv().await {
-        // It passes on what control hints at; the rest is meant for others.
-        shared.heed(&incoming.body);
+        // The relay forwards hints of control; other messages are ignored.
+        shared.handle_hint(&incoming.body);
     }
     tx.send_replace(None);
 }
--- a/crates/node/src/renewer.rs
+++ b/crates/node/src/renewer.rs
@@ -1,6 +1,6 @@
-//! The actor that renews the lease and fetches notes.
+//! The actor that renews the lease and fetches release notes.
 
-use crate::ask::ask;
+use crate::leader_call::call_leader;
 use crate::relay_link::Relay;
 use crate::shared::Shared;
 use member::{RelayCandidate, RenewalPath, renewal_path};
@@ -12,61 +12,61 @@
 use wire::proto::frame::Body;
 use wire::proto::{FetchNotes, NodeInfo, Notes, Renew, Renewed, Role};
 
-/// Fetches in a row before the next renewal is due anyway.
-const FETCHES: usize = 8;
-/// Links to control that a node behind a relay has not used for so many heartbeats are
-/// closed.
-const LINGER_BEATS: u32 = 10;
+/// Maximum number of fetches of release notes in one renewal.
+const MAX_FETCHES: usize = 8;
+/// Number of heartbeat intervals after which a node that renews through a relay closes
+/// its unused links to control.
+const IDLE_LINK_HEARTBEATS: u32 = 10;
 
-/// Renews the lease in turn; one renewal at a time.
+/// Renews the lease periodically, one renewal at a time.
 pub(crate) struct Renewer;
 
-/// What the actor keeps.
-pub(crate) struct Turn {
+/// State of the actor.
+pub(crate) struct RenewerState {
     shared: Arc<Shared>,
-    clock: JoinHandle<()>,
+    scheduler: JoinHandle<()>,
 }
 
-/// Renew the lease now.
+/// Message: renew the lease now.
 pub(crate) struct RenewNow;
 
 impl Actor for Renewer {
     type Msg = RenewNow;
-    type State = Turn;
+    type State = RenewerState;
     type Arguments = Arc<Shared>;
 
     async fn pre_start(
         &self,
         myself: ActorRef<RenewNow>,
         shared: Arc<Shared>,
-    ) -> Result<Turn, ActorProcessingErr> {
-        let clock = tokio::spawn(keep_time(myself, Arc::clone(&shared)));
-        Ok(Turn { shared, clock })
+    ) -> Result<RenewerState, ActorProcessingErr> {
+        let scheduler = tokio::spawn(schedule_renewals(myself, Arc::clone(&shared)));
+        Ok(RenewerState { shared, scheduler })
     }
 
     async fn handle(
         &self,
         _myself: ActorRef<RenewNow>,
         _now: RenewNow,
-        turn: &mut Turn,
+        state: &mut RenewerState,
     ) -> Result<(), ActorProcessingErr> {
-        renew(&turn.shared).await;
-        turn.shared.renewed.send_modify(|count| *count += 1);
+        renew(&state.shared).await;
+        state.shared.renewed.send_modify(|count| *count += 1);
         Ok(())
     }
 
     async fn post_stop(
         &self,
         _myself: ActorRef<RenewNow>,
-        turn: &mut Turn,
+        state: &mut RenewerState,
     ) -> Result<(), ActorProcessingErr> {
-        turn.clock.abort();
+        state.scheduler.abort();
         Ok(())
     }
 }
 
-/// Asks for a renewal each time one is due or somebody is in a hurry.
-async fn keep_time(renewer: ActorRef<RenewNow>, shared: Arc<Shared>) {
+/// Requests a renewal each time one is due or an early one is wanted.
+async fn schedule_renewals(renewer: ActorRef<RenewNow>, shared: Arc<Shared>) {
     let mut ended = shared.renewed.subscribe();
     loop {
         ended.mark_unchanged();
@@ -74,47 +74,47 @@
             return;
         }
         if shared.relay_link.is_up() {
-            // A relay brings its nodes together, and each counts from its answer. Were
-            // an earlier renewal's end taken for this one's, they would come too soon.
+            // A relay aligns the renewals of its nodes, and each node counts from the
+            // answer. If the end of an earlier renewal counted, the next would be too soon.
             let _ = timeout(shared.cfg.renew_interval, ended.changed()).await;
         }
-        // Either outcome means that the next renewal is due.
-        let _ = timeout(shared.take_next(), shared.hurry.notified()).await;
+        // The next renewal is due in either case.
+        let _ = timeout(shared.take_next_delay(), shared.renew_early.notified()).await;
     }
 }
 
-/// Renews the lease once and fetches the notes that are missing.
+/// Renews the lease once and fetches missing release notes.
 pub(crate) async fn renew(shared: &Arc<Shared>) {
-    shared.relay_link.turn_to(shared, relay(shared));
-    let request = renewal(shared);
+    shared.relay_link.switch_to(shared, choose_relay(shared));
+    let request = renewal_request(shared);
     let sequence = request.sequence;
-    // The lease counts from when the renewal was sent that the leader answers.
+    // The lease counts from the time at which the answered renewal was sent.
     let mut sent = Instant::now();
     let mut renewed = shared.relay_link.renew(shared, &request).await;
     if let Some(renewed) = &renewed {
         let next = Duration::from_millis(u64::from(renewed.next_ms));
-        shared.set_next((!next.is_zero()).then_some(next));
-        let linger = shared.cfg.link.beat * LINGER_BEATS;
-        shared.controls.release(sent, linger);
+        shared.set_next_delay((!next.is_zero()).then_some(next));
+        let min_idle = shared.cfg.link.beat * IDLE_LINK_HEARTBEATS;
+        shared.control_links.close_if_idle(sent, min_idle);
     } else {
         sent = Instant::now();
-        renewed = ask_renewal(shared, request).await;
+        renewed = renew_directly(shared, request).await;
     }
     let Some(renewed) = renewed else {
         return;
     };
-    shared.take_renewed(&renewed);
-    for _ in 0..FETCHES {
+    shared.apply_renewed(&renewed);
+    for _ in 0..MAX_FETCHES {
         if shared.catalogue().number() >= renewed.note {
             break;
         }
-        fetch(shared).await;
+        fetch_notes(shared).await;
     }
     shared.extend_lease(&renewed, sequence, sent);
 }
 
-/// The node that this one is to renew through, by the member view that it holds.
-fn relay(shared: &Shared) -> Option<Relay> {
+/// Selects the relay of this node from the member view.
+fn choose_relay(shared: &Shared) -> Option<Relay> {
     let info = shared.info();
     let view = shared.view();
     let zone = view.nodes.iter().filter(|node| node.zone == info.zone);
@@ -138,7 +138,7 @@
     }
 }
 
-fn renewal(shared: &Shared) -> Renew {
+fn renewal_request(shared: &Shared) -> Renew {
     let view = shared.view();
     Renew {
         node: Some(shared.info()),
@@ -147,36 +147,36 @@
         view_version: view.version,
         quarantine_version: shared.quarantine().version,
         sequence: shared.next_sequence(),
-        uses: shared.uses(Instant::now()),
+        uses: shared.account_usage(Instant::now()),
     }
 }
 
-async fn ask_renewal(shared: &Shared, renewal: Renew) -> Option<Renewed> {
-    match ask(shared, &Body::Renew(renewal), shared.cfg.renew_interval).await {
+async fn renew_directly(shared: &Shared, renewal: Renew) -> Option<Renewed> {
+    match call_leader(shared, &Body::Renew(renewal), shared.cfg.renew_interval).await {
         Ok(Body::Renewed(renewed)) => Some(renewed),
         _ => None,
     }
 }
 
-async fn fetch(shared: &Shared) {
+async fn fetch_notes(shared: &Shared) {
     let after = shared.catalogue().number();
     let within = shared.cfg.renew_interval;
     let notes = match shared.relay_link.fetch(after, within).await {
         Some(notes) => Some(notes),
-        None => ask_notes(shared, after, within).await,
+        None => fetch_notes_directly(shared, after, within).await,
     };
     let Some(notes) = notes else {
         return;
     };
-    if let Err(err) = shared.take_notes(&notes) {
-        log::error!("can't take the notes after {after}: {err}");
+    if let Err(err) = shared.apply_notes(&notes) {
+        log::error!("cannot apply the release notes after number {after}: {err}");
     }
-    shared.relayed.keep(after, notes);
+    shared.renewal_relay.cache_notes(after, notes);
 }
 
-async fn ask_notes(shared: &Shared, after: u64, within: Duration) -> Option<Notes> {
+async fn fetch_notes_directly(shared: &Shared, after: u64, within: Duration) -> Option<Notes> {
     let request = Body::FetchNotes(FetchNotes { after });
-    match ask(shared, &request, within).await {
+    match call_leader(shared, &request, within).await {
         Ok(Body::Notes(notes)) => Some(notes),
         _ => None,
     }
--- a/crates/node/src/seeds.rs
+++ b/crates/node/src/seeds.rs
@@ -1,20 +1,21 @@
-//! Follows the seeds that a settings file names.
+//! Reloading of the seeds in a settings file.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time::timeout;
 
-/// How often the file is read without a signal. The seeds are needed only when
-/// all replicas known so far are gone, which takes minutes.
-const LOOK: Duration = Duration::from_secs(2);
+/// Interval at which the file is read without a signal. The seeds are needed only when
+/// all known replicas are gone, which takes minutes.
+const REREAD_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Tells of the seeds each time the settings name others. They are read again
-/// on SIGHUP and from time to time; ones that can't be read change nothing.
+/// Calls `changed` with the seeds each time that they differ from the previous ones. The
+/// settings are read again on SIGHUP and every two seconds; settings that cannot be read
+/// change nothing.
 ///
 /// # Errors
 ///
-/// Fails when the process can't listen for the signal.
+/// Fails if the process cannot listen for the signal.
 pub async fn follow_seeds(
     read: impl Fn() -> eyre::Result<Vec<SocketAddr>>,
     changed: impl Fn(Vec<SocketAddr>),
@@ -24,15 +25,15 @@
     loop {
         match read() {
             Ok(named) if named != known => {
-                log::info!(seeds:? = named; "seeds in force");
+                log::info!(seeds:? = named; "using new seeds");
                 known.clone_from(&named);
                 changed(named);
             }
             Ok(_) => {}
-            Err(e) => log::error!("settings stay as they were: {e}"),
+            Err(e) => log::error!("cannot reload the settings, keeping the previous ones: {e}"),
         }
-        if timeout(LOOK, hangup.recv()).await.is_ok() {
-            log::info!("asked to read the settings again");
+        if timeout(REREAD_INTERVAL, hangup.recv()).await.is_ok() {
+            log::info!("received SIGHUP, reloading the settings");
         }
     }
 }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,18 +1,18 @@
-//! Where control is and how often to ask it.
+//! Settings of a follower.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 use wire::{ClusterKey, LinkSettings};
 
-/// Where control is and how often to ask it.
+/// Settings of a follower.
 #[derive(Clone, Debug)]
 pub struct FollowerSettings {
     /// Link addresses of all control replicas.
     pub controls: Vec<SocketAddr>,
-    /// Time between two renewals of the lease; a third of the lease or less.
+    /// Interval between renewals of the lease: at most a third of the lease.
     pub renew_interval: Duration,
-    /// The key that links are authenticated with.
+    /// Key for the authentication of links.
     pub key: ClusterKey,
-    /// Times and sizes of the links.
+    /// Time-outs and sizes of links.
     pub link: LinkSettings,
 }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -1,9 +1,9 @@
-//! What a follower holds, shared by its handle and its tasks.
+//! State of a follower, shared by its handle and its tasks.
 
-use crate::controls::Controls;
+use crate::control_links::ControlLinks;
 use crate::lease::Lease;
 use crate::relay_link::RelayLink;
-use crate::relayed::Relayed;
+use crate::renewal_relay::RenewalRelay;
 use crate::settings::FollowerSettings;
 use crate::view::merge_view;
 use note::Catalogue;
@@ -16,36 +16,36 @@
 use wire::proto::frame::Body;
 use wire::proto::{AccountUse, MemberView, NodeInfo, Notes, Quarantine, Renewed};
 
-/// What a follower holds.
+/// State of a follower.
 pub(crate) struct Shared {
     pub(crate) me: Identity,
     pub(crate) cfg: FollowerSettings,
-    pub(crate) controls: Controls,
-    /// Asks for a renewal before its time.
-    pub(crate) hurry: Notify,
-    /// Counts the renewals that have ended.
+    pub(crate) control_links: ControlLinks,
+    /// Triggers a renewal before it is due.
+    pub(crate) renew_early: Notify,
+    /// Number of completed renewals.
     pub(crate) renewed: watch::Sender<u64>,
     pub(crate) relay_link: RelayLink,
-    pub(crate) relayed: Relayed,
+    pub(crate) renewal_relay: RenewalRelay,
     /// Ends all tasks.
     pub(crate) stop: CancellationToken,
-    held: Mutex<Held>,
+    state: Mutex<State>,
     changed: watch::Sender<u64>,
 }
 
-struct Held {
+struct State {
     info: NodeInfo,
     catalogue: Arc<Catalogue>,
     lease: Lease,
     view: Arc<MemberView>,
     quarantine: Arc<Quarantine>,
-    /// When a relay wants the next renewal.
-    next: Option<Duration>,
-    /// Renewals so far.
+    /// Delay of the next renewal as requested by the relay.
+    next_delay: Option<Duration>,
+    /// Number of renewals so far.
     sequence: u64,
-    /// What this node tells of its use of accounts.
-    uses: Vec<AccountUse>,
-    parts: Arc<QuotaShares>,
+    /// Usage of account quotas that this node reports.
+    account_usage: Vec<AccountUse>,
+    quota_shares: Arc<QuotaShares>,
 }
 
 /// Shares of account quotas that this node may hand out, with their expiry, by account
@@ -54,172 +54,178 @@
 
 impl Shared {
     pub(crate) fn new(me: Identity, info: NodeInfo, cfg: FollowerSettings) -> Self {
-        let held = Held {
+        let state = State {
             info,
             catalogue: Arc::new(Catalogue::default()),
             lease: Lease::default(),
             view: Arc::new(MemberView::default()),
             quarantine: Arc::new(Quarantine::default()),
-            next: None,
+            next_delay: None,
             sequence: 0,
-            uses: Vec::new(),
-            parts: Arc::default(),
+            account_usage: Vec::new(),
+            quota_shares: Arc::default(),
         };
         Shared {
             me,
-            controls: Controls::default(),
+            control_links: ControlLinks::default(),
             cfg,
-            hurry: Notify::new(),
+            renew_early: Notify::new(),
             renewed: watch::Sender::new(0),
             relay_link: RelayLink::default(),
-            relayed: Relayed::default(),
+            renewal_relay: RenewalRelay::default(),
             stop: CancellationToken::new(),
-            held: Mutex::new(held),
+            state: Mutex::new(state),
             changed: watch::Sender::new(0),
         }
     }
 
     pub(crate) fn info(&self) -> NodeInfo {
-        self.held().info.clone()
+        self.state().info.clone()
     }
 
     pub(crate) fn catalogue(&self) -> Arc<Catalogue> {
-        Arc::clone(&self.held().catalogue)
+        Arc::clone(&self.state().catalogue)
     }
 
     pub(crate) fn leased(&self, now: Instant) -> bool {
-        self.held().lease.holds(now)
+        self.state().lease.holds(now)
     }
 
     pub(crate) fn view(&self) -> Arc<MemberView> {
-        Arc::clone(&self.held().view)
+        Arc::clone(&self.state().view)
     }
 
     pub(crate) fn quarantine(&self) -> Arc<Quarantine> {
-        Arc::clone(&self.held().quarantine)
+        Arc::clone(&self.state().quarantine)
     }
 
     pub(crate) fn changed(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Changes what the node tells of itself and renews at once.
+    /// Changes what the node reports about itself and renews at once.
     pub(crate) fn announce(&self, change: impl FnOnce(&mut NodeInfo)) {
-        change(&mut self.held().info);
-        self.hurry.notify_one();
+        change(&mut self.state().info);
+        self.renew_early.notify_one();
     }
 
-    /// Control hints at a new note or a changed quarantine, so that it is in force
-    /// before the next renewal is due; nothing but the renewal itself is trusted.
-    /// Whether it is news.
-    pub(crate) fn heed(&self, hint: &Body) -> bool {
-        let news = match hint {
+    /// Handles a hint of control that there is a new release note or a changed quarantine,
+    /// by renewing early. Only the renewal itself changes the state. Returns whether the
+    /// hint announces anything new.
+    pub(crate) fn handle_hint(&self, hint: &Body) -> bool {
+        let is_new = match hint {
             Body::Notes(hint) => hint.number > self.catalogue().number(),
             Body::Renewed(_) => true,
             _ => false,
         };
-        if news {
-            self.hurry.notify_one();
+        if is_new {
+            self.renew_early.notify_one();
         }
-        news
+        is_new
     }
 
-    /// Numbers a renewal.
+    /// Returns the sequence number of a new renewal.
     pub(crate) fn next_sequence(&self) -> u64 {
-        let mut held = self.held();
-        held.sequence += 1;
-        held.sequence
+        let mut state = self.state();
+        state.sequence += 1;
+        state.sequence
     }
 
-    pub(crate) fn parts(&self) -> Arc<QuotaShares> {
-        Arc::clone(&self.held().parts)
+    pub(crate) fn quota_shares(&self) -> Arc<QuotaShares> {
+        Arc::clone(&self.state().quota_shares)
     }
 
-    pub(crate) fn set_uses(&self, uses: Vec<AccountUse>) {
-        self.held().uses = uses;
+    pub(crate) fn set_account_usage(&self, usage: Vec<AccountUse>) {
+        self.state().account_usage = usage;
     }
 
-    /// What is told of the use of accounts. A part that was granted counts as held even
-    /// if the node doesn't act on it yet: it will in a moment, and control must not
-    /// grant it elsewhere meanwhile.
-    pub(crate) fn uses(&self, now: Instant) -> Vec<AccountUse> {
-        let held = self.held();
+    /// Returns the usage of account quotas to report. A granted share counts as held even
+    /// if the node does not use it yet: it soon will, and control must not grant it to
+    /// another node meanwhile.
+    pub(crate) fn account_usage(&self, now: Instant) -> Vec<AccountUse> {
+        let state = self.state();
         let granted = |account: u32| {
-            let part = held.parts.get(&account).filter(|(_, until)| now < *until);
-            part.map_or(0, |(part, _)| *part)
+            let share = state
+                .quota_shares
+                .get(&account)
+                .filter(|(_, until)| now < *until);
+            share.map_or(0, |(share, _)| *share)
         };
-        let uses = held.uses.iter().map(|used| AccountUse {
+        let usage = state.account_usage.iter().map(|used| AccountUse {
             held: used.held.max(granted(used.account)),
             ..*used
         });
-        uses.collect()
+        usage.collect()
     }
 
-    /// Takes in the parts that came with the answer to the renewal of that number.
+    /// Applies the quota shares in the answer to the renewal with this sequence number.
     ///
-    /// Only the answer to the last renewal counts: with a later one on its way, control
-    /// has counted, or will count, on what that one said is held.
-    fn take_parts(held: &mut Held, renewed: &Renewed, sequence: u64, until: Instant) {
-        if sequence != held.sequence || renewed.parts.is_empty() {
+    /// Only the answer to the latest renewal is applied: once a later one has been sent,
+    /// control relies on the held shares that the later one reports.
+    fn apply_quota_shares(state: &mut State, renewed: &Renewed, sequence: u64, until: Instant) {
+        if sequence != state.sequence || renewed.parts.is_empty() {
             return;
         }
         let now = Instant::now();
-        let mut parts = (*held.parts).clone();
-        parts.retain(|_, (_, until)| now < *until);
+        let mut shares = (*state.quota_shares).clone();
+        shares.retain(|_, (_, until)| now < *until);
         let granted = renewed.parts.iter();
-        parts.extend(granted.map(|row| (row.account, (row.part, until))));
-        held.parts = Arc::new(parts);
+        shares.extend(granted.map(|row| (row.account, (row.part, until))));
+        state.quota_shares = Arc::new(shares);
     }
 
-    pub(crate) fn set_next(&self, next: Option<Duration>) {
-        self.held().next = next;
+    pub(crate) fn set_next_delay(&self, delay: Option<Duration>) {
+        self.state().next_delay = delay;
     }
 
-    /// The time until the next renewal.
-    pub(crate) fn take_next(&self) -> Duration {
-        self.held().next.take().unwrap_or(self.cfg.renew_interval)
+    /// Takes the delay until the next renewal.
+    pub(crate) fn take_next_delay(&self) -> Duration {
+        self.state()
+            .next_delay
+            .take()
+            .unwrap_or(self.cfg.renew_interval)
     }
 
-    /// Takes in the view and quarantine that came with a renewal.
-    pub(crate) fn take_renewed(&self, renewed: &Renewed) {
-        let mut held = self.held();
-        let mut news = false;
+    /// Applies the view and the quarantine in the answer to a renewal.
+    pub(crate) fn apply_renewed(&self, renewed: &Renewed) {
+        let mut state = self.state();
+        let mut changed = false;
         if let Some(view) = renewed.view.clone() {
-            held.view = Arc::new(merge_view(&held.view, view));
-            news = true;
+            state.view = Arc::new(merge_view(&state.view, view));
+            changed = true;
         }
         if let Some(quarantine) = renewed.quarantine.clone()
-            && quarantine.version > held.quarantine.version
+            && quarantine.version > state.quarantine.version
         {
-            held.quarantine = Arc::new(quarantine);
-            news = true;
+            state.quarantine = Arc::new(quarantine);
+            changed = true;
         }
-        drop(held);
-        if news {
-            self.tick();
+        drop(state);
+        if changed {
+            self.notify_changed();
         }
     }
 
-    /// Extends the lease, unless the node still lacks notes that the leader has: a
-    /// grant says "the note in force here is the newest", which would not be true.
+    /// Extends the lease unless the node lacks release notes that the leader has: a lease
+    /// implies that the node uses the newest note.
     pub(crate) fn extend_lease(&self, renewed: &Renewed, sequence: u64, sent: Instant) {
-        let mut held = self.held();
-        if held.catalogue.number() < renewed.note {
+        let mut state = self.state();
+        if state.catalogue.number() < renewed.note {
             return;
         }
         let length = Duration::from_millis(u64::from(renewed.lease_ms));
-        Self::take_parts(&mut held, renewed, sequence, sent + length);
-        let before = held.lease.holds(Instant::now());
-        held.lease.extend(renewed.term, sent, length);
-        drop(held);
-        if !before {
-            self.tick();
+        Self::apply_quota_shares(&mut state, renewed, sequence, sent + length);
+        let was_leased = state.lease.holds(Instant::now());
+        state.lease.extend(renewed.term, sent, length);
+        drop(state);
+        if !was_leased {
+            self.notify_changed();
         }
     }
 
-    /// Applies what was fetched. Only higher numbers change anything, so that nothing
-    /// that arrives late takes a node back.
-    pub(crate) fn take_notes(&self, notes: &Notes) -> Result<(), String> {
+    /// Applies fetched release notes. Only higher numbers have an effect, so that a late
+    /// answer does not revert the node to an older note.
+    pub(crate) fn apply_notes(&self, notes: &Notes) -> Result<(), String> {
         let mut catalogue = (*self.catalogue()).clone();
         if !notes.snapshot.is_empty() && notes.number > catalogue.number() {
             let snapshot = Catalogue::from_json(&notes.snapshot);
@@ -227,27 +233,27 @@
         }
         for json in &notes.notes {
             let Ok(checked) = catalogue.check(json) else {
-                // Already applied, or a gap that the next fetch closes.
+                // Already applied, or after a gap that the next fetch fills.
                 continue;
             };
             catalogue.apply(&checked);
         }
-        let mut held = self.held();
-        if catalogue.number() > held.catalogue.number() {
-            log::info!("release note {} is in force here", catalogue.number());
-            held.catalogue = Arc::new(catalogue);
-            drop(held);
-            self.tick();
+        let mut state = self.state();
+        if catalogue.number() > state.catalogue.number() {
+            log::info!("release note {} is now in use", catalogue.number());
+            state.catalogue = Arc::new(catalogue);
+            drop(state);
+            self.notify_changed();
         }
         Ok(())
     }
 
-    fn tick(&self) {
+    fn notify_changed(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 
-    fn held(&self) -> MutexGuard<'_, Held> {
-        // No change under the lock can panic half-way; a poisoned state is whole.
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, State> {
+        // Changes under the lock cannot panic midway, so a poisoned state is consistent.
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -1,14 +1,14 @@
-//! Which member view to keep when another one arrives.
+//! Merging of member views.
 
 use std::collections::BTreeMap;
 use wire::proto::{MemberView, NodeInfo};
 
-/// The view to hold after `new` has arrived while `held` was held.
+/// Merges a received view `new` into the current view `held`.
 ///
-/// An older view, by term and then by version, changes nothing. A new leader's view
-/// is not settled until one lease time has passed: until then it lacks nodes that are
-/// well but have not renewed with it yet, and what it lacks is kept. Dropping them
-/// would take all targets away from every entry at each change of leader.
+/// An older view, by term and then by version, is ignored. The view of a new leader is
+/// not settled until one lease has passed: until then it lacks live nodes that have not
+/// renewed with that leader yet, so nodes that it lacks are kept. Removing them would
+/// leave every entry without targets at each change of leader.
 ///
 /// ```
 /// use wire::proto::{MemberView, NodeInfo};
@@ -19,7 +19,7 @@
 /// assert_eq!(node::merge_view(&held, new).nodes.len(), 2);
 /// ```
 ///
-/// A view with `since` set holds only what changed since that version:
+/// A view with `since` set contains only the changes since that version:
 ///
 /// ```
 /// use wire::proto::{MemberView, NodeInfo, NodeRef};
@@ -27,8 +27,8 @@
 /// let node = |name: &str| NodeInfo { name: name.into(), ..NodeInfo::default() };
 /// let held = MemberView { term: 1, version: 9, settled: true, nodes: vec![node("a"), node("b")], ..MemberView::default() };
 /// let gone = vec![NodeRef { name: "a".into(), ..NodeRef::default() }];
-/// let news = MemberView { term: 1, version: 11, settled: true, since: 9, nodes: vec![node("c")], gone };
-/// let names: Vec<_> = node::merge_view(&held, news).nodes.into_iter().map(|n| n.name).collect();
+/// let changes = MemberView { term: 1, version: 11, settled: true, since: 9, nodes: vec![node("c")], gone };
+/// let names: Vec<_> = node::merge_view(&held, changes).nodes.into_iter().map(|n| n.name).collect();
 /// assert_eq!(names, ["b", "c"]);
 /// ```
 #[must_use]
@@ -50,8 +50,8 @@
     }
 }
 
-/// Applies what changed since the very view that is held. Changes since another one
-/// leave it as it is: the next renewal names it, and the answer fits.
+/// Applies changes since the held version of the view. Changes since another version are
+/// ignored: the next renewal names the held one, and its answer contains the right ones.
 fn merge_changes(held: &MemberView, new: &MemberView) -> MemberView {
     if (new.term, new.since) != (held.term, held.version) {
         return held.clone();
@@ -70,7 +70,7 @@
     }
 }
 
-/// Nodes by role and name, which together are unique.
+/// Indexes nodes by role and name, which together are unique.
 fn by_key(nodes: &[NodeInfo]) -> BTreeMap<(i32, String), NodeInfo> {
     let keyed = nodes.iter().map(|node| {
         let key = (node.role, node.name.clone());
--- a/crates/node/src/watcher.rs
+++ b/crates/node/src/watcher.rs
@@ -1,4 +1,4 @@
-//! Follows any control replica, without a lease.
+//! Follows any control replica without a lease.
 
 use crate::watcher_state::WatcherState;
 use member::EntryReport;
@@ -15,104 +15,104 @@
 use wire::proto::{Report, SightingsTaken};
 use wire::{ClusterKey, Identity, Incoming, Link, LinkSettings, entrance_message, redial};
 
-/// Reads a route table as its operator wrote it.
+/// Decodes a route table from the document that the operator submitted.
 pub type DecodeRouteTable = fn(&[u8]) -> Result<Table, cfg::Findings>;
 
 /// Settings of a watcher.
 #[derive(Clone, Debug)]
 pub struct WatcherSettings {
-    /// Links of a few replicas, as the settings file names them now.
+    /// Current link addresses of some replicas in the settings file.
     pub seeds: watch::Receiver<Vec<SocketAddr>>,
-    /// Time between two reports to each replica.
+    /// Interval between reports to each replica.
     pub report_interval: Duration,
     /// The cluster key.
     pub key: ClusterKey,
-    /// Times of links.
+    /// Time-outs and sizes of links.
     pub link: LinkSettings,
-    /// Reads a route table.
+    /// Decodes a route table.
     pub decode: DecodeRouteTable,
 }
 
-/// Follows every control replica that can be found: it holds the newest route
-/// table and the board, and reports where callers reach this entry.
+/// Follows all control replicas that are known: holds the newest route table and the
+/// reports of targets, and reports where callers reach this entry.
 ///
-/// What it holds stays when control is lost, and the entry serves on with it.
-/// Clones share one state, and the last one to go ends the tasks.
+/// The state is kept when control is unreachable, and the entry continues to serve with
+/// it. Clones share one state; dropping the last one ends the tasks.
 #[derive(Clone)]
 pub struct Watcher {
-    watched: Arc<WatcherState>,
+    state: Arc<WatcherState>,
     _running: Arc<DropGuard>,
 }
 
 impl Watcher {
-    /// Begins to follow control on the runtime that this is called on.
+    /// Starts to follow control on the current runtime.
     #[must_use]
-    pub fn spawn(me: Identity, here: EntryReport, cfg: WatcherSettings) -> Watcher {
-        let watched = Arc::new(WatcherState::new(here, cfg.decode));
+    pub fn spawn(me: Identity, own_report: EntryReport, cfg: WatcherSettings) -> Watcher {
+        let state = Arc::new(WatcherState::new(own_report, cfg.decode));
         let stop = CancellationToken::new();
-        let following = follow(Arc::clone(&watched), me, cfg);
+        let following = maintain_links(Arc::clone(&state), me, cfg);
         tokio::spawn(stop.clone().run_until_cancelled_owned(following));
         Watcher {
-            watched,
+            state,
             _running: Arc::new(stop.drop_guard()),
         }
     }
 
-    /// The newest route table; none before the first one came.
+    /// The newest route table; `None` until the first one is received.
     #[must_use]
     pub fn table(&self) -> Option<Arc<Table>> {
-        self.watched.table()
+        self.state.table()
     }
 
-    /// What targets and entries told.
+    /// The state received from control.
     #[must_use]
     pub fn state(&self) -> &WatcherState {
-        &self.watched
+        &self.state
     }
 
-    /// Tells control whether this entry takes new callers.
+    /// Tells control whether this entry accepts new callers.
     pub fn set_open(&self, open: bool) {
-        self.watched.tell(|here| here.open = open);
+        self.state.update_own_report(|report| report.open = open);
     }
 }
 
-/// Keeps links to the seeds and to all replicas that those name.
-async fn follow(watched: Arc<WatcherState>, me: Identity, cfg: WatcherSettings) {
+/// Maintains links to the seeds and to all replicas that those name.
+async fn maintain_links(state: Arc<WatcherState>, me: Identity, cfg: WatcherSettings) {
     let mut seeds = cfg.seeds.clone();
-    let mut named = watched.replicas();
-    let mut kept: BTreeMap<SocketAddr, AbortOnDropHandle<()>> = BTreeMap::new();
+    let mut named = state.replicas();
+    let mut links: BTreeMap<SocketAddr, AbortOnDropHandle<()>> = BTreeMap::new();
     loop {
         let mut wanted = named.borrow_and_update().clone();
         wanted.extend(seeds.borrow_and_update().iter());
-        kept.retain(|address, _| wanted.contains(address));
+        links.retain(|address, _| wanted.contains(address));
         for address in wanted {
-            let keep = || keep(address, &watched, &me, &cfg);
-            kept.entry(address).or_insert_with(keep);
+            let spawn = || spawn_link(address, &state, &me, &cfg);
+            links.entry(address).or_insert_with(spawn);
         }
         let changed = tokio::select! {
             changed = seeds.changed() => changed,
             changed = named.changed() => changed,
         };
         if changed.is_err() {
-            // Settings are no longer read: what is known stays.
+            // The settings are no longer read: keep the current links.
             std::future::pending::<()>().await;
         }
     }
 }
 
-fn keep(
+fn spawn_link(
     address: SocketAddr,
-    watched: &Arc<WatcherState>,
+    state: &Arc<WatcherState>,
     me: &Identity,
     cfg: &WatcherSettings,
 ) -> AbortOnDropHandle<()> {
-    let (watched, report) = (Arc::clone(watched), cfg.report_interval);
+    let (state, interval) = (Arc::clone(state), cfg.report_interval);
     let dialled = redial(
         address,
         me.clone(),
         cfg.key.clone(),
         cfg.link.clone(),
-        move |link, rx| serve(link, rx, Arc::clone(&watched), report),
+        move |link, rx| serve(link, rx, Arc::clone(&state), interval),
     );
     AbortOnDropHandle::new(tokio::spawn(dialled))
 }
@@ -120,49 +120,49 @@
 async fn serve(
     link: Link,
     mut rx: mpsc::Receiver<Incoming>,
-    watched: Arc<WatcherState>,
-    every: Duration,
+    state: Arc<WatcherState>,
+    interval: Duration,
 ) {
     log::info!(replica = link.peer().name.as_str(); "control replica reached");
-    let reporting = report(link.clone(), Arc::clone(&watched), every);
+    let reporting = send_reports(link.clone(), Arc::clone(&state), interval);
     let reporting = AbortOnDropHandle::new(tokio::spawn(reporting));
     while let Some(incoming) = rx.recv().await {
-        take(&watched, incoming).await;
+        handle_message(&state, incoming).await;
     }
     drop(reporting);
     log::warn!(replica = link.peer().name.as_str(); "control replica lost");
 }
 
-async fn take(watched: &WatcherState, incoming: Incoming) {
+async fn handle_message(state: &WatcherState, incoming: Incoming) {
     match incoming.body {
-        Body::RouteTable(table) => watched.take_table(&table),
-        Body::Sightings(told) => {
-            watched.take_sightings(told, Instant::now());
+        Body::RouteTable(table) => state.apply_table(&table),
+        Body::Sightings(sightings) => {
+            state.apply_sightings(sightings, Instant::now());
             if incoming.call == 0 {
                 return;
             }
             let taken = Body::SightingsTaken(SightingsTaken {});
             if let Err(e) = incoming.link.reply(incoming.call, taken).await {
-                log::debug!("answer to {} is lost: {e}", incoming.link.peer().name);
+                log::debug!("cannot answer {}: {e}", incoming.link.peer().name);
             }
         }
         _ => log::debug!("unexpected message from {}", incoming.link.peer().name),
     }
 }
 
-/// Reports in turn, and at once when something changed.
-async fn report(link: Link, watched: Arc<WatcherState>, every: Duration) {
-    let mut here = watched.here();
+/// Sends reports periodically, and at once when the report has changed.
+async fn send_reports(link: Link, state: Arc<WatcherState>, interval: Duration) {
+    let mut own_report = state.own_report();
     loop {
-        let entrance = entrance_message(&watched.next_word());
-        here.mark_unchanged();
+        let entrance = entrance_message(&state.next_report());
+        own_report.mark_unchanged();
         let report = Body::Report(Report {
             entrance: Some(entrance),
         });
-        if let Ok(Body::Reported(reported)) = link.call(report, every).await {
-            watched.take_replicas(&reported.replicas);
+        if let Ok(Body::Reported(reported)) = link.call(report, interval).await {
+            state.apply_replicas(&reported.replicas);
         }
-        // Either outcome means that the next report is due.
-        let _ = timeout(every, here.changed()).await;
+        // The next report is due in either case.
+        let _ = timeout(interval, own_report.changed()).await;
     }
 }
--- a/crates/node/src/watcher_state.rs
+++ b/crates/node/src/watcher_state.rs
@@ -1,4 +1,4 @@
-//! What a watcher holds.
+//! State of a watcher.
 
 use crate::watcher::DecodeRouteTable;
 use member::{EntryReport, Presence, ReportEffect, ReportStore, TargetSpeed};
@@ -11,40 +11,40 @@
 use wire::proto::{RouteTable, Sightings};
 use wire::{sighting, target_speed};
 
-/// How long the word of a silent target is kept. It takes no work by then; its
-/// last word may still be news to nobody else.
-const FORGOTTEN: Duration = Duration::from_mins(1);
+/// How long the report of a silent target is kept. Such a target gets no work by then,
+/// and no other node needs its last report from here.
+const SILENT_TARGET_RETENTION: Duration = Duration::from_mins(1);
 
-/// What a watcher holds of control.
+/// State that a watcher receives from control.
 pub struct WatcherState {
     decode: DecodeRouteTable,
     table: Mutex<Option<Arc<Table>>>,
-    board: Mutex<ReportStore>,
-    here: watch::Sender<EntryReport>,
+    reports: Mutex<ReportStore>,
+    own_report: watch::Sender<EntryReport>,
     replicas: watch::Sender<BTreeSet<SocketAddr>>,
-    /// Ticks at each change of table or board.
+    /// Number of changes of the table or the reports.
     changed: watch::Sender<u64>,
 }
 
-/// A target that was heard of, as far as its own words go.
+/// A target that is known from its reports.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KnownTarget {
-    /// What it told.
+    /// The latest report of the target.
     pub report: member::TargetReport,
-    /// How many times longer than usual it takes for its work, as the agent
-    /// beside it reports.
+    /// Processing time as a multiple of the usual one, as reported by the agent on the
+    /// target's host.
     pub slowdown: f64,
-    /// When this was heard here.
+    /// When the report was received here.
     pub received_at: Instant,
 }
 
 impl WatcherState {
-    pub(crate) fn new(here: EntryReport, decode: DecodeRouteTable) -> WatcherState {
+    pub(crate) fn new(own_report: EntryReport, decode: DecodeRouteTable) -> WatcherState {
         WatcherState {
             decode,
             table: Mutex::default(),
-            board: Mutex::default(),
-            here: watch::Sender::new(here),
+            reports: Mutex::default(),
+            own_report: watch::Sender::new(own_report),
             replicas: watch::Sender::default(),
             changed: watch::Sender::new(0),
         }
@@ -54,86 +54,86 @@
         lock(&self.table).clone()
     }
 
-    /// Ticks at each change of the table or of a target.
+    /// Subscribes to a counter of the changes of the table and the targets.
     #[must_use]
     pub fn changed(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// The targets that haven't left, and when they were heard.
+    /// Returns the targets that have not left.
     #[must_use]
     pub fn targets(&self, now: Instant) -> Vec<KnownTarget> {
-        let board = lock(&self.board);
-        let here = board
+        let reports = lock(&self.reports);
+        let present = reports
             .targets()
-            .filter(|(told, _)| told.presence != Presence::Gone);
-        let known = here.map(|(told, heard)| KnownTarget {
-            report: told.clone(),
-            slowdown: board.slowdown(told.address, now),
-            received_at: heard,
+            .filter(|(report, _)| report.presence != Presence::Gone);
+        let known = present.map(|(report, received_at)| KnownTarget {
+            report: report.clone(),
+            slowdown: reports.slowdown(report.address, now),
+            received_at,
         });
         known.collect()
     }
 
-    /// Takes a table with a higher number than the one that is held.
-    pub(crate) fn take_table(&self, told: &RouteTable) {
-        let held = self.table().map_or(0, |table| table.number());
-        if told.number <= held {
+    /// Applies a route table if its number is higher than that of the current one.
+    pub(crate) fn apply_table(&self, received: &RouteTable) {
+        let current = self.table().map_or(0, |table| table.number());
+        if received.number <= current {
             return;
         }
-        let table = match (self.decode)(&told.source) {
+        let table = match (self.decode)(&received.source) {
             Ok(table) => Arc::new(table),
             Err(findings) => {
-                // It was checked before it was accepted, by the same function.
-                log::error!(table = told.number; "can't read the route table: {findings}");
+                // Unexpected: control validated the table with the same function.
+                log::error!(table = received.number; "cannot decode the route table: {findings}");
                 return;
             }
         };
         {
-            let mut held = lock(&self.table);
-            if held
+            let mut current = lock(&self.table);
+            if current
                 .as_ref()
-                .is_some_and(|held| held.number() >= told.number)
+                .is_some_and(|table| table.number() >= received.number)
             {
                 return;
             }
-            *held = Some(table);
+            *current = Some(table);
         }
-        log::info!(table = told.number; "route table in force here");
-        self.tell(|here| here.table = here.table.max(told.number));
-        self.tick();
+        log::info!(table = received.number; "using a new route table");
+        self.update_own_report(|report| report.table = report.table.max(received.number));
+        self.notify_changed();
     }
 
-    pub(crate) fn take_sightings(&self, told: Sightings, now: Instant) {
-        let mut news = false;
-        let mut board = lock(&self.board);
-        for told in told.targets.into_iter().filter_map(sighting) {
-            let (id, presence) = (told.id.clone(), told.presence);
-            let heard = board.record_target(told, now);
-            if heard == ReportEffect::Changed {
+    pub(crate) fn apply_sightings(&self, sightings: Sightings, now: Instant) {
+        let mut changed = false;
+        let mut reports = lock(&self.reports);
+        for report in sightings.targets.into_iter().filter_map(sighting) {
+            let (id, presence) = (report.id.clone(), report.presence);
+            let effect = reports.record_target(report, now);
+            if effect == ReportEffect::Changed {
                 log::info!(target_id = id.as_str(); "target is {presence:?}");
             }
-            news |= heard != ReportEffect::Stale;
+            changed |= effect != ReportEffect::Stale;
         }
-        for told in told.speeds.iter().filter_map(target_speed) {
-            news |= take_speed(&mut board, told, now);
+        for speed in sightings.speeds.iter().filter_map(target_speed) {
+            changed |= apply_speed(&mut reports, speed, now);
         }
-        board.remove_silent(FORGOTTEN, now);
-        drop(board);
-        if news {
-            self.tick();
+        reports.remove_silent(SILENT_TARGET_RETENTION, now);
+        drop(reports);
+        if changed {
+            self.notify_changed();
         }
     }
 
-    pub(crate) fn take_replicas(&self, named: &[String]) {
+    pub(crate) fn apply_replicas(&self, named: &[String]) {
         let named: BTreeSet<SocketAddr> = named.iter().filter_map(|a| a.parse().ok()).collect();
         if named.is_empty() {
             return;
         }
         self.replicas.send_if_modified(|known| {
-            let news = *known != named;
+            let changed = *known != named;
             *known = named;
-            news
+            changed
         });
     }
 
@@ -141,47 +141,47 @@
         self.replicas.subscribe()
     }
 
-    pub(crate) fn here(&self) -> watch::Receiver<EntryReport> {
-        self.here.subscribe()
+    pub(crate) fn own_report(&self) -> watch::Receiver<EntryReport> {
+        self.own_report.subscribe()
     }
 
-    /// Changes what this entry tells of itself; it is reported at once.
-    pub(crate) fn tell(&self, change: impl FnOnce(&mut EntryReport)) {
-        self.here.send_modify(change);
+    /// Changes the report of this entry, which is then sent at once.
+    pub(crate) fn update_own_report(&self, change: impl FnOnce(&mut EntryReport)) {
+        self.own_report.send_modify(change);
     }
 
-    /// What the entry tells now, numbered; a number is used once.
-    pub(crate) fn next_word(&self) -> EntryReport {
-        let mut word = None;
-        self.here.send_if_modified(|here| {
-            here.sequence += 1;
-            word = Some(here.clone());
+    /// Returns the report of this entry with a new sequence number.
+    pub(crate) fn next_report(&self) -> EntryReport {
+        let mut numbered = None;
+        self.own_report.send_if_modified(|report| {
+            report.sequence += 1;
+            numbered = Some(report.clone());
             false
         });
-        word.unwrap_or_else(|| self.here.borrow().clone())
+        numbered.unwrap_or_else(|| self.own_report.borrow().clone())
     }
 
-    fn tick(&self) {
+    fn notify_changed(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 }
 
-/// Whether a target's speed is another one now.
-fn take_speed(board: &mut ReportStore, told: TargetSpeed, now: Instant) -> bool {
-    let before = board.slowdown(told.address, now);
-    board.record_speed(told, now);
-    let slowdown = board.slowdown(told.address, now);
-    let news = (slowdown - before).abs() > f64::EPSILON;
-    if news {
+/// Records the speed of a target. Returns whether its slowdown changed.
+fn apply_speed(reports: &mut ReportStore, speed: TargetSpeed, now: Instant) -> bool {
+    let before = reports.slowdown(speed.address, now);
+    reports.record_speed(speed, now);
+    let slowdown = reports.slowdown(speed.address, now);
+    let changed = (slowdown - before).abs() > f64::EPSILON;
+    if changed {
         log::info!(
-            address:display = told.address, before = before, slowdown = slowdown;
+            address:display = speed.address, before = before, slowdown = slowdown;
             "speed of a target changed"
         );
     }
-    news
+    changed
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    // Nothing under these locks can panic half-way.
+    // Changes under these locks cannot panic midway.
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/node/tests/follower.rs
+++ b/crates/node/tests/follower.rs
@@ -1,4 +1,4 @@
-//! A follower before small stand-ins for control replicas.
+//! A follower with stubs of control replicas.
 
 use node::{Follower, FollowerSettings};
 use std::future::Future;
@@ -12,17 +12,17 @@
 };
 use wire::{ClusterKey, Identity, LinkSettings, Role};
 
-const WITHIN: Duration = Duration::from_secs(30);
+const MAX_WAIT: Duration = Duration::from_secs(30);
 const LEASE_MS: u32 = 600_000;
 
 fn key() -> ClusterKey {
     ClusterKey::from_bytes(b"a key of the cluster").unwrap()
 }
 
-/// What a stand-in answers, by request.
+/// Answers of a stub, by request.
 type Answers = Arc<Mutex<dyn FnMut(Body) -> Option<Body> + Send>>;
 
-async fn replica(name: &'static str, answers: Answers) -> SocketAddr {
+async fn start_replica(name: &'static str, answers: Answers) -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
@@ -51,10 +51,10 @@
 }
 
 fn follow(controls: Vec<SocketAddr>) -> Follower {
-    follow_by(Follower::spawn, controls)
+    follow_with(Follower::spawn, controls)
 }
 
-fn follow_by(
+fn follow_with(
     spawn: fn(Identity, NodeInfo, FollowerSettings) -> Follower,
     controls: Vec<SocketAddr>,
 ) -> Follower {
@@ -75,10 +75,10 @@
     }
 }
 
-async fn until<Fut: Future<Output = bool>>(mut holds: impl FnMut() -> Fut) {
-    let end = Instant::now() + WITHIN;
-    while !holds().await {
-        assert!(Instant::now() < end, "never happened");
+async fn until<Fut: Future<Output = bool>>(mut condition: impl FnMut() -> Fut) {
+    let end = Instant::now() + MAX_WAIT;
+    while !condition().await {
+        assert!(Instant::now() < end, "condition not met in time");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
@@ -100,21 +100,21 @@
     })
 }
 
-/// A node was down for hundreds of notes. If it took work before it had them all, a
-/// caller would be served by what operators withdrew long ago.
+/// Guards against a node accepting work before it has all of hundreds of missed notes:
+/// callers would be served by targets that operators have withdrawn.
 #[tokio::test]
 async fn lease_only_with_newest_note() {
     let withhold = Arc::new(Mutex::new(true));
-    let held = Arc::clone(&withhold);
+    let is_withheld = Arc::clone(&withhold);
     let control = answers(move |body| match body {
         Body::Renew(_) => Some(Body::Renewed(renewed(1, 300))),
-        Body::FetchNotes(ask) if *held.lock().unwrap() => {
+        Body::FetchNotes(ask) if *is_withheld.lock().unwrap() => {
             Some(notes(ask.after + 1..=(ask.after + 50).min(299)))
         }
         Body::FetchNotes(ask) => Some(notes(ask.after + 1..=300)),
         _ => None,
     });
-    let follower = follow(vec![replica("control-1", control).await]);
+    let follower = follow(vec![start_replica("control-1", control).await]);
     until(|| async { follower.catalogue().number() == 299 }).await;
     follower.refresh().await;
     assert!(!follower.leased(Instant::now()));
@@ -123,18 +123,18 @@
     assert_eq!(follower.catalogue().number(), 300);
 }
 
-/// A leader was cut off, another one leads, and what the old one sent arrives late: an
-/// older view that lacks a target, and notes that stand already. A node that took them
-/// would send callers back to what is no longer in force.
+/// Guards against applying late messages of a disconnected former leader: an older view
+/// that lacks a target, and release notes that were already applied. The node would
+/// revert to an outdated state.
 #[tokio::test]
-async fn view_and_notes_never_go_back() {
-    let turn = Arc::new(Mutex::new(0_u64));
-    let turns = Arc::clone(&turn);
+async fn view_and_notes_never_revert() {
+    let renewals = Arc::new(Mutex::new(0_u64));
+    let counter = Arc::clone(&renewals);
     let control = answers(move |body| match body {
         Body::Renew(_) => {
-            let mut turn = turns.lock().unwrap();
-            *turn += 1;
-            let first = *turn == 1;
+            let mut count = counter.lock().unwrap();
+            *count += 1;
+            let first = *count == 1;
             let (term, note, names) = if first {
                 (5, 2, vec!["a", "b"])
             } else {
@@ -153,25 +153,25 @@
         Body::FetchNotes(_) => Some(notes(1..=2)),
         _ => None,
     });
-    let follower = follow(vec![replica("control-1", control).await]);
-    until(|| async { *turn.lock().unwrap() > 5 }).await;
+    let follower = follow(vec![start_replica("control-1", control).await]);
+    until(|| async { *renewals.lock().unwrap() > 5 }).await;
     assert_eq!(follower.view().term, 5);
     assert_eq!(follower.view().nodes.len(), 2);
     assert_eq!(follower.catalogue().number(), 2);
 }
 
-/// The replica that a node asks first does not lead, and the one that leads gives no
-/// answer at first. The operator's command must still get through.
+/// The replica that a node asks first does not lead, and the leader does not answer the
+/// first requests. The operator's command must still be committed.
 #[tokio::test]
 async fn propose_finds_leader() {
-    let follows = answers(|_| {
+    let non_leader = answers(|_| {
         Some(Body::NotLeader(NotLeader {
             leader: "control-2".to_owned(),
             address: String::new(),
         }))
     });
     let mut asked = 0;
-    let leads = answers(move |body| {
+    let leader_answers = answers(move |body| {
         asked += 1;
         match body {
             Body::Propose(_) if asked < 4 => None,
@@ -182,34 +182,34 @@
             _ => None,
         }
     });
-    let first = replica("control-1", follows).await;
-    let second = replica("control-2", leads).await;
+    let first = start_replica("control-1", non_leader).await;
+    let second = start_replica("control-2", leader_answers).await;
     let follower = follow(vec![first, second]);
-    let outcome = follower.propose(drain(), WITHIN).await;
+    let outcome = follower.propose(drain(), MAX_WAIT).await;
     assert_eq!(outcome.index, 7);
 }
 
-/// The settings name three replicas of five, and one of the other two leads. Were it
-/// not found, nothing that this node asks for would ever be decided.
+/// Guards against a node not finding a leader that its settings do not name, for example
+/// when they name three replicas of five: none of its commands would be committed.
 #[tokio::test]
-async fn propose_finds_leader_beside_settings() {
-    let leads = answers(|body| match body {
+async fn propose_finds_leader_outside_settings() {
+    let leader_answers = answers(|body| match body {
         Body::Propose(_) => Some(Body::Outcome(Outcome {
             index: 8,
             body: None,
         })),
         _ => None,
     });
-    let leader = replica("control-4", leads).await;
-    let follows = answers(move |_| {
+    let leader = start_replica("control-4", leader_answers).await;
+    let non_leader = answers(move |_| {
         Some(Body::NotLeader(NotLeader {
             leader: "control-4".to_owned(),
             address: leader.to_string(),
         }))
     });
-    let named = replica("control-1", follows).await;
-    let follower = follow_by(Follower::spawn_from_seeds, vec![named]);
-    let outcome = follower.propose(drain(), WITHIN).await;
+    let named = start_replica("control-1", non_leader).await;
+    let follower = follow_with(Follower::spawn_from_seeds, vec![named]);
+    let outcome = follower.propose(drain(), MAX_WAIT).await;
     assert_eq!(outcome.index, 8);
 }
 
@@ -220,11 +220,11 @@
     })
 }
 
-/// No replica answers. The caller must be told at once that the time is over, and that
-/// the command may have been committed all the same.
+/// No replica answers. The caller must learn in time that the time-out has passed and
+/// that the command may still have been committed.
 #[tokio::test]
-async fn propose_unanswered_maybe() {
-    let silent = replica("control-1", answers(|_| None)).await;
+async fn propose_unanswered_may_be_committed() {
+    let silent = start_replica("control-1", answers(|_| None)).await;
     let follower = follow(vec![silent]);
     until(|| async {
         let outcome = follower.propose(drain(), Duration::from_millis(300)).await;
@@ -236,11 +236,11 @@
     .await;
 }
 
-/// Guards against a group that is held for as long as a frozen leader is waited for,
-/// though another replica leads by then.
+/// Guards against blocking a group until a request to a hanging leader times out although
+/// another replica already leads.
 #[tokio::test]
-async fn propose_leader_frozen() {
-    let frozen = answers(|body| match body {
+async fn propose_leader_hangs() {
+    let hanging = answers(|body| match body {
         Body::Renew(_) => Some(Body::Renewed(renewed(1, 0))),
         _ => None,
     });
@@ -255,13 +255,13 @@
         })),
     });
     let controls = vec![
-        replica("control-1", frozen).await,
-        replica("control-2", next).await,
+        start_replica("control-1", hanging).await,
+        start_replica("control-2", next).await,
     ];
     let follower = follow(controls);
     until(|| async { follower.leased(Instant::now()) }).await;
     let open = command::Body::OpenCoordinator(wire::proto::OpenCoordinator::default());
-    // Less than the frozen one is waited for.
+    // Shorter than the time-out of one attempt.
     let within = Duration::from_millis(1_400);
     assert_eq!(follower.propose(open, within).await.index, 7);
 }
--- a/crates/node/tests/relay/batch.rs
+++ b/crates/node/tests/relay/batch.rs
@@ -1,4 +1,4 @@
-//! What control makes of renewals that come in one message.
+//! Handling of batches of renewals by control.
 
 use super::zone::{key, start_control};
 use std::time::Duration;
@@ -31,8 +31,8 @@
     }
 }
 
-async fn granted(link: &Link, renewals: Vec<Renew>) -> RenewedBatch {
-    let end = std::time::Instant::now() + Duration::from_mins(1);
+async fn renew_until_granted(link: &Link, renewals: Vec<Renew>) -> RenewedBatch {
+    let deadline = std::time::Instant::now() + Duration::from_mins(1);
     loop {
         let batch = RenewBatch {
             renewals: renewals.clone(),
@@ -43,21 +43,24 @@
         if let Ok(Body::RenewedBatch(renewed)) = answer {
             return renewed;
         }
-        assert!(std::time::Instant::now() < end, "never granted");
+        assert!(
+            std::time::Instant::now() < deadline,
+            "no renewal granted in time"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// A relay passes on the renewal of a process that was replaced under its name, together
-/// with those of others. If the batch stood or fell as a whole, the replaced one would get
-/// work again, or the others would lose their leases for it.
+/// Guards against accepting or refusing a batch as a whole. If one of its renewals is of a
+/// replaced process, that process would get work again, or the other nodes would lose
+/// their leases.
 #[tokio::test]
 async fn renew_batch_superseded_among_others() {
     let (_control, address, _folder) = start_control().await;
     let link = dial(address).await;
-    granted(&link, vec![renewal("desk-01", 1, 1)]).await;
-    granted(&link, vec![renewal("desk-01", 2, 1)]).await;
-    let renewed = granted(
+    renew_until_granted(&link, vec![renewal("desk-01", 1, 1)]).await;
+    renew_until_granted(&link, vec![renewal("desk-01", 2, 1)]).await;
+    let renewed = renew_until_granted(
         &link,
         vec![
             renewal("desk-02", 7, 1),
@@ -70,29 +73,32 @@
     assert_eq!(leases, [true, false, true]);
 }
 
-/// Nodes that hold the same view are told the same; it must come once, or a common start
-/// would cost the leader as many views as there are nodes.
+/// Guards against sending the same view once for each node: when all nodes start together,
+/// the leader would send as many views as there are nodes.
 #[tokio::test]
-async fn renew_batch_views_come_once() {
+async fn renew_batch_views_sent_once() {
     let (_control, address, _folder) = start_control().await;
     let link = dial(address).await;
     let all = (0..20)
         .map(|n| renewal(&format!("desk-{n:02}"), 1, 1))
         .collect();
-    let renewed = granted(&link, all).await;
+    let renewed = renew_until_granted(&link, all).await;
     assert_eq!(renewed.views.len(), 1);
     assert_eq!(renewed.views[0].nodes.len(), 20);
     assert!(renewed.renewals.iter().all(|r| r.shared_view == 1));
     let mut known = renewal("desk-00", 1, 2);
     (known.view_term, known.view_version) = (renewed.renewals[0].term, renewed.views[0].version);
-    let renewed = granted(&link, vec![known, renewal("desk-01", 1, 2)]).await;
-    let places: Vec<u32> = renewed.renewals.iter().map(|r| r.shared_view).collect();
-    assert!(places[0] == 0 || renewed.views.len() == 2, "{places:?}");
-    assert_ne!(places[1], 0);
+    let renewed = renew_until_granted(&link, vec![known, renewal("desk-01", 1, 2)]).await;
+    let shared_views: Vec<u32> = renewed.renewals.iter().map(|r| r.shared_view).collect();
+    assert!(
+        shared_views[0] == 0 || renewed.views.len() == 2,
+        "{shared_views:?}"
+    );
+    assert_ne!(shared_views[1], 0);
 }
 
-/// Two nodes of a batch act on different notes. Were the batch's note taken for all of
-/// them, a note would be called in force everywhere while one still works by the former.
+/// Guards against taking the release note of one node for all in the batch: a note would
+/// be reported as in use everywhere while one node still uses an earlier one.
 #[tokio::test(flavor = "multi_thread")]
 async fn renew_batch_note_of_each() {
     let (_control, address, _folder) = start_control().await;
@@ -100,7 +106,7 @@
     let mut ahead = renewal("desk-01", 1, 1);
     ahead.note = 3;
     let behind = renewal("desk-02", 1, 1);
-    granted(&link, vec![ahead, behind]).await;
+    renew_until_granted(&link, vec![ahead, behind]).await;
     let status = Body::Query(Query {
         body: Some(query::Body::Status(StatusQuery {})),
     });
@@ -113,11 +119,11 @@
     };
     let status: serde_json::Value = serde_json::from_slice(&json).unwrap();
     let nodes = status["nodes"].as_array().unwrap().iter();
-    let acted_on: Vec<_> = nodes
+    let notes_in_use: Vec<_> = nodes
         .map(|node| (node["name"].as_str(), node["note"].as_u64()))
         .collect();
     assert_eq!(
-        acted_on,
+        notes_in_use,
         [(Some("desk-01"), Some(3)), (Some("desk-02"), Some(0))]
     );
 }
--- a/crates/node/tests/relay/lost.rs
+++ b/crates/node/tests/relay/lost.rs
@@ -1,17 +1,17 @@
-//! The node that others renew through fails.
+//! Failures of the relay that nodes renew through.
 
 use super::zone::{LEASE, Mode, Zone, until};
 use std::collections::BTreeSet;
 
-/// Longer than any lease that was granted before; a test holds however long it is.
-const LONG: std::time::Duration = LEASE.saturating_mul(2);
+/// Longer than any lease that was granted before the failure.
+const OBSERVATION: std::time::Duration = LEASE.saturating_mul(2);
 
-async fn until_relayed_elsewhere(zone: &Zone, former: &str, carried: &BTreeSet<String>) {
-    until("its nodes renew through others", || {
+async fn until_using_other_relays(zone: &Zone, former: &str, relayed: &BTreeSet<String>) {
+    until("the nodes use other relays", || {
         let mut nodes = zone
             .nodes
             .iter()
-            .filter(|node| carried.contains(&node.name));
+            .filter(|node| relayed.contains(&node.name));
         nodes
             .all(|node| {
                 let gone = node.follower.view().nodes.iter().all(|n| n.name != former);
@@ -22,89 +22,92 @@
     .await;
 }
 
-/// The host of a relay dies. The nodes behind it must go on: one that lost its lease would
-/// take no new work, and with it a part of a zone would stop for the loss of one host.
+/// The host of a relay fails. The nodes that renew through it must keep their leases:
+/// otherwise they would accept no new work, and the failure of one host would stop a part
+/// of the zone.
 #[tokio::test(flavor = "multi_thread")]
-async fn relay_killed_leases_go_on() {
+async fn relay_killed_leases_kept() {
     let mut zone = Zone::start().await;
-    let (place, carried) = zone.busiest();
-    let watch = zone.watch(place);
-    let killed = zone.nodes.remove(place);
+    let (index, relayed) = zone.busiest_relay();
+    let leases = zone.watch_leases_except(index);
+    let killed = zone.nodes.remove(index);
     let name = killed.name.clone();
     drop(killed);
-    until_relayed_elsewhere(&zone, &name, &carried).await;
-    tokio::time::sleep(LONG).await;
-    watch.assert_none();
+    until_using_other_relays(&zone, &name, &relayed).await;
+    tokio::time::sleep(OBSERVATION).await;
+    leases.assert_no_lease_lost();
 }
 
-/// A relay no longer passes on what it takes, while its own lease goes on, so that nobody
-/// else finds anything wrong with it. Its nodes must not wait for it until their leases are
-/// over.
+/// A relay stops forwarding messages but keeps its own lease, so that no other node
+/// detects the failure. Its nodes must not wait for it until their leases expire.
 #[tokio::test(flavor = "multi_thread")]
-async fn relay_frozen_leases_go_on() {
+async fn relay_hangs_leases_kept() {
     let zone = Zone::start().await;
-    let (place, carried) = zone.busiest();
-    let watch = zone.watch(place);
-    zone.nodes[place].mode.send_replace(Mode::Frozen);
-    until("its nodes renew straight", || {
+    let (index, relayed) = zone.busiest_relay();
+    let leases = zone.watch_leases_except(index);
+    zone.nodes[index].mode.send_replace(Mode::Hanging);
+    until("the nodes renew directly", || {
         let mut nodes = zone
             .nodes
             .iter()
-            .filter(|node| carried.contains(&node.name));
+            .filter(|node| relayed.contains(&node.name));
         nodes.all(|node| node.relay().is_none()).then_some(())
     })
     .await;
-    tokio::time::sleep(LONG).await;
-    watch.assert_none();
+    tokio::time::sleep(OBSERVATION).await;
+    leases.assert_no_lease_lost();
 }
 
-/// A relay lies far behind: what it passes on arrives long after its nodes have turned to
-/// control themselves. The late renewals must not take anything back.
+/// A relay forwards messages so late that its nodes have already renewed directly. The
+/// late renewals must not revert newer ones.
 #[tokio::test(flavor = "multi_thread")]
-async fn relay_slow_leases_go_on() {
+async fn relay_slow_leases_kept() {
     let zone = Zone::start().await;
-    let (place, carried) = zone.busiest();
-    let watch = zone.watch(place);
-    zone.nodes[place].mode.send_replace(Mode::Slow);
-    let behind = zone
+    let (index, relayed) = zone.busiest_relay();
+    let leases = zone.watch_leases_except(index);
+    zone.nodes[index].mode.send_replace(Mode::Slow);
+    let leaving = zone
         .nodes
         .iter()
-        .find(|node| carried.contains(&node.name))
+        .find(|node| relayed.contains(&node.name))
         .unwrap();
-    let other = zone
+    let observer = zone
         .nodes
         .iter()
-        .find(|n| !carried.contains(&n.name) && n.name != zone.nodes[place].name);
-    let other = other.unwrap();
-    until("its nodes have waited in vain", || {
-        behind.relay().is_none().then_some(())
+        .find(|n| !relayed.contains(&n.name) && n.name != zone.nodes[index].name);
+    let observer = observer.unwrap();
+    until("the node renews directly", || {
+        leaving.relay().is_none().then_some(())
     })
     .await;
-    behind.follower.set_leaving(true);
+    leaving.follower.set_leaving(true);
     let shown = || {
-        let view = other.follower.view();
-        let node = view.nodes.iter().find(|node| node.name == behind.name);
+        let view = observer.follower.view();
+        let node = view.nodes.iter().find(|node| node.name == leaving.name);
         node.is_some_and(|node| node.leaving)
     };
-    until("it is seen to leave", || shown().then_some(())).await;
-    let end = std::time::Instant::now() + LEASE;
-    while std::time::Instant::now() < end {
-        assert!(shown(), "a renewal that was overtaken has brought it back");
+    until("the node is shown as leaving", || shown().then_some(())).await;
+    let deadline = std::time::Instant::now() + LEASE;
+    while std::time::Instant::now() < deadline {
+        assert!(
+            shown(),
+            "a late renewal has reverted the node to not leaving"
+        );
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
     }
-    watch.assert_none();
+    leases.assert_no_lease_lost();
 }
 
-/// The network fails between a relay and control, but not between it and its nodes.
+/// The network between a relay and control fails, but not between the relay and its nodes.
 #[tokio::test(flavor = "multi_thread")]
-async fn relay_cut_off_leases_go_on() {
+async fn relay_disconnected_leases_kept() {
     let zone = Zone::start().await;
-    let (place, carried) = zone.busiest();
-    let watch = zone.watch(place);
-    zone.nodes[place].proxy.cut();
-    until_relayed_elsewhere(&zone, &zone.nodes[place].name, &carried).await;
-    tokio::time::sleep(LONG).await;
-    watch.assert_none();
+    let (index, relayed) = zone.busiest_relay();
+    let leases = zone.watch_leases_except(index);
+    zone.nodes[index].proxy.cut();
+    until_using_other_relays(&zone, &zone.nodes[index].name, &relayed).await;
+    tokio::time::sleep(OBSERVATION).await;
+    leases.assert_no_lease_lost();
     let now = std::time::Instant::now();
-    assert!(!zone.nodes[place].follower.leased(now));
+    assert!(!zone.nodes[index].follower.leased(now));
 }
--- a/crates/node/tests/relay/main.rs
+++ b/crates/node/tests/relay/main.rs
@@ -1,4 +1,4 @@
-//! Renewals through other nodes of an availability zone, before a real control replica.
+//! Renewals through relays in an availability zone, with a real control replica.
 
 mod batch;
 mod lost;
--- a/crates/node/tests/relay/zone.rs
+++ b/crates/node/tests/relay/zone.rs
@@ -1,4 +1,4 @@
-//! A zone of many nodes before one control replica.
+//! A zone of many nodes with one control replica.
 
 use fake::Relay;
 use node::{Follower, FollowerSettings};
@@ -13,18 +13,18 @@
 use wire::proto::NodeInfo;
 use wire::{ClusterKey, Identity, LinkSettings, Role};
 
-/// More than renew straight, so that three of them pass on the others' renewals.
+/// More nodes than renew directly, so that three of them are relays.
 pub const NODES: usize = 40;
 pub const LEASE: Duration = Duration::from_secs(6);
 pub const RENEW: Duration = Duration::from_millis(500);
-const WITHIN: Duration = Duration::from_secs(90);
+const MAX_WAIT: Duration = Duration::from_secs(90);
 
-/// What a node does with what others send it to be passed on.
+/// How a node handles messages that others send it for forwarding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    Passing,
-    Frozen,
-    /// Each message lies for longer than its sender waits.
+    Forwarding,
+    Hanging,
+    /// Delays each message for longer than its sender waits.
     Slow,
 }
 
@@ -47,12 +47,12 @@
 }
 
 pub async fn until<T>(what: &str, mut check: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + WITHIN;
+    let deadline = Instant::now() + MAX_WAIT;
     loop {
         if let Some(value) = check() {
             return value;
         }
-        assert!(Instant::now() < end, "never: {what}");
+        assert!(Instant::now() < deadline, "not in time: {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -84,7 +84,7 @@
 }
 
 impl Zone {
-    /// Starts all nodes, and waits until each holds a lease and renews as it should.
+    /// Starts all nodes and waits until all except the three relays renew through a relay.
     pub async fn start() -> Zone {
         let (control, address, folder) = start_control().await;
         let mut nodes = Vec::new();
@@ -96,7 +96,7 @@
             _control: control,
             _folder: folder,
         };
-        until("all nodes are relayed", || {
+        until("all nodes use relays", || {
             let relayed = zone.nodes.iter().filter(|node| node.relay().is_some());
             (relayed.count() == NODES - 3).then_some(())
         })
@@ -104,9 +104,9 @@
         zone
     }
 
-    /// The node that most others renew through, and the names of those.
-    pub fn busiest(&self) -> (usize, BTreeSet<String>) {
-        let carried = |name: &str| -> BTreeSet<String> {
+    /// The index of the relay that most nodes renew through, and the names of those nodes.
+    pub fn busiest_relay(&self) -> (usize, BTreeSet<String>) {
+        let relayed_by = |name: &str| -> BTreeSet<String> {
             let through = self
                 .nodes
                 .iter()
@@ -114,48 +114,48 @@
             through.map(|node| node.name.clone()).collect()
         };
         let all = self.nodes.iter().enumerate();
-        let all = all.map(|(place, node)| (place, carried(&node.name)));
+        let all = all.map(|(index, node)| (index, relayed_by(&node.name)));
         all.max_by_key(|(_, names)| names.len()).unwrap()
     }
 
-    /// Watches the leases of all nodes but one.
-    pub fn watch(&self, but: usize) -> Watch {
+    /// Watches the leases of all nodes except one.
+    pub fn watch_leases_except(&self, excluded: usize) -> LeaseWatch {
         let nodes = self
             .nodes
             .iter()
             .enumerate()
-            .filter(|(place, _)| *place != but);
+            .filter(|(index, _)| *index != excluded);
         let nodes: Vec<(String, Follower)> = nodes
             .map(|(_, node)| (node.name.clone(), node.follower.clone()))
             .collect();
         let lost: Arc<Mutex<BTreeSet<String>>> = Arc::default();
-        let (noted, stop) = (Arc::clone(&lost), CancellationToken::new());
+        let (recorded, stop) = (Arc::clone(&lost), CancellationToken::new());
         tokio::spawn(stop.clone().run_until_cancelled_owned(async move {
             loop {
                 let now = Instant::now();
                 for (name, follower) in &nodes {
                     if !follower.leased(now) {
-                        noted.lock().unwrap().insert(name.clone());
+                        recorded.lock().unwrap().insert(name.clone());
                     }
                 }
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }));
-        Watch {
+        LeaseWatch {
             lost,
             _stop: stop.drop_guard(),
         }
     }
 }
 
-/// Who was without a lease at any time since the watch began.
-pub struct Watch {
+/// Records the nodes that were without a lease at any time since its creation.
+pub struct LeaseWatch {
     lost: Arc<Mutex<BTreeSet<String>>>,
     _stop: DropGuard,
 }
 
-impl Watch {
-    pub fn assert_none(&self) {
+impl LeaseWatch {
+    pub fn assert_no_lease_lost(&self) {
         let lost = self.lost.lock().unwrap();
         assert!(lost.is_empty(), "without a lease: {lost:?}");
     }
@@ -182,7 +182,7 @@
             link: LinkSettings::default(),
         };
         let follower = Follower::spawn(me.clone(), info, cfg);
-        let mode = watch::Sender::new(Mode::Passing);
+        let mode = watch::Sender::new(Mode::Forwarding);
         let stop = CancellationToken::new();
         let accepting = accept(
             listener,
@@ -224,8 +224,8 @@
                 let now = *mode.borrow();
                 let follower = follower.clone();
                 match now {
-                    Mode::Passing => follower.relay(incoming),
-                    Mode::Frozen => {}
+                    Mode::Forwarding => follower.relay(incoming),
+                    Mode::Hanging => {}
                     Mode::Slow => {
                         tokio::spawn(async move {
                             tokio::time::sleep(RENEW * 2).await;
