--- a/crates/outlet/src/client.rs
+++ b/crates/outlet/src/client.rs
@@ -30,7 +30,7 @@
     pub head_timeout: Duration,
     /// Time between two bytes of a response.
     pub progress_timeout: Duration,
-    /// Time of a whole request of [`fetch`], response body included.
+    /// Time of a request from its start to the end of the response body.
     pub request_timeout: Duration,
 }
 
