--- a/crates/agent/src/rank_agent.rs
+++ b/crates/agent/src/rank_agent.rs
@@ -5,8 +5,8 @@
 
 use expert::{MoveCost, SwitchCriteria, SwitchTiming};
 use eyre::WrapErr;
-use member::{SpeedReports, TargetSpeed};
-use node::{Decode, Follower, FollowerSettings};
+use member::{SpeedReportSchedule, TargetSpeed};
+use node::{DecodeRouteTable, Follower, FollowerSettings};
 use note::{Group, Weights};
 use table::{Experts, Table};
 use tokio::net::TcpListener;
@@ -66,10 +66,10 @@
 const DEFAULT_MAX_GAP: Duration = Duration::from_millis(120);
 /// Timeouts of requests to the engine on the same host.
 const CLIENT_SETTINGS: ClientSettings = ClientSettings {
-    connect: Duration::from_millis(200),
-    head: Duration::from_millis(400),
-    progress: Duration::from_secs(1),
-    question: Duration::from_millis(500),
+    connect_timeout: Duration::from_millis(200),
+    head_timeout: Duration::from_millis(400),
+    progress_timeout: Duration::from_secs(1),
+    request_timeout: Duration::from_millis(500),
 };
 
 /// Settings of [`run_rank_agent`].
@@ -94,7 +94,7 @@
     /// Settings of links.
     pub link: LinkSettings,
     /// Decodes a route table.
-    pub decode: Decode,
+    pub decode: DecodeRouteTable,
     /// Fraction by which copying experts slows down a step.
     pub slowdown: f64,
 }
@@ -149,7 +149,7 @@
     };
     let settings = FollowerSettings {
         controls: cfg.controls.clone(),
-        renew: RENEW_INTERVAL,
+        renew_interval: RENEW_INTERVAL,
         key: cfg.key.clone(),
         link: cfg.link.clone(),
     };
@@ -176,7 +176,7 @@
     follower: &Follower,
 ) {
     let identity = |state: &ArmingState| (state.group.clone(), state.rank, state.ranks);
-    let mut reports = SpeedReports::default();
+    let mut reports = SpeedReportSchedule::default();
     loop {
         sleep(ENGINE_POLL_INTERVAL).await;
         let Ok(state) = client.arming_state().await else {
--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -3,7 +3,7 @@
 use crate::control::Control;
 use bytes::Bytes;
 use eyre::{Result, bail};
-use member::{Entrance, Sighting};
+use member::{EntryReport, TargetReport};
 use std::time::Duration;
 use wire::proto::{RouteTable, RouteTableQuery, command, outcome, query, query_reply};
 
@@ -75,7 +75,7 @@
 
     /// Records a target's check-in. Returns `false` if it must not be acknowledged
     /// because too few other processes have confirmed it.
-    pub async fn update_target(&self, sighting: Sighting) -> bool {
+    pub async fn update_target(&self, sighting: TargetReport) -> bool {
         self.gossip().update_target(sighting).await
     }
 
@@ -87,7 +87,7 @@
 
     /// Returns the entries that accept new callers.
     #[must_use]
-    pub fn open_entries(&self) -> Vec<Entrance> {
+    pub fn open_entries(&self) -> Vec<EntryReport> {
         self.gossip().open_entries()
     }
 
--- a/crates/control/src/gossip.rs
+++ b/crates/control/src/gossip.rs
@@ -4,7 +4,7 @@
 use crate::replicas::Replicas;
 use crate::target_cache::TargetCache;
 use futures_util::future::join_all;
-use member::{Board, Entrance, Heard, Presence, Sighting};
+use member::{EntryReport, Presence, ReportEffect, ReportStore, TargetReport};
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -38,7 +38,7 @@
 }
 
 struct Shared {
-    board: Mutex<Board>,
+    board: Mutex<ReportStore>,
     /// Links of the entries that report to this replica.
     entries: Mutex<Vec<Link>>,
     /// Targets that have checked in again, unchanged, since the last refresh.
@@ -60,11 +60,11 @@
         table: watch::Receiver<RouteTable>,
         cache: TargetCache,
     ) -> Gossip {
-        let mut board = Board::default();
+        let mut board = ReportStore::default();
         let now = Instant::now();
         for cached in cache.read().into_iter().filter_map(sighting) {
             log::info!(target_id = cached.id.as_str(); "target restored from the cache file");
-            board.hear(cached, now);
+            board.record_target(cached, now);
         }
         let shared = Shared {
             board: Mutex::new(board),
@@ -112,8 +112,8 @@
             self.add_entry(link).await;
         }
         if let Some(state) = report.entrance.and_then(entrance) {
-            let heard = self.board().hear_entrance(state.clone(), Instant::now());
-            if heard == Heard::News {
+            let heard = self.board().record_entry(state.clone(), Instant::now());
+            if heard == ReportEffect::Changed {
                 log::info!(
                     entry = state.name.as_str(), open = state.open, table = state.table;
                     "state of an entry changed"
@@ -150,17 +150,17 @@
         let now = Instant::now();
         let mut changed = Vec::new();
         for target in received.targets.into_iter().filter_map(sighting) {
-            match self.board().hear(target.clone(), now) {
-                Heard::News => {
+            match self.board().record_target(target.clone(), now) {
+                ReportEffect::Changed => {
                     *lock(&self.shared.cache_state) = CacheState::Dirty;
                     changed.push(sighting_message(&target));
                 }
-                Heard::Again => drop(lock(&self.shared.refreshed).insert(target.id)),
-                Heard::Stale => {}
+                ReportEffect::Refreshed => drop(lock(&self.shared.refreshed).insert(target.id)),
+                ReportEffect::Stale => {}
             }
         }
         for entry in received.entrances.into_iter().filter_map(entrance) {
-            self.board().hear_entrance(entry, now);
+            self.board().record_entry(entry, now);
         }
         if !changed.is_empty() {
             send_all(&self.entries(), &targets_message(changed)).await;
@@ -180,12 +180,12 @@
     /// Records a target's check-in. Returns `false` if it must not be acknowledged:
     /// neither all entries connected here nor a majority of replicas have confirmed
     /// that the target takes no more work.
-    pub(crate) async fn update_target(&self, target: Sighting) -> bool {
-        let heard = self.board().hear(target.clone(), Instant::now());
+    pub(crate) async fn update_target(&self, target: TargetReport) -> bool {
+        let heard = self.board().record_target(target.clone(), Instant::now());
         match heard {
-            Heard::News => self.record_change(&target),
-            Heard::Again => drop(lock(&self.shared.refreshed).insert(target.id.clone())),
-            Heard::Stale => {}
+            ReportEffect::Changed => self.record_change(&target),
+            ReportEffect::Refreshed => drop(lock(&self.shared.refreshed).insert(target.id.clone())),
+            ReportEffect::Stale => {}
         }
         if target.presence != Presence::Ready {
             // Sent again even if nothing changed: that this replica knows the state
@@ -193,7 +193,7 @@
             return self.disseminate(&target).await;
         }
         // It does not matter when others learn that a target accepts work.
-        if heard == Heard::News {
+        if heard == ReportEffect::Changed {
             let gossip = self.clone();
             tokio::spawn(async move { gossip.disseminate(&target).await });
         }
@@ -206,7 +206,7 @@
     pub(crate) async fn remove_target(&self, id: &str, born: Option<u64>) -> bool {
         let (removed, is_known) = {
             let mut board = self.board();
-            let removed = board.leave(id, born, Instant::now());
+            let removed = board.record_departure(id, born, Instant::now());
             (removed, board.target(id).is_some())
         };
         let Some(target) = removed else {
@@ -220,18 +220,18 @@
         self.disseminate(&target).await
     }
 
-    fn record_change(&self, target: &Sighting) {
+    fn record_change(&self, target: &TargetReport) {
         *lock(&self.shared.cache_state) = CacheState::Dirty;
         log::info!(
             target_id = target.id.as_str(), service = target.service.as_str(),
-            address:display = target.address, born = target.born;
+            address:display = target.address, born = target.started_ms;
             "target reported state {:?}", target.presence
         );
     }
 
     /// Sends the state of a target to entries and replicas. Returns whether all entries
     /// connected here, or a majority of replicas, have confirmed it.
-    async fn disseminate(&self, target: &Sighting) -> bool {
+    async fn disseminate(&self, target: &TargetReport) -> bool {
         let update = targets_message(vec![sighting_message(target)]);
         let entries = self.entries();
         let replicas = self.shared.replica_links.open();
@@ -263,10 +263,10 @@
         let refreshed = std::mem::take(&mut *lock(&self.shared.refreshed));
         let (rows, entrances) = {
             let mut board = self.board();
-            board.forget(TARGET_EXPIRY, Instant::now());
+            board.remove_silent(TARGET_EXPIRY, Instant::now());
             let rows = refreshed.iter().filter_map(|id| board.target(id));
             let rows: Vec<_> = rows.map(sighting_message).collect();
-            let entrances = board.entrances().map(|(entry, _)| entrance_message(entry));
+            let entrances = board.entries().map(|(entry, _)| entrance_message(entry));
             (rows, entrances.collect())
         };
         self.write_cache_if_dirty();
@@ -329,15 +329,15 @@
     fn is_in_force(&self, number: u64) -> bool {
         let now = Instant::now();
         let board = self.board();
-        let mut live = board.entrances().filter(|(_, heard)| is_live(*heard, now));
+        let mut live = board.entries().filter(|(_, heard)| is_live(*heard, now));
         live.all(|(entry, _)| entry.table >= number)
     }
 
     /// Returns the entries that accept new callers.
-    pub(crate) fn open_entries(&self) -> Vec<Entrance> {
+    pub(crate) fn open_entries(&self) -> Vec<EntryReport> {
         let now = Instant::now();
         let board = self.board();
-        let live = board.entrances().filter(|(_, heard)| is_live(*heard, now));
+        let live = board.entries().filter(|(_, heard)| is_live(*heard, now));
         let open = live.filter(|(entry, _)| entry.open);
         open.map(|(entry, _)| entry.clone()).collect()
     }
@@ -348,7 +348,7 @@
         entries.clone()
     }
 
-    fn board(&self) -> MutexGuard<'_, Board> {
+    fn board(&self) -> MutexGuard<'_, ReportStore> {
         lock(&self.shared.board)
     }
 }
--- a/crates/control/src/node_leases.rs
+++ b/crates/control/src/node_leases.rs
@@ -208,7 +208,7 @@
     /// assert_eq!(leases.version(), 2);
     /// ```
     pub fn drained_targets_changed(&mut self) {
-        self.registry.renew_view();
+        self.registry.require_full_view();
     }
 
     /// Returns how far the notes up to `newest` have reached the nodes.
@@ -234,7 +234,7 @@
                 lagging.push(key.to_string());
             }
         }
-        let settled = self.registry.in_force(0, now).everywhere;
+        let settled = self.registry.note_rollout(0, now).everywhere;
         NoteProgress {
             everywhere: settled.then_some(everywhere),
             lagging,
@@ -304,7 +304,7 @@
             .nodes
             .iter()
             .map(|node| encode_for_view(node, drained));
-        let gone = changes.gone.into_iter().map(|key| NodeRef {
+        let gone = changes.removed.into_iter().map(|key| NodeRef {
             role: encode_role(key.role).into(),
             name: key.name,
         });
--- a/crates/direct/tests/doors.rs
+++ b/crates/direct/tests/doors.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use direct::Readiness;
-use member::Entrance;
+use member::EntryReport;
 use node::{Watcher, WatcherSettings};
 use std::time::Duration;
 use tokio::sync::watch;
@@ -10,7 +10,7 @@
 use wire::{ClusterKey, Identity, LinkSettings, Role};
 
 fn watcher() -> Watcher {
-    let here = Entrance {
+    let here = EntryReport {
         name: "entry-0".to_owned(),
         incarnation: 1,
         sequence: 0,
@@ -22,7 +22,7 @@
     };
     let cfg = WatcherSettings {
         seeds: watch::channel(Vec::new()).1,
-        report: Duration::from_millis(500),
+        report_interval: Duration::from_millis(500),
         key: ClusterKey::from_bytes(b"cluster key of this test").unwrap(),
         link: LinkSettings::default(),
         decode: |_| Ok(table::Table::default()),
--- a/crates/entry/src/links/manager.rs
+++ b/crates/entry/src/links/manager.rs
@@ -148,8 +148,8 @@
         let uses = self
             .args
             .placement
-            .exchange_quotas(now, &self.args.follower.parts());
-        self.args.follower.set_uses(uses);
+            .exchange_quotas(now, &self.args.follower.quota_shares());
+        self.args.follower.set_account_usage(uses);
         self.args.placement.advance(now);
         self.args
             .placement
--- a/crates/entry/src/placement/inner.rs
+++ b/crates/entry/src/placement/inner.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use node::Parts;
+use node::QuotaShares;
 use note::{Catalogue, Offer};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -159,7 +159,7 @@
     }
 
     /// Applies the granted fractions of account limits and returns the usage to report.
-    pub(super) fn exchange_quotas(&mut self, now: Instant, parts: &Parts) -> Vec<AccountUse> {
+    pub(super) fn exchange_quotas(&mut self, now: Instant, parts: &QuotaShares) -> Vec<AccountUse> {
         let margin_end = now + GRANT_MARGIN;
         let is_fixed = self.account_part > 0.0;
         let mut uses = Vec::new();
--- a/crates/entry/src/placement/mod.rs
+++ b/crates/entry/src/placement/mod.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-use node::Parts;
+use node::QuotaShares;
 use note::Catalogue;
 use route::{Fingerprint, Refusal, Suspicion, TargetLoadReport};
 use tokio::sync::oneshot;
@@ -165,7 +165,7 @@
     }
 
     /// Applies the granted fractions of account limits and returns the usage to report.
-    pub(crate) fn exchange_quotas(&self, now: Instant, parts: &Parts) -> Vec<AccountUse> {
+    pub(crate) fn exchange_quotas(&self, now: Instant, parts: &QuotaShares) -> Vec<AccountUse> {
         self.lock().exchange_quotas(now, parts)
     }
 
--- a/crates/entry/src/work/ledger_record.rs
+++ b/crates/entry/src/work/ledger_record.rs
@@ -207,7 +207,7 @@
         let reply = match &command {
             // The call has run, so its outcome is proposed until the timeout.
             command::Body::Finish(_) => self.follower.propose(command, timeout).await,
-            _ => self.follower.propose_or_refuse(command, timeout).await,
+            _ => self.follower.propose_fail_fast(command, timeout).await,
         };
         reply.body
     }
--- /dev/null
+++ b/crates/member/src/report_store.rs
@@ -0,0 +1,232 @@
+//! The latest reports of targets and entries.
+
+use crate::{EntryReport, Presence, ReportEffect, TargetReport, TargetSpeed};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+
+/// How long the report of a target that has left is kept, so that an earlier
+/// report that arrives late does not bring it back. The longest delays, on
+/// links that were interrupted, are some tens of seconds.
+const DEPARTED_RETENTION: Duration = Duration::from_mins(2);
+
+/// Soft state of each replica and entry: the latest report of each target and
+/// each entry.
+///
+/// Reports are ordered by incarnation, then by sequence number. They may arrive
+/// on any path, late or repeatedly, and all stores converge to the same state.
+///
+/// ```
+/// use member::{Presence, ReportEffect, ReportStore, TargetReport};
+/// use std::time::{Duration, Instant};
+///
+/// let now = Instant::now();
+/// let mut store = ReportStore::default();
+/// let ready = TargetReport {
+///     id: "i-7f3a".into(),
+///     service: "order-desk".into(),
+///     address: "127.0.0.1:8080".parse().unwrap(),
+///     zone: "celje".into(),
+///     slots: 6,
+///     presence: Presence::Ready,
+///     started_ms: 1_700_000_000_000,
+///     sequence: 1,
+/// };
+/// assert_eq!(store.record_target(ready.clone(), now), ReportEffect::Changed);
+/// assert_eq!(store.record_target(ready, now), ReportEffect::Stale);
+/// assert_eq!(store.targets().count(), 1);
+/// ```
+#[derive(Clone, Debug, Default)]
+pub struct ReportStore {
+    targets: BTreeMap<String, Received<TargetReport>>,
+    entries: BTreeMap<String, Received<EntryReport>>,
+    /// Reports of agents about slow targets, by the target's address.
+    slow: BTreeMap<SocketAddr, Received<TargetSpeed>>,
+}
+
+/// A report and when it was received here.
+#[derive(Clone, Debug)]
+struct Received<T> {
+    report: T,
+    received_at: Instant,
+}
+
+impl ReportStore {
+    /// Records the report of a target, whichever path it came on.
+    pub fn record_target(&mut self, report: TargetReport, now: Instant) -> ReportEffect {
+        if self.is_superseded(&report) {
+            return ReportEffect::Stale;
+        }
+        let effect = match self.targets.get(&report.id) {
+            Some(row) if row.report.order() >= report.order() => return ReportEffect::Stale,
+            Some(row) if same_target(&row.report, &report) => ReportEffect::Refreshed,
+            _ => ReportEffect::Changed,
+        };
+        if report.presence != Presence::Gone {
+            self.mark_replaced(&report);
+        }
+        let row = Received {
+            report,
+            received_at: now,
+        };
+        self.targets.insert(row.report.id.clone(), row);
+        effect
+    }
+
+    /// Records that a target has left, given its identifier and, if known, the start
+    /// time of its incarnation in Unix milliseconds. Without one, the known incarnation
+    /// has left. Returns the resulting report, or `None` if the target is unknown or a
+    /// later incarnation of it is known.
+    pub fn record_departure(
+        &mut self,
+        id: &str,
+        started_ms: Option<u64>,
+        now: Instant,
+    ) -> Option<TargetReport> {
+        let row = self.targets.get_mut(id)?;
+        if started_ms.is_some_and(|started_ms| started_ms < row.report.started_ms) {
+            return None;
+        }
+        row.report.started_ms = started_ms.unwrap_or(row.report.started_ms);
+        // No earlier report of this incarnation may supersede its departure.
+        row.report.sequence = u64::MAX;
+        row.report.presence = Presence::Gone;
+        row.received_at = now;
+        Some(row.report.clone())
+    }
+
+    /// Records the report of an entry.
+    pub fn record_entry(&mut self, report: EntryReport, now: Instant) -> ReportEffect {
+        let effect = match self.entries.get(&report.name) {
+            Some(row) if row.report.order() >= report.order() => return ReportEffect::Stale,
+            Some(row) if same_entry(&row.report, &report) => ReportEffect::Refreshed,
+            _ => ReportEffect::Changed,
+        };
+        let row = Received {
+            report,
+            received_at: now,
+        };
+        self.entries.insert(row.report.name.clone(), row);
+        effect
+    }
+
+    /// Records the speed of a target that its agent reports.
+    ///
+    /// ```
+    /// use member::{ReportStore, TargetSpeed};
+    /// use std::time::Instant;
+    ///
+    /// let now = Instant::now();
+    /// let address = "127.0.0.1:8080".parse().unwrap();
+    /// let mut store = ReportStore::default();
+    /// assert_eq!(store.slowdown(address, now), 1.0);
+    /// store.record_speed(TargetSpeed { address, slowdown: 4.0 }, now);
+    /// assert_eq!(store.slowdown(address, now), 4.0);
+    /// assert_eq!(store.slowdown(address, now + TargetSpeed::VALIDITY), 1.0);
+    /// ```
+    pub fn record_speed(&mut self, report: TargetSpeed, now: Instant) {
+        self.slow.retain(|_, row| {
+            now.saturating_duration_since(row.received_at) < TargetSpeed::VALIDITY
+        });
+        if report.slowdown > 1.0 {
+            self.slow.insert(
+                report.address,
+                Received {
+                    report,
+                    received_at: now,
+                },
+            );
+        } else {
+            self.slow.remove(&report.address);
+        }
+    }
+
+    /// Processing time of the target at an address as a multiple of the usual one;
+    /// 1.0 if no slowdown is reported.
+    #[must_use]
+    pub fn slowdown(&self, address: SocketAddr, now: Instant) -> f64 {
+        let row = self.slow.get(&address);
+        let row = row
+            .filter(|row| now.saturating_duration_since(row.received_at) < TargetSpeed::VALIDITY);
+        row.map_or(1.0, |row| row.report.slowdown)
+    }
+
+    /// Returns the latest report of each target and when it was received.
+    pub fn targets(&self) -> impl Iterator<Item = (&TargetReport, Instant)> {
+        self.targets
+            .values()
+            .map(|row| (&row.report, row.received_at))
+    }
+
+    /// Returns the latest report of the target with this identifier.
+    #[must_use]
+    pub fn target(&self, id: &str) -> Option<&TargetReport> {
+        self.targets.get(id).map(|row| &row.report)
+    }
+
+    /// Returns the latest report of each entry and when it was received.
+    pub fn entries(&self) -> impl Iterator<Item = (&EntryReport, Instant)> {
+        self.entries
+            .values()
+            .map(|row| (&row.report, row.received_at))
+    }
+
+    /// Removes targets and entries that have not reported for `max_silence`, and targets
+    /// that left longer than two minutes ago.
+    pub fn remove_silent(&mut self, max_silence: Duration, now: Instant) {
+        let silence = |received_at: Instant| now.saturating_duration_since(received_at);
+        self.targets.retain(|_, row| {
+            let retention = match row.report.presence {
+                Presence::Gone => DEPARTED_RETENTION,
+                Presence::Ready | Presence::Draining => max_silence,
+            };
+            silence(row.received_at) < retention
+        });
+        self.entries
+            .retain(|_, row| silence(row.received_at) < max_silence);
+    }
+
+    /// Whether a later process uses the address. A report that an interrupted link
+    /// delayed may arrive after its sender has crashed and its address was assigned
+    /// to another service, and requests would go to the wrong service.
+    fn is_superseded(&self, report: &TargetReport) -> bool {
+        let mut others = self.targets.values().map(|row| &row.report);
+        others.any(|other| {
+            other.address == report.address
+                && other.id != report.id
+                && other.presence != Presence::Gone
+                && other.started_ms > report.started_ms
+        })
+    }
+
+    /// Marks earlier processes at the address as gone.
+    fn mark_replaced(&mut self, report: &TargetReport) {
+        for row in self.targets.values_mut() {
+            let other = &mut row.report;
+            if other.address == report.address
+                && other.id != report.id
+                && other.started_ms <= report.started_ms
+            {
+                other.presence = Presence::Gone;
+                other.sequence = u64::MAX;
+            }
+        }
+    }
+}
+
+/// Whether two reports of a target differ in the sequence number only.
+fn same_target(known: &TargetReport, report: &TargetReport) -> bool {
+    let report = TargetReport {
+        sequence: known.sequence,
+        ..report.clone()
+    };
+    *known == report
+}
+
+fn same_entry(known: &EntryReport, report: &EntryReport) -> bool {
+    let report = EntryReport {
+        sequence: known.sequence,
+        ..report.clone()
+    };
+    *known == report
+}
--- /dev/null
+++ b/crates/node/src/watcher_state.rs
@@ -0,0 +1,187 @@
+//! State of a watcher.
+
+use crate::watcher::DecodeRouteTable;
+use member::{EntryReport, Presence, ReportEffect, ReportStore, TargetSpeed};
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::{Duration, Instant};
+use table::Table;
+use tokio::sync::watch;
+use wire::proto::{RouteTable, Sightings};
+use wire::{sighting, target_speed};
+
+/// How long the report of a silent target is kept. Such a target gets no work by then,
+/// and no other node needs its last report from here.
+const SILENT_TARGET_RETENTION: Duration = Duration::from_mins(1);
+
+/// State that a watcher receives from control.
+pub struct WatcherState {
+    decode: DecodeRouteTable,
+    table: Mutex<Option<Arc<Table>>>,
+    reports: Mutex<ReportStore>,
+    own_report: watch::Sender<EntryReport>,
+    replicas: watch::Sender<BTreeSet<SocketAddr>>,
+    /// Number of changes of the table or the reports.
+    changed: watch::Sender<u64>,
+}
+
+/// A target that is known from its reports.
+#[derive(Clone, Debug, PartialEq)]
+pub struct KnownTarget {
+    /// The latest report of the target.
+    pub report: member::TargetReport,
+    /// Processing time as a multiple of the usual one, as reported by the agent on the
+    /// target's host.
+    pub slowdown: f64,
+    /// When the report was received here.
+    pub received_at: Instant,
+}
+
+impl WatcherState {
+    pub(crate) fn new(own_report: EntryReport, decode: DecodeRouteTable) -> WatcherState {
+        WatcherState {
+            decode,
+            table: Mutex::default(),
+            reports: Mutex::default(),
+            own_report: watch::Sender::new(own_report),
+            replicas: watch::Sender::default(),
+            changed: watch::Sender::new(0),
+        }
+    }
+
+    pub(crate) fn table(&self) -> Option<Arc<Table>> {
+        lock(&self.table).clone()
+    }
+
+    /// Subscribes to a counter of the changes of the table and the targets.
+    #[must_use]
+    pub fn changed(&self) -> watch::Receiver<u64> {
+        self.changed.subscribe()
+    }
+
+    /// Returns the targets that have not left.
+    #[must_use]
+    pub fn targets(&self, now: Instant) -> Vec<KnownTarget> {
+        let reports = lock(&self.reports);
+        let present = reports
+            .targets()
+            .filter(|(report, _)| report.presence != Presence::Gone);
+        let known = present.map(|(report, received_at)| KnownTarget {
+            report: report.clone(),
+            slowdown: reports.slowdown(report.address, now),
+            received_at,
+        });
+        known.collect()
+    }
+
+    /// Applies a route table if its number is higher than that of the current one.
+    pub(crate) fn apply_table(&self, received: &RouteTable) {
+        let current = self.table().map_or(0, |table| table.number());
+        if received.number <= current {
+            return;
+        }
+        let table = match (self.decode)(&received.source) {
+            Ok(table) => Arc::new(table),
+            Err(findings) => {
+                // Unexpected: control validated the table with the same function.
+                log::error!(table = received.number; "cannot decode the route table: {findings}");
+                return;
+            }
+        };
+        {
+            let mut current = lock(&self.table);
+            if current
+                .as_ref()
+                .is_some_and(|table| table.number() >= received.number)
+            {
+                return;
+            }
+            *current = Some(table);
+        }
+        log::info!(table = received.number; "using a new route table");
+        self.update_own_report(|report| report.table = report.table.max(received.number));
+        self.notify_changed();
+    }
+
+    pub(crate) fn apply_sightings(&self, sightings: Sightings, now: Instant) {
+        let mut changed = false;
+        let mut reports = lock(&self.reports);
+        for report in sightings.targets.into_iter().filter_map(sighting) {
+            let (id, presence) = (report.id.clone(), report.presence);
+            let effect = reports.record_target(report, now);
+            if effect == ReportEffect::Changed {
+                log::info!(target_id = id.as_str(); "target is {presence:?}");
+            }
+            changed |= effect != ReportEffect::Stale;
+        }
+        for speed in sightings.speeds.iter().filter_map(target_speed) {
+            changed |= apply_speed(&mut reports, speed, now);
+        }
+        reports.remove_silent(SILENT_TARGET_RETENTION, now);
+        drop(reports);
+        if changed {
+            self.notify_changed();
+        }
+    }
+
+    pub(crate) fn apply_replicas(&self, named: &[String]) {
+        let named: BTreeSet<SocketAddr> = named.iter().filter_map(|a| a.parse().ok()).collect();
+        if named.is_empty() {
+            return;
+        }
+        self.replicas.send_if_modified(|known| {
+            let changed = *known != named;
+            *known = named;
+            changed
+        });
+    }
+
+    pub(crate) fn replicas(&self) -> watch::Receiver<BTreeSet<SocketAddr>> {
+        self.replicas.subscribe()
+    }
+
+    pub(crate) fn own_report(&self) -> watch::Receiver<EntryReport> {
+        self.own_report.subscribe()
+    }
+
+    /// Changes the report of this entry, which is then sent at once.
+    pub(crate) fn update_own_report(&self, change: impl FnOnce(&mut EntryReport)) {
+        self.own_report.send_modify(change);
+    }
+
+    /// Returns the report of this entry with a new sequence number.
+    pub(crate) fn next_report(&self) -> EntryReport {
+        let mut numbered = None;
+        self.own_report.send_if_modified(|report| {
+            report.sequence += 1;
+            numbered = Some(report.clone());
+            false
+        });
+        numbered.unwrap_or_else(|| self.own_report.borrow().clone())
+    }
+
+    fn notify_changed(&self) {
+        self.changed.send_modify(|count| *count += 1);
+    }
+}
+
+/// Records the speed of a target. Returns whether its slowdown changed.
+fn apply_speed(reports: &mut ReportStore, speed: TargetSpeed, now: Instant) -> bool {
+    let before = reports.slowdown(speed.address, now);
+    reports.record_speed(speed, now);
+    let slowdown = reports.slowdown(speed.address, now);
+    let changed = (slowdown - before).abs() > f64::EPSILON;
+    if changed {
+        log::info!(
+            address:display = speed.address, before = before, slowdown = slowdown;
+            "speed of a target changed"
+        );
+    }
+    changed
+}
+
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    // Changes under these locks cannot panic midway.
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
