--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -53,7 +53,7 @@
         let http = listeners.http.local_addr()?;
         let me = Identity::new(Role::Agent, cfg.name.clone(), rand::random());
         let link = LinkSettings {
-            beat: cfg.timing.heartbeat_interval,
+            heartbeat_interval: cfg.timing.heartbeat_interval,
             ..LinkSettings::default()
         };
         let follower = spawn_follower(&cfg, &me, &key, &link, links);
--- a/crates/agent/src/map_agent.rs
+++ b/crates/agent/src/map_agent.rs
@@ -106,7 +106,7 @@
             Ok((stream, _)) => stream,
             Err(e) => {
                 log::warn!("failed to accept a link: {e}");
-                tokio::time::sleep(cfg.beat).await;
+                tokio::time::sleep(cfg.heartbeat_interval).await;
                 continue;
             }
         };
--- a/crates/agent/tests/answers.rs
+++ b/crates/agent/tests/answers.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use std::time::Duration;
 use support::{Fixture, id, wait_until};
-use wire::Broken;
+use wire::AnswerFailure;
 use wire::proto::{AttemptState, End};
 
 async fn engine() -> Engine {
@@ -128,7 +128,7 @@
         entry.start_accepted(fixture.chat(attempt, 20)).await;
         let (body, end) = entry.wait_ended(&id(attempt)).await;
         assert!(!body.is_empty());
-        let Err(Broken::Ended(end)) = end else {
+        let Err(AnswerFailure::Aborted(end)) = end else {
             panic!("truncated answer passed for complete: {end:?}");
         };
         assert_eq!(end.end(), End::Lost);
@@ -149,7 +149,7 @@
     wait_until("some of it came", async || entry.received_len(&id(1)) > 100).await;
     engine.fault(Fault::Silent);
     let (_, end) = entry.wait_ended(&id(1)).await;
-    assert!(matches!(end, Err(Broken::Ended(end)) if end.end() == End::Lost));
+    assert!(matches!(end, Err(AnswerFailure::Aborted(end)) if end.end() == End::Lost));
     assert!(fixture.control.crashes().is_empty());
 }
 
--- a/crates/agent/tests/crashes.rs
+++ b/crates/agent/tests/crashes.rs
@@ -5,16 +5,16 @@
 use fake::{Engine, EngineSettings, Fault};
 use serde_json::json;
 use support::{Fixture, TcpProxy, id, wait_until};
-use wire::Broken;
+use wire::AnswerFailure;
 use wire::proto::{End, Refusal, Start};
 
 async fn engine() -> Engine {
     Engine::start(EngineSettings::default()).await.unwrap()
 }
 
-fn ending(end: Result<wire::proto::AnswerEnd, Broken>) -> End {
+fn ending(end: Result<wire::proto::AnswerEnd, AnswerFailure>) -> End {
     match end {
-        Ok(end) | Err(Broken::Ended(end) | Broken::Damaged(end)) => end.end(),
+        Ok(end) | Err(AnswerFailure::Aborted(end) | AnswerFailure::Corrupted(end)) => end.end(),
     }
 }
 
--- a/crates/agent/tests/kept.rs
+++ b/crates/agent/tests/kept.rs
@@ -11,7 +11,7 @@
 use fake::{Engine, EngineSettings, Fault};
 use serde_json::json;
 use support::{Fixture, id, wait_until};
-use wire::Broken;
+use wire::AnswerFailure;
 use wire::proto::{End, Start};
 
 const LONG_TIMEOUT: Duration = Duration::from_mins(1);
@@ -357,9 +357,9 @@
     (engine, fixture)
 }
 
-fn ending(end: Result<wire::proto::AnswerEnd, Broken>) -> End {
+fn ending(end: Result<wire::proto::AnswerEnd, AnswerFailure>) -> End {
     match end {
-        Ok(end) | Err(Broken::Ended(end) | Broken::Damaged(end)) => end.end(),
+        Ok(end) | Err(AnswerFailure::Aborted(end) | AnswerFailure::Corrupted(end)) => end.end(),
     }
 }
 
--- a/crates/agent/tests/refusals.rs
+++ b/crates/agent/tests/refusals.rs
@@ -178,7 +178,7 @@
     let other = fixture.connect_entry().await;
     other.start_accepted(fixture.reservation(1, "lot-1")).await;
     let (_, end) = other.wait_ended(&id(1)).await;
-    assert!(matches!(end, Err(wire::Broken::Ended(end)) if end.end() == End::Lost));
+    assert!(matches!(end, Err(wire::AnswerFailure::Aborted(end)) if end.end() == End::Lost));
     assert_eq!(service.count("lot-1", "/lots"), 1);
 }
 
@@ -212,7 +212,7 @@
     .await;
     entry.start_accepted(fixture.reservation(1, "lot-1")).await;
     let (_, end) = entry.wait_ended(&id(1)).await;
-    assert!(matches!(end, Err(wire::Broken::Ended(end)) if end.end() == End::NotRun));
+    assert!(matches!(end, Err(wire::AnswerFailure::Aborted(end)) if end.end() == End::NotRun));
     assert_eq!(service.count("lot-1", "/lots"), 0);
 }
 
@@ -226,7 +226,7 @@
     service.fault(Fault::LoseAnswer);
     entry.start_accepted(fixture.reservation(1, "lot-1")).await;
     let (_, end) = entry.wait_ended(&id(1)).await;
-    assert!(matches!(end, Err(wire::Broken::Ended(end)) if end.end() == End::Lost));
+    assert!(matches!(end, Err(wire::AnswerFailure::Aborted(end)) if end.end() == End::Lost));
     assert_eq!(service.count("lot-1", "/lots"), 1);
     sleep(Duration::from_millis(50)).await;
     assert!(fixture.control.crashes().is_empty());
--- a/crates/agent/tests/support/test_entry.rs
+++ b/crates/agent/tests/support/test_entry.rs
@@ -12,16 +12,18 @@
 use wire::proto::{
     AnswerEnd, Attach, AttemptState, Bar, Cancel, Progress, Refusal, Start, StartReply,
 };
-use wire::{Assembly, Broken, Identity, Incoming, Link, LinkSettings, Piece, Role};
+use wire::{
+    AnswerAssembler, AnswerFailure, AnswerPart, Identity, Incoming, Link, LinkSettings, Role,
+};
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// An answer as far as it has been received.
 pub struct ReceivedAnswer {
-    assembly: Assembly,
+    assembly: AnswerAssembler,
     pub status: u32,
     pub body: Vec<u8>,
-    pub end: Option<Result<AnswerEnd, Broken>>,
+    pub end: Option<Result<AnswerEnd, AnswerFailure>>,
     /// Whether received bytes are acknowledged.
     pub acknowledges: bool,
 }
@@ -142,7 +144,7 @@
     pub fn expect_answer(&self, attempt: &Bytes, acknowledges: bool) {
         let mut inner = self.inner.lock().unwrap();
         let answer = || ReceivedAnswer {
-            assembly: Assembly::new(attempt.clone(), 1 << 20),
+            assembly: AnswerAssembler::new(attempt.clone(), 1 << 20),
             status: 0,
             body: Vec::new(),
             end: None,
@@ -161,7 +163,7 @@
     }
 
     /// Waits for the end of an answer and returns its bytes and how it ended.
-    pub async fn wait_ended(&self, attempt: &Bytes) -> (Vec<u8>, Result<AnswerEnd, Broken>) {
+    pub async fn wait_ended(&self, attempt: &Bytes) -> (Vec<u8>, Result<AnswerEnd, AnswerFailure>) {
         super::wait_until("the answer ended", async || {
             self.with_answer(attempt, |answer| answer.end.is_some())
         })
@@ -203,12 +205,12 @@
             }
         };
         let answer = inner.answers.get_mut(&attempt)?;
-        for piece in answer.assembly.take(body) {
+        for piece in answer.assembly.push(body) {
             match piece {
-                Piece::Head(head) => answer.status = head.status,
-                Piece::Data(data) => answer.body.extend_from_slice(&data),
-                Piece::Whole(end) => answer.end = Some(Ok(end)),
-                Piece::Broken(broken) => answer.end = Some(Err(broken)),
+                AnswerPart::Head(head) => answer.status = head.status,
+                AnswerPart::Data(data) => answer.body.extend_from_slice(&data),
+                AnswerPart::Complete(end) => answer.end = Some(Ok(end)),
+                AnswerPart::Failed(broken) => answer.end = Some(Err(broken)),
             }
         }
         answer.acknowledges.then(|| Progress {
--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -80,8 +80,8 @@
             .await
             .map_err(|e| eyre!("replica can't start: {e}"))?;
         let cfg = LinkSettings {
-            beat: settings.timing.link_beat,
-            redial_pause: (
+            heartbeat_interval: settings.timing.link_beat,
+            redial_backoff: (
                 shortest_pause(settings.timing.redial_most),
                 settings.timing.redial_most,
             ),
@@ -273,7 +273,7 @@
 
 /// The first pause before a link is dialled again; each further one doubles.
 fn shortest_pause(longest: Duration) -> Duration {
-    LinkSettings::default().redial_pause.0.min(longest)
+    LinkSettings::default().redial_backoff.0.min(longest)
 }
 
 async fn until(stop: CancellationToken, work: impl Future<Output = ()>) {
--- a/crates/control/src/hub.rs
+++ b/crates/control/src/hub.rs
@@ -12,7 +12,7 @@
 use tokio::time::{MissedTickBehavior, interval, timeout};
 use wire::proto::frame::Body;
 use wire::proto::{Report, Reported, RouteTable, Sightings, SightingsTaken};
-use wire::{Link, entrance, entrance_message, sighting, sighting_message};
+use wire::{Link, entrance_from_proto, entrance_to_proto, sighting_from_proto, sighting_to_proto};
 
 /// How often entries and other replicas are told who was heard again. Targets
 /// check in every second or so; a shorter time would tell the same twice.
@@ -60,7 +60,7 @@
     ) -> Hub {
         let mut board = Board::default();
         let now = Instant::now();
-        for told in cache.read().into_iter().filter_map(sighting) {
+        for told in cache.read().into_iter().filter_map(sighting_from_proto) {
             log::info!(target_id = told.id.as_str(); "target known from before the start");
             board.hear(told, now);
         }
@@ -105,7 +105,7 @@
         if !known {
             self.entry_up(link).await;
         }
-        if let Some(told) = report.entrance.and_then(entrance) {
+        if let Some(told) = report.entrance.and_then(entrance_from_proto) {
             let heard = self.board().hear_entrance(told.clone(), Instant::now());
             if heard == Heard::News {
                 log::info!(
@@ -128,7 +128,7 @@
         let targets = self
             .board()
             .targets()
-            .map(|(told, _)| sighting_message(told))
+            .map(|(told, _)| sighting_to_proto(told))
             .collect();
         let board = self::targets(targets);
         for body in [Body::RouteTable(table), board] {
@@ -143,17 +143,17 @@
     pub(crate) async fn take(&self, told: Sightings, call: u64, link: &Link) {
         let now = Instant::now();
         let mut news = Vec::new();
-        for told in told.targets.into_iter().filter_map(sighting) {
+        for told in told.targets.into_iter().filter_map(sighting_from_proto) {
             match self.board().hear(told.clone(), now) {
                 Heard::News => {
                     *lock(&self.shared.caching) = Caching::Due;
-                    news.push(sighting_message(&told));
+                    news.push(sighting_to_proto(&told));
                 }
                 Heard::Again => drop(lock(&self.shared.again).insert(told.id)),
                 Heard::Stale => {}
             }
         }
-        for told in told.entrances.into_iter().filter_map(entrance) {
+        for told in told.entrances.into_iter().filter_map(entrance_from_proto) {
             self.board().hear_entrance(told, now);
         }
         if !news.is_empty() {
@@ -220,7 +220,7 @@
     }
 
     async fn spread(&self, told: &Sighting) -> bool {
-        let news = targets(vec![sighting_message(told)]);
+        let news = targets(vec![sighting_to_proto(told)]);
         let entries = self.entries();
         let replicas = self.shared.directory.all();
         let confirm = |link: Link| {
@@ -253,8 +253,8 @@
             let mut board = self.board();
             board.forget(FORGOTTEN, Instant::now());
             let rows = again.iter().filter_map(|id| board.target(id));
-            let rows: Vec<_> = rows.map(sighting_message).collect();
-            let entrances = board.entrances().map(|(told, _)| entrance_message(told));
+            let rows: Vec<_> = rows.map(sighting_to_proto).collect();
+            let entrances = board.entrances().map(|(told, _)| entrance_to_proto(told));
             (rows, entrances.collect())
         };
         self.cache_targets();
@@ -284,7 +284,7 @@
         let targets = board.targets().map(|(told, _)| told);
         let rows = targets
             .filter(|told| here(told))
-            .map(sighting_message)
+            .map(sighting_to_proto)
             .collect();
         drop(board);
         let hub = self.clone();
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -44,7 +44,7 @@
             .wrap_err_with(|| format!("cluster key {}", settings.cluster_key_file.display()))?;
         let me = Identity::new(Role::Entry, &settings.name, rand::random());
         let link = LinkSettings {
-            beat: settings.timing.beat,
+            heartbeat_interval: settings.timing.beat,
             ..LinkSettings::default()
         };
         let info = info(&settings, &me, http);
--- a/crates/entry/src/links/roster.rs
+++ b/crates/entry/src/links/roster.rs
@@ -135,7 +135,7 @@
 impl Links {
     fn tick(&mut self, myself: &ActorRef<News>) {
         let now = Instant::now();
-        let linger = self.cx.link.beat * LINGER_BEATS;
+        let linger = self.cx.link.heartbeat_interval * LINGER_BEATS;
         for held in self.held.values().filter(|held| !held.chosen) {
             held.agent.release(now, linger);
         }
@@ -182,7 +182,7 @@
 
     /// Chooses the agents to link, and has them dialled.
     fn choose(&mut self, now: Instant, announced: &[Announced]) -> BTreeMap<String, u32> {
-        let patience = self.cx.link.beat;
+        let patience = self.cx.link.heartbeat_interval;
         for row in announced {
             if let Some(held) = self.held.get_mut(&row.target) {
                 held.notice(now, row);
--- a/crates/entry/src/work/attempt.rs
+++ b/crates/entry/src/work/attempt.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 use wire::proto::frame::Body;
 use wire::proto::{Attach, AttemptState, Bar, BarReply, Cancel, Progress, Refusal, Start};
-use wire::{Assembly, Link, Piece};
+use wire::{AnswerAssembler, AnswerPart, Link};
 
 use crate::Timing;
 use crate::links::{Agent, Listener};
@@ -37,8 +37,8 @@
     listener: Listener,
     frames: mpsc::UnboundedReceiver<Body>,
     link: watch::Receiver<Option<Link>>,
-    assembly: Assembly,
-    pieces: VecDeque<Piece>,
+    assembly: AnswerAssembler,
+    pieces: VecDeque<AnswerPart>,
     acknowledged: u64,
     abandon: Abandon,
     over: bool,
@@ -75,7 +75,7 @@
 #[derive(Debug)]
 pub(crate) enum Next {
     /// A part of it.
-    Piece(Piece),
+    Piece(AnswerPart),
     /// The agent's incarnation is over, or it can't be reached any more.
     Lost,
     /// No byte came for too long.
@@ -183,7 +183,7 @@
         Attempt {
             listener,
             frames,
-            assembly: Assembly::new(id.clone(), window),
+            assembly: AnswerAssembler::new(id.clone(), window),
             agent: Arc::clone(agent),
             id,
             link,
@@ -223,8 +223,8 @@
     pub(crate) async fn next(&mut self, deadline: Instant) -> Next {
         loop {
             if let Some(piece) = self.pieces.pop_front() {
-                self.over |= matches!(piece, Piece::Whole(_) | Piece::Broken(_));
-                if matches!(piece, Piece::Whole(_)) && self.abandon == Abandon::Cancel {
+                self.over |= matches!(piece, AnswerPart::Complete(_) | AnswerPart::Failed(_));
+                if matches!(piece, AnswerPart::Complete(_)) && self.abandon == Abandon::Cancel {
                     // Nobody will ask for it again, and what an agent holds it
                     // looks through at each tick.
                     self.forget().await;
@@ -232,14 +232,14 @@
                 return Next::Piece(piece);
             }
             if let Ok(frame) = self.frames.try_recv() {
-                self.pieces.extend(self.assembly.take(frame));
+                self.pieces.extend(self.assembly.push(frame));
                 continue;
             }
             let left = deadline.saturating_duration_since(Instant::now());
             let due = self.due(left);
             tokio::select! {
                 frame = self.frames.recv() => match frame {
-                    Some(frame) => self.pieces.extend(self.assembly.take(frame)),
+                    Some(frame) => self.pieces.extend(self.assembly.push(frame)),
                     None => return Next::Lost,
                 },
                 changed = self.link.changed() => {
--- a/crates/entry/src/work/failure.rs
+++ b/crates/entry/src/work/failure.rs
@@ -3,7 +3,7 @@
 use admin::Ran;
 use route::AttemptResult;
 use wire::proto::{AnswerEnd, End};
-use wire::{Broken, Piece};
+use wire::{AnswerFailure, AnswerPart};
 
 use super::attempt::Next;
 
@@ -62,8 +62,12 @@
     /// The failure that a part of an answer tells of, if it does.
     pub(crate) fn of(next: &Next) -> Option<Failure> {
         match next {
-            Next::Piece(Piece::Broken(Broken::Ended(end))) => Some(Failure::of_end(end)),
-            Next::Piece(Piece::Broken(Broken::Damaged(_))) | Next::Lost => Some(Failure::Lost),
+            Next::Piece(AnswerPart::Failed(AnswerFailure::Aborted(end))) => {
+                Some(Failure::of_end(end))
+            }
+            Next::Piece(AnswerPart::Failed(AnswerFailure::Corrupted(_))) | Next::Lost => {
+                Some(Failure::Lost)
+            }
             Next::Piece(_) => None,
             Next::Stalled => Some(Failure::Stalled),
             Next::Late => Some(Failure::Late),
--- a/crates/entry/src/work/pump.rs
+++ b/crates/entry/src/work/pump.rs
@@ -8,7 +8,7 @@
 use route::AttemptResult;
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
-use wire::Piece;
+use wire::AnswerPart;
 use wire::proto::AnswerHead;
 
 use super::answer::{EventBody, Streamed};
@@ -53,7 +53,7 @@
         return Err(failure);
     }
     match next {
-        Next::Piece(Piece::Head(head)) => Ok(head),
+        Next::Piece(AnswerPart::Head(head)) => Ok(head),
         // An assembly gives the head first.
         _ => Err(Failure::Lost),
     }
@@ -154,7 +154,7 @@
                 return Passed::Failed(failure);
             }
             match next {
-                Next::Piece(Piece::Data(data)) => {
+                Next::Piece(AnswerPart::Data(data)) => {
                     live.placed.answered();
                     self.events.push(&data);
                     if let Some(passed) = self.give().await {
@@ -163,12 +163,12 @@
                     live.attempt.acknowledge().await;
                 }
                 // The target says that it is done; the events must say so too.
-                Next::Piece(Piece::Whole(end)) if self.events.is_whole() => {
+                Next::Piece(AnswerPart::Complete(end)) if self.events.is_whole() => {
                     self.course.permit.set_used(tokens_of(&end));
                     return Passed::Whole;
                 }
                 // A resumed attempt has a head of its own.
-                Next::Piece(Piece::Head(head)) if is_event_stream(&head) => {}
+                Next::Piece(AnswerPart::Head(head)) if is_event_stream(&head) => {}
                 _ => return Passed::Failed(Failure::Lost),
             }
         }
--- a/crates/entry/src/work/whole.rs
+++ b/crates/entry/src/work/whole.rs
@@ -5,7 +5,7 @@
 use admin::Problem;
 use bytes::BytesMut;
 use route::AttemptResult;
-use wire::Piece;
+use wire::AnswerPart;
 use wire::proto::{AnswerEnd, AnswerHead};
 
 use super::answer::Answer;
@@ -73,18 +73,18 @@
             return Err(failure);
         }
         match next {
-            Next::Piece(Piece::Head(given)) => {
+            Next::Piece(AnswerPart::Head(given)) => {
                 first();
                 head = Some(given);
             }
-            Next::Piece(Piece::Data(data)) if body.len() + data.len() > max => {
+            Next::Piece(AnswerPart::Data(data)) if body.len() + data.len() > max => {
                 return Err(Failure::TooLarge);
             }
-            Next::Piece(Piece::Data(data)) => {
+            Next::Piece(AnswerPart::Data(data)) => {
                 body.extend_from_slice(&data);
                 attempt.acknowledge().await;
             }
-            Next::Piece(Piece::Whole(end)) => {
+            Next::Piece(AnswerPart::Complete(end)) => {
                 let head = head.ok_or(Failure::Lost)?;
                 let answer = Answer {
                     status: head.status,
--- a/crates/entry/tests/entry/support/stub.rs
+++ b/crates/entry/tests/entry/support/stub.rs
@@ -75,7 +75,7 @@
             ..NodeInfo::default()
         };
         let link = LinkSettings {
-            beat: Duration::from_millis(500),
+            heartbeat_interval: Duration::from_millis(500),
             ..LinkSettings::default()
         };
         let settings = FollowerSettings {
--- a/crates/node/src/follower.rs
+++ b/crates/node/src/follower.rs
@@ -20,7 +20,7 @@
     AccountUse, Announcement, Command, MemberView, NodeInfo, Outcome, Propose, Quarantine, Query,
     QueryReply, Sightings, Unavailable, command, outcome, query,
 };
-use wire::{Error, Identity, Incoming, Link, Result, redial, target_speed_message};
+use wire::{Error, Identity, Incoming, Link, Result, redial, target_speed_to_proto};
 
 /// When to come back after control could not be asked.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
@@ -203,7 +203,7 @@
     /// on to the entries. Whether one has taken it.
     pub async fn report_speed(&self, speed: TargetSpeed, within: Duration) -> bool {
         let report = Body::Sightings(Sightings {
-            speeds: vec![target_speed_message(&speed)],
+            speeds: vec![target_speed_to_proto(&speed)],
             ..Sightings::default()
         });
         tell_any(&self.shared, &report, within).await
--- a/crates/node/src/renewer.rs
+++ b/crates/node/src/renewer.rs
@@ -94,7 +94,7 @@
     if let Some(renewed) = &renewed {
         let next = Duration::from_millis(u64::from(renewed.next_ms));
         shared.set_next((!next.is_zero()).then_some(next));
-        let linger = shared.cfg.link.beat * LINGER_BEATS;
+        let linger = shared.cfg.link.heartbeat_interval * LINGER_BEATS;
         shared.controls.release(sent, linger);
     } else {
         sent = Instant::now();
--- a/crates/node/src/watched.rs
+++ b/crates/node/src/watched.rs
@@ -9,7 +9,7 @@
 use table::Table;
 use tokio::sync::watch;
 use wire::proto::{RouteTable, Sightings};
-use wire::{sighting, target_speed};
+use wire::{sighting_from_proto, target_speed_from_proto};
 
 /// How long the word of a silent target is kept. It takes no work by then; its
 /// last word may still be news to nobody else.
@@ -107,7 +107,7 @@
     pub(crate) fn take_sightings(&self, told: Sightings, now: Instant) {
         let mut news = false;
         let mut board = lock(&self.board);
-        for told in told.targets.into_iter().filter_map(sighting) {
+        for told in told.targets.into_iter().filter_map(sighting_from_proto) {
             let (id, presence) = (told.id.clone(), told.presence);
             let heard = board.hear(told, now);
             if heard == Heard::News {
@@ -115,7 +115,7 @@
             }
             news |= heard != Heard::Stale;
         }
-        for told in told.speeds.iter().filter_map(target_speed) {
+        for told in told.speeds.iter().filter_map(target_speed_from_proto) {
             news |= take_speed(&mut board, told, now);
         }
         board.forget(FORGOTTEN, now);
--- a/crates/node/src/watcher.rs
+++ b/crates/node/src/watcher.rs
@@ -13,7 +13,7 @@
 use tokio_util::task::AbortOnDropHandle;
 use wire::proto::frame::Body;
 use wire::proto::{Report, SightingsTaken};
-use wire::{ClusterKey, Identity, Incoming, Link, LinkSettings, entrance_message, redial};
+use wire::{ClusterKey, Identity, Incoming, Link, LinkSettings, entrance_to_proto, redial};
 
 /// Reads a route table as its operator wrote it.
 pub type Decode = fn(&[u8]) -> Result<Table, cfg::Findings>;
@@ -154,7 +154,7 @@
 async fn report(link: Link, watched: Arc<Watched>, every: Duration) {
     let mut here = watched.here();
     loop {
-        let entrance = entrance_message(&watched.next_word());
+        let entrance = entrance_to_proto(&watched.next_word());
         here.mark_unchanged();
         let report = Body::Report(Report {
             entrance: Some(entrance),
--- a/crates/wire/src/assembly.rs
+++ b/crates/wire/src/answer_assembler.rs
@@ -6,7 +6,7 @@
 
 use crate::proto::frame::Body;
 use crate::proto::{AnswerChunk, AnswerEnd, AnswerHead, End};
-use crate::{Broken, Piece};
+use crate::{AnswerFailure, AnswerPart};
 
 /// The receiving side of one attempt's answer.
 ///
@@ -19,10 +19,10 @@
 ///
 /// ```
 /// use wire::proto::{AnswerChunk, AnswerEnd, AnswerHead, End, frame::Body};
-/// use wire::{Assembly, Piece};
+/// use wire::{AnswerAssembler, AnswerPart};
 ///
 /// let attempt: bytes::Bytes = "0123456789abcdef".into();
-/// let mut assembly = Assembly::new(attempt.clone(), 1024);
+/// let mut assembly = AnswerAssembler::new(attempt.clone(), 1024);
 /// let head = AnswerHead { attempt: attempt.clone(), status: 200, ..Default::default() };
 /// let chunk = AnswerChunk { attempt: attempt.clone(), offset: 0, data: "burl".into() };
 /// let end = AnswerEnd {
@@ -32,14 +32,14 @@
 ///     crc32c: crc32c::crc32c(b"burl"),
 ///     ..Default::default()
 /// };
-/// assert_eq!(assembly.take(Body::AnswerHead(head.clone())), [Piece::Head(head)]);
-/// let data = [Piece::Data("burl".into())];
-/// assert_eq!(assembly.take(Body::AnswerChunk(chunk.clone())), data);
-/// assert_eq!(assembly.take(Body::AnswerChunk(chunk)), []);
-/// assert_eq!(assembly.take(Body::AnswerEnd(end.clone())), [Piece::Whole(end)]);
+/// assert_eq!(assembly.push(Body::AnswerHead(head.clone())), [AnswerPart::Head(head)]);
+/// let data = [AnswerPart::Data("burl".into())];
+/// assert_eq!(assembly.push(Body::AnswerChunk(chunk.clone())), data);
+/// assert_eq!(assembly.push(Body::AnswerChunk(chunk)), []);
+/// assert_eq!(assembly.push(Body::AnswerEnd(end.clone())), [AnswerPart::Complete(end)]);
 /// ```
 #[derive(Clone, Debug)]
-pub struct Assembly {
+pub struct AnswerAssembler {
     attempt: Bytes,
     window: usize,
     offset: u64,
@@ -53,7 +53,7 @@
     dropped: u64,
 }
 
-impl Assembly {
+impl AnswerAssembler {
     /// An answer of which nothing has arrived.
     ///
     /// `window` bounds the bytes kept of chunks that arrive too early; one
@@ -61,7 +61,7 @@
     /// attached anew.
     #[must_use]
     pub fn new(attempt: Bytes, window: usize) -> Self {
-        Assembly {
+        AnswerAssembler {
             attempt,
             window,
             offset: 0,
@@ -83,12 +83,12 @@
     /// ```
     /// use wire::proto::{AnswerChunk, frame::Body};
     ///
-    /// let mut assembly = wire::Assembly::new("mine".into(), 1024);
+    /// let mut assembly = wire::AnswerAssembler::new("mine".into(), 1024);
     /// let foreign = AnswerChunk { attempt: "other".into(), offset: 0, data: "x".into() };
-    /// assert!(assembly.take(Body::AnswerChunk(foreign)).is_empty());
+    /// assert!(assembly.push(Body::AnswerChunk(foreign)).is_empty());
     /// assert_eq!(assembly.dropped(), 1);
     /// ```
-    pub fn take(&mut self, frame: Body) -> Vec<Piece> {
+    pub fn push(&mut self, frame: Body) -> Vec<AnswerPart> {
         if self.closed || attempt_of(&frame) != Some(&self.attempt) {
             self.dropped += 1;
             return Vec::new();
@@ -121,18 +121,18 @@
         self.dropped
     }
 
-    fn take_head(&mut self, head: AnswerHead) -> Vec<Piece> {
+    fn take_head(&mut self, head: AnswerHead) -> Vec<AnswerPart> {
         if self.headed {
             self.dropped += 1;
             return Vec::new();
         }
         self.headed = true;
-        let mut pieces = vec![Piece::Head(head)];
+        let mut pieces = vec![AnswerPart::Head(head)];
         pieces.extend(self.take_early());
         pieces
     }
 
-    fn take_chunk(&mut self, chunk: AnswerChunk) -> Vec<Piece> {
+    fn take_chunk(&mut self, chunk: AnswerChunk) -> Vec<AnswerPart> {
         // The last offset must be a number, or a sum below could overflow.
         let Some(last) = chunk.offset.checked_add(chunk.data.len() as u64) else {
             self.dropped += 1;
@@ -151,7 +151,7 @@
         pieces
     }
 
-    fn take_end(&mut self, end: AnswerEnd) -> Vec<Piece> {
+    fn take_end(&mut self, end: AnswerEnd) -> Vec<AnswerPart> {
         // The first end stays; a second one is doubled by a fresh link.
         if self.end.is_some() {
             self.dropped += 1;
@@ -171,7 +171,7 @@
         self.early.insert(chunk.offset, chunk.data);
     }
 
-    fn take_early(&mut self) -> Vec<Piece> {
+    fn take_early(&mut self) -> Vec<AnswerPart> {
         let mut pieces = Vec::new();
         while let Some(entry) = self.early.first_entry() {
             if *entry.key() > self.offset {
@@ -187,19 +187,19 @@
     }
 
     /// Gives out the part of a chunk that lies beyond the offset.
-    fn deliver(&mut self, offset: u64, data: &Bytes) -> Piece {
+    fn deliver(&mut self, offset: u64, data: &Bytes) -> AnswerPart {
         let skip = usize::try_from(self.offset - offset).unwrap_or(data.len());
         let data = data.slice(skip.min(data.len())..);
         self.offset += data.len() as u64;
         self.crc32c = crc32c::crc32c_append(self.crc32c, &data);
-        Piece::Data(data)
+        AnswerPart::Data(data)
     }
 
-    fn last_piece(&mut self) -> Option<Piece> {
+    fn last_piece(&mut self) -> Option<AnswerPart> {
         let end = self.end.as_ref()?;
         if end.end() != End::Whole {
             self.closed = true;
-            return Some(Piece::Broken(Broken::Ended(end.clone())));
+            return Some(AnswerPart::Failed(AnswerFailure::Aborted(end.clone())));
         }
         let missing = !self.headed || self.offset < end.length;
         if missing {
@@ -209,9 +209,9 @@
         let whole = self.offset == end.length && self.crc32c == end.crc32c;
         let end = end.clone();
         Some(if whole {
-            Piece::Whole(end)
+            AnswerPart::Complete(end)
         } else {
-            Piece::Broken(Broken::Damaged(end))
+            AnswerPart::Failed(AnswerFailure::Corrupted(end))
         })
     }
 }
--- a/crates/wire/src/piece.rs
+++ b/crates/wire/src/answer_part.rs
@@ -6,23 +6,23 @@
 
 /// The next part of an answer, in order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Piece {
+pub enum AnswerPart {
     /// Status and headers; the first piece, once.
     Head(AnswerHead),
     /// The next bytes of the body.
     Data(Bytes),
     /// The answer is whole: length and checksum match. The last piece.
-    Whole(AnswerEnd),
+    Complete(AnswerEnd),
     /// The answer will never be whole. The last piece.
-    Broken(Broken),
+    Failed(AnswerFailure),
 }
 
 /// Why an answer will never be whole.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Broken {
+pub enum AnswerFailure {
     /// The agent ended it otherwise than as whole.
-    Ended(AnswerEnd),
+    Aborted(AnswerEnd),
     /// The agent says that it is whole, but length, checksum or head say
     /// that it isn't what the agent received.
-    Damaged(AnswerEnd),
+    Corrupted(AnswerEnd),
 }
--- a/crates/wire/src/connect.rs
+++ b/crates/wire/src/connect.rs
@@ -65,7 +65,7 @@
     stream.set_nodelay(true)?;
     // Something between the two ends may lose track of the connection: bytes that
     // are never acknowledged must fail the connection even while we only write.
-    SockRef::from(&stream).set_tcp_user_timeout(Some(cfg.silence()))?;
+    SockRef::from(&stream).set_tcp_user_timeout(Some(cfg.silence_timeout()))?;
     let mut conn = Framed::new(stream, FrameCodec::new(cfg.max_frame));
     let peer = shake(&mut conn, side, me, key).await?;
     Ok(Link::spawn(conn, peer, cfg))
--- a/crates/wire/src/told.rs
+++ b/crates/wire/src/convert.rs
@@ -6,7 +6,7 @@
 
 /// The message of what a target tells.
 #[must_use]
-pub fn sighting_message(told: &Sighting) -> proto::Sighting {
+pub fn sighting_to_proto(told: &Sighting) -> proto::Sighting {
     let presence = match told.presence {
         Presence::Ready => proto::Presence::Ready,
         Presence::Draining => proto::Presence::Draining,
@@ -27,7 +27,7 @@
 /// What a target tells; none where the message can't be understood, which
 /// then names no target.
 #[must_use]
-pub fn sighting(told: proto::Sighting) -> Option<Sighting> {
+pub fn sighting_from_proto(told: proto::Sighting) -> Option<Sighting> {
     let presence = match told.presence() {
         proto::Presence::Ready => Presence::Ready,
         proto::Presence::Draining => Presence::Draining,
@@ -53,7 +53,7 @@
     clippy::cast_sign_loss,
     reason = "the cast saturates, and far greater slowdowns are no different"
 )]
-pub fn target_speed_message(told: &TargetSpeed) -> proto::TargetSpeed {
+pub fn target_speed_to_proto(told: &TargetSpeed) -> proto::TargetSpeed {
     proto::TargetSpeed {
         address: told.address.to_string(),
         slowdown_permille: (told.slowdown * 1e3) as u32,
@@ -62,7 +62,7 @@
 
 /// What an agent reports; none where the message can't be understood.
 #[must_use]
-pub fn target_speed(told: &proto::TargetSpeed) -> Option<TargetSpeed> {
+pub fn target_speed_from_proto(told: &proto::TargetSpeed) -> Option<TargetSpeed> {
     Some(TargetSpeed {
         address: told.address.parse().ok()?,
         slowdown: f64::from(told.slowdown_permille) / 1e3,
@@ -71,7 +71,7 @@
 
 /// The message of what an entry tells.
 #[must_use]
-pub fn entrance_message(told: &Entrance) -> proto::Entrance {
+pub fn entrance_to_proto(told: &Entrance) -> proto::Entrance {
     proto::Entrance {
         name: told.name.clone(),
         incarnation: told.incarnation,
@@ -86,7 +86,7 @@
 
 /// What an entry tells; none where the message can't be understood.
 #[must_use]
-pub fn entrance(told: proto::Entrance) -> Option<Entrance> {
+pub fn entrance_from_proto(told: proto::Entrance) -> Option<Entrance> {
     Some(Entrance {
         address: told.address.parse().ok()?,
         name: told.name,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -46,18 +46,18 @@
 //! # }
 //! ```
 
-mod assembly;
+mod answer_assembler;
+mod answer_part;
 mod codec;
 mod connect;
+mod convert;
 mod error;
 mod handshake;
 mod identity;
 mod key;
 mod link;
-mod piece;
 mod redial;
 mod settings;
-mod told;
 
 /// The generated message types; see `proto/lovageramp.proto`.
 #[allow(
@@ -69,17 +69,18 @@
 #[path = "gen/lovageramp.rs"]
 pub mod proto;
 
-pub use crate::assembly::Assembly;
+pub use crate::answer_assembler::AnswerAssembler;
+pub use crate::answer_part::{AnswerFailure, AnswerPart};
 pub use crate::codec::FrameCodec;
 pub use crate::connect::{accept, dial};
+pub use crate::convert::{
+    entrance_from_proto, entrance_to_proto, sighting_from_proto, sighting_to_proto,
+    target_speed_from_proto, target_speed_to_proto,
+};
 pub use crate::error::{Error, Result};
 pub use crate::identity::Identity;
 pub use crate::key::ClusterKey;
 pub use crate::link::{Incoming, Link};
-pub use crate::piece::{Broken, Piece};
 pub use crate::proto::Role;
 pub use crate::redial::redial;
 pub use crate::settings::LinkSettings;
-pub use crate::told::{
-    entrance, entrance_message, sighting, sighting_message, target_speed, target_speed_message,
-};
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -51,8 +51,8 @@
         peer: Identity,
         cfg: &LinkSettings,
     ) -> (Link, mpsc::Receiver<Incoming>) {
-        let (tx, frames) = mpsc::channel(cfg.queue);
-        let (incoming, rx) = mpsc::channel(cfg.queue);
+        let (tx, frames) = mpsc::channel(cfg.queue_capacity);
+        let (incoming, rx) = mpsc::channel(cfg.queue_capacity);
         let shared = Arc::new(Shared {
             peer,
             tx,
@@ -64,7 +64,7 @@
         let (sink, stream) = conn.split();
         let down = link.shared.down.clone();
         tokio::spawn(write(sink, frames, down, cfg.clone()));
-        tokio::spawn(read(stream, incoming, link.clone(), cfg.silence()));
+        tokio::spawn(read(stream, incoming, link.clone(), cfg.silence_timeout()));
         (link, rx)
     }
 
@@ -186,7 +186,7 @@
     down: CancellationToken,
     cfg: LinkSettings,
 ) {
-    let mut beats = interval(cfg.beat);
+    let mut beats = interval(cfg.heartbeat_interval);
     beats.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut sent = 0;
     loop {
@@ -202,7 +202,7 @@
         // A write that makes no progress for as long as a silent peer is given means
         // that the other side no longer reads: without the bound the queue's
         // senders would wait for ever.
-        let written = timeout(cfg.silence(), burst(&mut sink, &mut frames, frame));
+        let written = timeout(cfg.silence_timeout(), burst(&mut sink, &mut frames, frame));
         match written.await {
             Ok(Ok(())) => {}
             Ok(Err(_)) | Err(_) => break,
@@ -210,7 +210,7 @@
     }
     down.cancel();
     // Ends the connection towards the other side, which may not be reading any more.
-    let _ = timeout(cfg.beat, sink.close()).await;
+    let _ = timeout(cfg.heartbeat_interval, sink.close()).await;
 }
 
 /// Writes `frame` and what waits behind it, then flushes once.
--- a/crates/wire/src/redial.rs
+++ b/crates/wire/src/redial.rs
@@ -26,7 +26,7 @@
     F: FnMut(Link, mpsc::Receiver<Incoming>) -> Fut,
     Fut: Future<Output = ()>,
 {
-    let (shortest, longest) = cfg.redial_pause;
+    let (shortest, longest) = cfg.redial_backoff;
     let mut pause = shortest;
     loop {
         match dial(address, &me, &key, &cfg).await {
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -9,18 +9,18 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LinkSettings {
     /// Time between two heartbeats; three without a byte close the link.
-    pub beat: Duration,
+    pub heartbeat_interval: Duration,
     /// Longest time for the connection alone.
     pub connect_timeout: Duration,
     /// Longest time for the connection and its handshake.
     pub dial_timeout: Duration,
     /// Shortest and longest pause before dialling again.
-    pub redial_pause: (Duration, Duration),
+    pub redial_backoff: (Duration, Duration),
     /// Bytes of the largest frame.
     pub max_frame: usize,
     /// Messages that may wait for the socket, and for the receiver, before the
     /// sender has to wait.
-    pub queue: usize,
+    pub queue_capacity: usize,
 }
 
 impl LinkSettings {
@@ -29,12 +29,12 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// let cfg = wire::LinkSettings { beat: Duration::from_millis(500), ..Default::default() };
-    /// assert_eq!(cfg.silence(), Duration::from_millis(1500));
+    /// let cfg = wire::LinkSettings { heartbeat_interval: Duration::from_millis(500), ..Default::default() };
+    /// assert_eq!(cfg.silence_timeout(), Duration::from_millis(1500));
     /// ```
     #[must_use]
-    pub fn silence(&self) -> Duration {
-        self.beat * SILENT_BEATS
+    pub fn silence_timeout(&self) -> Duration {
+        self.heartbeat_interval * SILENT_BEATS
     }
 }
 
@@ -47,12 +47,12 @@
 impl Default for LinkSettings {
     fn default() -> Self {
         LinkSettings {
-            beat: Duration::from_millis(500),
+            heartbeat_interval: Duration::from_millis(500),
             connect_timeout: CONNECT_TIMEOUT,
             dial_timeout: Duration::from_secs(2),
-            redial_pause: (Duration::from_millis(50), Duration::from_secs(1)),
+            redial_backoff: (Duration::from_millis(50), Duration::from_secs(1)),
             max_frame: 64 << 20,
-            queue: 1024,
+            queue_capacity: 1024,
         }
     }
 }
--- a/crates/wire/tests/assembly.rs
+++ b/crates/wire/tests/assembly.rs
@@ -5,7 +5,7 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use wire::proto::frame::Body;
 use wire::proto::{AnswerChunk, AnswerEnd, AnswerHead, Beat, End};
-use wire::{Assembly, Broken, Piece};
+use wire::{AnswerAssembler, AnswerFailure, AnswerPart};
 
 const WINDOW: usize = 4096;
 
@@ -35,14 +35,14 @@
     })
 }
 
-fn run(frames: Vec<Body>) -> (Vec<u8>, Option<Piece>) {
-    let mut assembly = Assembly::new("mine".into(), WINDOW);
+fn run(frames: Vec<Body>) -> (Vec<u8>, Option<AnswerPart>) {
+    let mut assembly = AnswerAssembler::new("mine".into(), WINDOW);
     let mut body = Vec::new();
     let mut last = None;
-    for piece in frames.into_iter().flat_map(|frame| assembly.take(frame)) {
+    for piece in frames.into_iter().flat_map(|frame| assembly.push(frame)) {
         match piece {
-            Piece::Head(_) => assert!(body.is_empty() && last.is_none()),
-            Piece::Data(data) => body.extend_from_slice(&data),
+            AnswerPart::Head(_) => assert!(body.is_empty() && last.is_none()),
+            AnswerPart::Data(data) => body.extend_from_slice(&data),
             piece => assert!(last.replace(piece).is_none()),
         }
     }
@@ -63,7 +63,7 @@
         end("mine", End::Whole, b"mine"),
     ]);
     assert_eq!(body, b"mine");
-    assert!(matches!(last, Some(Piece::Whole(_))));
+    assert!(matches!(last, Some(AnswerPart::Complete(_))));
 }
 
 #[test]
@@ -79,7 +79,7 @@
         end("mine", End::Whole, b"abcdef"),
     ]);
     assert_eq!(body, b"abcdef");
-    assert!(matches!(last, Some(Piece::Whole(_))));
+    assert!(matches!(last, Some(AnswerPart::Complete(_))));
 }
 
 #[test]
@@ -89,7 +89,7 @@
     let mut frames = vec![head("mine"), end("mine", End::Whole, b"ab")];
     assert_eq!(run(frames.clone()), (Vec::new(), None));
     frames.push(chunk("mine", 0, b"ab"));
-    assert!(matches!(run(frames).1, Some(Piece::Whole(_))));
+    assert!(matches!(run(frames).1, Some(AnswerPart::Complete(_))));
 }
 
 #[test]
@@ -101,7 +101,10 @@
         chunk("mine", 0, b"aXc"),
         end("mine", End::Whole, b"abc"),
     ]);
-    assert!(matches!(last, Some(Piece::Broken(Broken::Damaged(_)))));
+    assert!(matches!(
+        last,
+        Some(AnswerPart::Failed(AnswerFailure::Corrupted(_)))
+    ));
 }
 
 #[test]
@@ -112,7 +115,10 @@
         chunk("mine", 0, b"abcabc"),
         end("mine", End::Whole, b"abc"),
     ]);
-    assert!(matches!(last, Some(Piece::Broken(Broken::Damaged(_)))));
+    assert!(matches!(
+        last,
+        Some(AnswerPart::Failed(AnswerFailure::Corrupted(_)))
+    ));
 }
 
 #[test]
@@ -125,20 +131,23 @@
         chunk("mine", 2, b"cd"),
     ]);
     assert_eq!(body, b"ab");
-    assert!(matches!(last, Some(Piece::Broken(Broken::Ended(_)))));
+    assert!(matches!(
+        last,
+        Some(AnswerPart::Failed(AnswerFailure::Aborted(_)))
+    ));
 }
 
 #[test]
 fn take_beyond_window() {
     // Chunks that never fit their gap must not fill the memory.
-    let mut assembly = Assembly::new("mine".into(), WINDOW);
-    assembly.take(head("mine"));
+    let mut assembly = AnswerAssembler::new("mine".into(), WINDOW);
+    assembly.push(head("mine"));
     for at in 0..100 {
-        assembly.take(chunk("mine", 1 + at * 1000, &[0; 1000]));
+        assembly.push(chunk("mine", 1 + at * 1000, &[0; 1000]));
     }
     assert_eq!(assembly.dropped(), 96);
-    assert!(assembly.take(chunk("mine", u64::MAX, b"xy")).is_empty());
-    assert!(assembly.take(Body::Beat(Beat { sent: 1 })).is_empty());
+    assert!(assembly.push(chunk("mine", u64::MAX, b"xy")).is_empty());
+    assert!(assembly.push(Body::Beat(Beat { sent: 1 })).is_empty());
 }
 
 #[derive(Clone, Debug)]
@@ -167,7 +176,7 @@
         chunks,
         end_at,
     } = schedule;
-    let mut assembly = Assembly::new("mine".into(), WINDOW);
+    let mut assembly = AnswerAssembler::new("mine".into(), WINDOW);
     let mut got = Vec::new();
     let mut last = None;
     let mut frames = vec![head("mine")];
@@ -179,11 +188,11 @@
     }
     let end_at = usize::from(end_at) % (frames.len() + 1);
     frames.insert(end_at, end("mine", End::Whole, &body));
-    let mut feed = |assembly: &mut Assembly, frame| {
-        for piece in assembly.take(frame) {
+    let mut feed = |assembly: &mut AnswerAssembler, frame| {
+        for piece in assembly.push(frame) {
             match piece {
-                Piece::Head(_) => {}
-                Piece::Data(data) => got.extend_from_slice(&data),
+                AnswerPart::Head(_) => {}
+                AnswerPart::Data(data) => got.extend_from_slice(&data),
                 piece => last = Some(piece),
             }
         }
@@ -194,7 +203,7 @@
     let offset = usize::try_from(assembly.offset()).unwrap_or(usize::MAX);
     feed(&mut assembly, chunk("mine", offset as u64, &body[offset..]));
     feed(&mut assembly, end("mine", End::Whole, &body));
-    got == body && matches!(last, Some(Piece::Whole(_)))
+    got == body && matches!(last, Some(AnswerPart::Complete(_)))
 }
 
 #[test]
--- a/crates/wire/tests/link.rs
+++ b/crates/wire/tests/link.rs
@@ -24,7 +24,7 @@
 
 fn quick() -> LinkSettings {
     LinkSettings {
-        beat: Duration::from_millis(100),
+        heartbeat_interval: Duration::from_millis(100),
         dial_timeout: WITHIN,
         ..LinkSettings::default()
     }
