--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,15 +1,15 @@
 //! Health, readiness, metrics and operators HTTP for every daemon.
 //!
-//! [`serve`] runs a bounded HTTP/1 server over a handler; [`Pages`] answers
-//! `/healthz`, `/readyz` and `/metrics`; [`Operators`] answers the operators'
+//! [`serve`] runs a bounded HTTP/1 server over a handler; [`MonitoringRoutes`] answers
+//! `/healthz`, `/readyz` and `/metrics`; [`OperatorRoutes`] answers the operators'
 //! routes over two closures, so that entry and control mount the same one.
 //! Whatever goes wrong is told as a [`Problem`].
 //!
 //! ```
 //! use std::sync::Arc;
-//! use admin::{Pages, Registry};
+//! use admin::{MonitoringRoutes, Registry};
 //!
-//! let pages = Pages::new(Arc::new(Registry::default()), || Err("no lease yet".to_owned()));
+//! let pages = MonitoringRoutes::new(Arc::new(Registry::default()), || Err("no lease yet".to_owned()));
 //! let get = admin::Method::GET;
 //! assert_eq!(pages.answer(&get, "/healthz").unwrap().status(), 200);
 //! assert_eq!(pages.answer(&get, "/readyz").unwrap().status(), 503);
@@ -21,26 +21,26 @@
 mod hop;
 mod linger;
 mod log_lines;
-mod operators;
+mod monitoring_routes;
+mod operator_routes;
+mod operator_token;
 mod outcomes;
-mod pages;
-mod peer;
+mod peer_addr;
 mod problem;
 mod ran;
 mod server;
 mod server_settings;
-mod token;
 
 pub use body::{Body, Response, empty, full, json, read_body};
-pub use hop::{HOP_HEADERS, end_to_end, named_by_connection};
+pub use hop::{HOP_BY_HOP_HEADERS, connection_options, end_to_end_headers};
 pub use hyper::Method;
 pub use log_lines::LinesLeftOut;
-pub use operators::{Operators, Propose, Query};
-pub use pages::Pages;
-pub use peer::Peer;
+pub use monitoring_routes::MonitoringRoutes;
+pub use operator_routes::{OperatorRoutes, ProposeFn, QueryFn};
+pub use operator_token::OperatorToken;
+pub use peer_addr::PeerAddr;
 pub use problem::Problem;
 pub use prometheus_client::registry::Registry;
 pub use ran::Ran;
 pub use server::serve;
 pub use server_settings::{HalfClose, ServerSettings};
-pub use token::Token;
--- a/crates/admin/src/log_lines.rs
+++ b/crates/admin/src/log_lines.rs
@@ -10,7 +10,7 @@
 /// ```
 /// let mut registry = admin::Registry::default();
 /// registry.register_collector(Box::new(admin::LinesLeftOut(|| 3)));
-/// let pages = admin::Pages::new(std::sync::Arc::new(registry), || Ok(()));
+/// let pages = admin::MonitoringRoutes::new(std::sync::Arc::new(registry), || Ok(()));
 /// assert!(pages.answer(&admin::Method::GET, "/metrics").is_some());
 /// ```
 #[derive(Clone, Copy)]
--- a/crates/admin/src/pages.rs
+++ b/crates/admin/src/monitoring_routes.rs
@@ -15,19 +15,19 @@
 
 /// Answers `/healthz`, `/readyz` and `/metrics`; cheap to clone.
 #[derive(Clone)]
-pub struct Pages {
+pub struct MonitoringRoutes {
     registry: Arc<Registry>,
     ready: Arc<Ready>,
 }
 
-impl Pages {
+impl MonitoringRoutes {
     /// Makes the pages. `ready` tells why the daemon can't do its work now.
     ///
     /// ```
     /// use std::sync::Arc;
     ///
     /// let registry = Arc::new(admin::Registry::default());
-    /// let pages = admin::Pages::new(registry, || Ok(()));
+    /// let pages = admin::MonitoringRoutes::new(registry, || Ok(()));
     /// let ready = pages.answer(&admin::Method::GET, "/readyz").unwrap();
     /// assert_eq!(ready.status(), 200);
     /// ```
@@ -36,7 +36,7 @@
         registry: Arc<Registry>,
         ready: impl Fn() -> Result<(), String> + Send + Sync + 'static,
     ) -> Self {
-        Pages {
+        MonitoringRoutes {
             registry,
             ready: Arc::new(ready),
         }
@@ -47,7 +47,7 @@
     /// ```
     /// use std::sync::Arc;
     ///
-    /// let pages = admin::Pages::new(Arc::new(admin::Registry::default()), || Ok(()));
+    /// let pages = admin::MonitoringRoutes::new(Arc::new(admin::Registry::default()), || Ok(()));
     /// let posted = pages.answer(&admin::Method::POST, "/metrics").unwrap();
     /// assert_eq!(posted.status(), 405);
     /// ```
--- a/crates/admin/src/operators.rs
+++ b/crates/admin/src/operator_routes.rs
@@ -13,7 +13,7 @@
     StatusQuery, SubmitNote, command, query, query_reply,
 };
 
-use crate::{Problem, Ran, Response, Token, hex, outcomes, read_body};
+use crate::{OperatorToken, Problem, Ran, Response, hex, outcomes, read_body};
 
 /// All of these routes begin so.
 const PREFIX: &str = "/v1/operator/";
@@ -41,35 +41,35 @@
 type Answer<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
 /// Has a command committed to the durable state.
-pub type Propose = Arc<dyn Fn(command::Body) -> Answer<Outcome> + Send + Sync>;
+pub type ProposeFn = Arc<dyn Fn(command::Body) -> Answer<Outcome> + Send + Sync>;
 
 /// Reads the durable state.
-pub type Query = Arc<dyn Fn(query::Body) -> Answer<eyre::Result<QueryReply>> + Send + Sync>;
+pub type QueryFn = Arc<dyn Fn(query::Body) -> Answer<eyre::Result<QueryReply>> + Send + Sync>;
 
 /// Answers the operators' routes; cheap to clone.
 #[derive(Clone)]
-pub struct Operators {
-    token: Token,
-    propose: Propose,
-    query: Query,
+pub struct OperatorRoutes {
+    token: OperatorToken,
+    propose: ProposeFn,
+    query: QueryFn,
 }
 
-impl Operators {
+impl OperatorRoutes {
     /// Makes the handler over the two ways to the durable state.
     ///
     /// ```
     /// use std::sync::Arc;
     ///
-    /// let operators = admin::Operators::new(
-    ///     admin::Token::from_bytes(b"0123456789abcdef").unwrap(),
+    /// let operators = admin::OperatorRoutes::new(
+    ///     admin::OperatorToken::from_bytes(b"0123456789abcdef").unwrap(),
     ///     Arc::new(|_| Box::pin(async { Default::default() })),
     ///     Arc::new(|_| Box::pin(async { Err(eyre::eyre!("no leader")) })),
     /// );
     /// # drop(operators);
     /// ```
     #[must_use]
-    pub fn new(token: Token, propose: Propose, query: Query) -> Self {
-        Operators {
+    pub fn new(token: OperatorToken, propose: ProposeFn, query: QueryFn) -> Self {
+        OperatorRoutes {
             token,
             propose,
             query,
@@ -79,11 +79,11 @@
     /// Whether a path is for this handler.
     ///
     /// ```
-    /// assert!(admin::Operators::owns("/v1/operator/status"));
-    /// assert!(!admin::Operators::owns("/v1/addresses"));
+    /// assert!(admin::OperatorRoutes::matches("/v1/operator/status"));
+    /// assert!(!admin::OperatorRoutes::matches("/v1/addresses"));
     /// ```
     #[must_use]
-    pub fn owns(path: &str) -> bool {
+    pub fn matches(path: &str) -> bool {
         path.starts_with(PREFIX)
     }
 
@@ -103,7 +103,7 @@
     }
 
     async fn route(&self, req: Request<Incoming>) -> Result<Response, Problem> {
-        if !self.token.admits(req.headers()) {
+        if !self.token.authorizes(req.headers()) {
             return Err(Problem::unauthorized(
                 "the operators' token is missing or wrong",
             ));
--- a/crates/admin/src/token.rs
+++ b/crates/admin/src/operator_token.rs
@@ -13,9 +13,9 @@
 
 /// The operators' bearer token; only its digest is held.
 #[derive(Clone)]
-pub struct Token([u8; 32]);
+pub struct OperatorToken([u8; 32]);
 
-impl Token {
+impl OperatorToken {
     /// Takes a token; white space around it is dropped.
     ///
     /// # Errors
@@ -23,8 +23,8 @@
     /// Fails when it is shorter than 16 bytes.
     ///
     /// ```
-    /// assert!(admin::Token::from_bytes(b"short").is_err());
-    /// assert!(admin::Token::from_bytes(b"0123456789abcdef\n").is_ok());
+    /// assert!(admin::OperatorToken::from_bytes(b"short").is_err());
+    /// assert!(admin::OperatorToken::from_bytes(b"0123456789abcdef\n").is_ok());
     /// ```
     pub fn from_bytes(token: &[u8]) -> eyre::Result<Self> {
         let token = token.trim_ascii();
@@ -32,7 +32,7 @@
             token.len() >= LEAST_BYTES,
             "the operators' token is shorter than {LEAST_BYTES} bytes"
         );
-        Ok(Token(Sha256::digest(token).into()))
+        Ok(OperatorToken(Sha256::digest(token).into()))
     }
 
     /// Reads the token from a file.
@@ -42,26 +42,26 @@
     /// Fails when the file can't be read or the token is too short.
     ///
     /// ```
-    /// assert!(admin::Token::from_file("no/such/file").is_err());
+    /// assert!(admin::OperatorToken::from_file("no/such/file").is_err());
     /// ```
     pub fn from_file(path: impl AsRef<Path>) -> eyre::Result<Self> {
         let path = path.as_ref();
         let token = std::fs::read(path)
             .wrap_err_with(|| format!("can't read the operators' token {}", path.display()))?;
-        Token::from_bytes(&token).wrap_err_with(|| format!("in {}", path.display()))
+        OperatorToken::from_bytes(&token).wrap_err_with(|| format!("in {}", path.display()))
     }
 
     /// Whether a request carries the token, compared in constant time.
     ///
     /// ```
-    /// let token = admin::Token::from_bytes(b"0123456789abcdef").unwrap();
+    /// let token = admin::OperatorToken::from_bytes(b"0123456789abcdef").unwrap();
     /// let mut headers = hyper::HeaderMap::new();
-    /// assert!(!token.admits(&headers));
+    /// assert!(!token.authorizes(&headers));
     /// headers.insert("authorization", "Bearer 0123456789abcdef".parse().unwrap());
-    /// assert!(token.admits(&headers));
+    /// assert!(token.authorizes(&headers));
     /// ```
     #[must_use]
-    pub fn admits(&self, headers: &HeaderMap) -> bool {
+    pub fn authorizes(&self, headers: &HeaderMap) -> bool {
         let Some(given) = bearer(headers) else {
             return false;
         };
--- a/crates/admin/src/peer.rs
+++ b/crates/admin/src/peer_addr.rs
@@ -5,4 +5,4 @@
 /// Address of the other end, an extension of each request that
 /// [`serve`](crate::serve) hands on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Peer(pub SocketAddr);
+pub struct PeerAddr(pub SocketAddr);
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -19,7 +19,7 @@
 use tokio_util::task::TaskTracker;
 
 use crate::linger::Linger;
-use crate::{HalfClose, Peer, Response, ServerSettings};
+use crate::{HalfClose, PeerAddr, Response, ServerSettings};
 
 /// Pause after a failed accept, mostly for want of file descriptors: without
 /// it the loop would spin until one is free.
@@ -30,7 +30,7 @@
     connection: close\r\ncontent-length: 0\r\n\r\n";
 
 /// Serves connections until `stop`, then lets open requests finish, for at
-/// most [`ServerSettings::drain`]. Connections between two requests are closed
+/// most [`ServerSettings::drain_timeout`]. Connections between two requests are closed
 /// at once.
 ///
 /// ```
@@ -57,7 +57,7 @@
     F: Future<Output = Response> + Send + 'static,
 {
     let tracker = TaskTracker::new();
-    let permits = Arc::new(Semaphore::new(cfg.connections));
+    let permits = Arc::new(Semaphore::new(cfg.max_connections));
     while let Some(accepted) = stop.run_until_cancelled(listener.accept()).await {
         let (stream, peer) = match accepted {
             Ok(accepted) => accepted,
@@ -71,7 +71,7 @@
             refuse(&stream, peer);
             continue;
         };
-        if let Err(error) = watch_for_silence(&stream, cfg.silence) {
+        if let Err(error) = watch_for_silence(&stream, cfg.peer_timeout) {
             log::debug!("can't set up the connection of {peer}: {error}");
         }
         let connection = connection(stream, peer, &cfg, stop.clone(), handler.clone());
@@ -82,7 +82,7 @@
     }
     drop(listener);
     tracker.close();
-    if tokio::time::timeout(cfg.drain, tracker.wait())
+    if tokio::time::timeout(cfg.drain_timeout, tracker.wait())
         .await
         .is_err()
     {
@@ -104,12 +104,12 @@
     H: Fn(hyper::Request<Incoming>) -> F + Send + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
-    let (head_timeout, drain, half_close) = (cfg.head_timeout, cfg.drain, cfg.half_close);
+    let (head_timeout, drain, half_close) = (cfg.head_timeout, cfg.drain_timeout, cfg.half_close);
     async move {
         let unread = Arc::new(AtomicBool::new(false));
         let stream = Linger::new(stream, Arc::clone(&unread));
         let service = service_fn(move |mut req: hyper::Request<Incoming>| {
-            req.extensions_mut().insert(Peer(peer));
+            req.extensions_mut().insert(PeerAddr(peer));
             let has_body = !req.body().is_end_stream();
             let unread = Arc::clone(&unread);
             let response = handler(req);
@@ -125,7 +125,7 @@
         let mut builder = http1::Builder::new();
         builder.timer(TokioTimer::new());
         builder.header_read_timeout(head_timeout);
-        builder.half_close(half_close == HalfClose::Reads);
+        builder.half_close(half_close == HalfClose::KeepServing);
         let mut connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
         let ended = tokio::select! {
             ended = connection.as_mut() => ended,
--- a/crates/admin/src/server_settings.rs
+++ b/crates/admin/src/server_settings.rs
@@ -6,15 +6,15 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerSettings {
     /// Most connections at once; those beyond get 503 at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// How long the head of a request may take to arrive, and how long a
     /// connection may stay open without one.
     pub head_timeout: Duration,
     /// How long sent bytes may stay unacknowledged, and how often an idle
     /// connection is probed: a peer that vanished without a word is noticed.
-    pub silence: Duration,
+    pub peer_timeout: Duration,
     /// How long open requests may go on after the server was told to stop.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
     /// What a peer that shuts down its sending side means by it.
     pub half_close: HalfClose,
 }
@@ -23,21 +23,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HalfClose {
     /// It still reads the answer.
-    Reads,
+    KeepServing,
     /// It has gone. A request in progress is dropped, so that what it holds
     /// is free for others; a caller that hangs up can't be told apart from one
     /// that only stops sending.
-    Gone,
+    Disconnect,
 }
 
 impl Default for ServerSettings {
     fn default() -> Self {
         ServerSettings {
-            connections: 4_096,
+            max_connections: 4_096,
             head_timeout: Duration::from_secs(30),
-            silence: Duration::from_secs(20),
-            drain: Duration::from_secs(30),
-            half_close: HalfClose::Reads,
+            peer_timeout: Duration::from_secs(20),
+            drain_timeout: Duration::from_secs(30),
+            half_close: HalfClose::KeepServing,
         }
     }
 }
--- a/crates/admin/tests/operators.rs
+++ b/crates/admin/tests/operators.rs
@@ -5,7 +5,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use admin::{Operators, Pages, Problem, Registry, ServerSettings, Token, serve};
+use admin::{
+    MonitoringRoutes, OperatorRoutes, OperatorToken, Problem, Registry, ServerSettings, serve,
+};
 use hyper::StatusCode;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -70,9 +72,9 @@
     })
 }
 
-fn operators() -> Operators {
-    Operators::new(
-        Token::from_bytes(TOKEN.as_bytes()).unwrap(),
+fn operators() -> OperatorRoutes {
+    OperatorRoutes::new(
+        OperatorToken::from_bytes(TOKEN.as_bytes()).unwrap(),
         Arc::new(|command| {
             let body = Some(decide(command));
             Box::pin(async { Outcome { index: 1, body } })
@@ -89,14 +91,14 @@
     let address = listener.local_addr().unwrap();
     let stop = CancellationToken::new();
     let operators = operators();
-    let pages = Pages::new(Arc::new(Registry::default()), || Ok(()));
+    let pages = MonitoringRoutes::new(Arc::new(Registry::default()), || Ok(()));
     let handler = move |req: hyper::Request<hyper::body::Incoming>| {
         let (operators, pages) = (operators.clone(), pages.clone());
         async move {
             if let Some(page) = pages.answer(req.method(), req.uri().path()) {
                 return page;
             }
-            if Operators::owns(req.uri().path()) {
+            if OperatorRoutes::matches(req.uri().path()) {
                 return operators.handle(req, "r1").await;
             }
             Problem::new(StatusCode::NOT_FOUND, "no such page").into_response()
@@ -271,7 +273,7 @@
     // Callers open connections and keep them. Those beyond the limit must learn
     // it at once; left in the accept queue they would hang until they give up.
     let cfg = ServerSettings {
-        connections: 1,
+        max_connections: 1,
         ..ServerSettings::default()
     };
     let (address, _stop) = start(cfg).await;
--- a/crates/admin/tests/server.rs
+++ b/crates/admin/tests/server.rs
@@ -94,7 +94,7 @@
     // A caller never finishes. The stop of the daemon must not wait for it
     // beyond the time to drain, or an upgrade hangs.
     let cfg = ServerSettings {
-        drain: Duration::from_millis(200),
+        drain_timeout: Duration::from_millis(200),
         ..ServerSettings::default()
     };
     let arrived = Arc::new(Notify::new());
@@ -123,7 +123,7 @@
     // A caller opens a stream and stops to read, but its host goes on answering
     // probes. Without a bound the stream and its target would be held for ever.
     let cfg = ServerSettings {
-        silence: Duration::from_secs(1),
+        peer_timeout: Duration::from_secs(1),
         ..ServerSettings::default()
     };
     let floods = Arc::new(Mutex::new(Vec::new()));
--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -218,7 +218,7 @@
     listener: tokio::net::TcpListener,
 ) {
     let stop = cx.stop.clone();
-    let pages = admin::Pages::new(Arc::new(registry), move || ready(&cx));
+    let pages = admin::MonitoringRoutes::new(Arc::new(registry), move || ready(&cx));
     let settings = admin::ServerSettings::default();
     admin::serve(listener, settings, stop, move |req| {
         let answer = pages.answer(req.method(), req.uri().path());
--- a/crates/agent/src/engine/reply.rs
+++ b/crates/agent/src/engine/reply.rs
@@ -12,7 +12,7 @@
 use tokio::time::timeout;
 
 use ::outlet::{Connection, Pool};
-use admin::HOP_HEADERS;
+use admin::HOP_BY_HOP_HEADERS;
 
 use super::{ClientSettings, CompletionCheck, Failure};
 
@@ -121,7 +121,7 @@
 fn end_to_end_headers(headers: &HeaderMap) -> Vec<(String, Bytes)> {
     let kept = headers
         .iter()
-        .filter(|(name, _)| !HOP_HEADERS.contains(&name.as_str()));
+        .filter(|(name, _)| !HOP_BY_HOP_HEADERS.contains(&name.as_str()));
     kept.map(|(name, value)| {
         let value = Bytes::copy_from_slice(value.as_bytes());
         (name.as_str().to_owned(), value)
--- a/crates/agent/src/engine/target_client.rs
+++ b/crates/agent/src/engine/target_client.rs
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 
 use ::outlet::{Connection, Pool, Unanswered, ask};
-use admin::HOP_HEADERS;
+use admin::HOP_BY_HOP_HEADERS;
 
 use super::{
     ArmingClient, ArmingDialect, ArmingState, CacheChange, Call, ClientSettings, CommandFailure,
@@ -328,7 +328,9 @@
         let mut req = Request::builder().method(call.method.as_str());
         req = req.uri(call.path.as_str());
         for (name, value) in &call.headers {
-            let hop = HOP_HEADERS.iter().any(|hop| name.eq_ignore_ascii_case(hop));
+            let hop = HOP_BY_HOP_HEADERS
+                .iter()
+                .any(|hop| name.eq_ignore_ascii_case(hop));
             if !hop && !name.eq_ignore_ascii_case("host") {
                 req = req.header(name.as_str(), value.as_ref());
             }
--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -11,7 +11,7 @@
 use crate::replica::{Msg, Replica, Start};
 use crate::settings::Settings;
 use crate::target_cache::TargetCache;
-use admin::Token;
+use admin::OperatorToken;
 use eyre::{Result, WrapErr, eyre};
 use ractor::{Actor, ActorRef};
 use std::net::SocketAddr;
@@ -68,7 +68,7 @@
         let http_address = listeners.http.local_addr()?;
         let mut settings = settings;
         settings.advertise.get_or_insert(link_address);
-        let token = Token::from_file(&settings.operator_token_file)?;
+        let token = OperatorToken::from_file(&settings.operator_token_file)?;
         let disk_closed = CancellationToken::new();
         found(&settings)?;
         let start = open(settings.clone(), ops, disk_closed.clone()).await?;
--- a/crates/control/src/http.rs
+++ b/crates/control/src/http.rs
@@ -2,7 +2,9 @@
 
 use crate::asker::Asker;
 use crate::metrics::Metrics;
-use admin::{Operators, Pages, Problem, Registry, Response, ServerSettings, Token};
+use admin::{
+    MonitoringRoutes, OperatorRoutes, OperatorToken, Problem, Registry, Response, ServerSettings,
+};
 use std::sync::Arc;
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
@@ -10,7 +12,7 @@
 /// Serves until stopped.
 pub(crate) async fn serve(
     listener: TcpListener,
-    token: Token,
+    token: OperatorToken,
     asker: Asker,
     metrics: Metrics,
     registry: Registry,
@@ -29,12 +31,12 @@
         let answer = async move { asker.query(body).await };
         Box::pin(answer) as std::pin::Pin<Box<dyn Future<Output = _> + Send>>
     };
-    let operators = Operators::new(token, Arc::new(propose), Arc::new(query));
+    let operators = OperatorRoutes::new(token, Arc::new(propose), Arc::new(query));
     let ready = move || match metrics.has_leader.get() {
         1 => Ok(()),
         _ => Err("no leader is known".to_owned()),
     };
-    let pages = Pages::new(Arc::new(registry), ready);
+    let pages = MonitoringRoutes::new(Arc::new(registry), ready);
     let handler = move |req: hyper::Request<hyper::body::Incoming>| {
         let (operators, pages) = (operators.clone(), pages.clone());
         async move { answer(req, &operators, &pages).await }
@@ -44,14 +46,14 @@
 
 async fn answer(
     req: hyper::Request<hyper::body::Incoming>,
-    operators: &Operators,
-    pages: &Pages,
+    operators: &OperatorRoutes,
+    pages: &MonitoringRoutes,
 ) -> Response {
     let path = req.uri().path();
     if let Some(page) = pages.answer(req.method(), path) {
         return page;
     }
-    if Operators::owns(path) {
+    if OperatorRoutes::matches(path) {
         let id = format!("{:016x}", rand::random::<u64>());
         return operators.handle(req, &id).await;
     }
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use admin::{HalfClose, Operators, Pages, ServerSettings, Token};
+use admin::{HalfClose, MonitoringRoutes, OperatorRoutes, OperatorToken, ServerSettings};
 use eyre::WrapErr;
 use node::{Follower, FollowerSettings};
 use ractor::{Actor, ActorRef};
@@ -139,14 +139,14 @@
     }
 }
 
-fn operators(settings: &Settings, follower: &Follower) -> eyre::Result<Option<Operators>> {
+fn operators(settings: &Settings, follower: &Follower) -> eyre::Result<Option<OperatorRoutes>> {
     let Some(file) = &settings.operator_token_file else {
         return Ok(None);
     };
-    let token = Token::from_file(file)?;
+    let token = OperatorToken::from_file(file)?;
     let within = settings.timing.commit;
     let (propose, query) = (follower.clone(), follower.clone());
-    Ok(Some(Operators::new(
+    Ok(Some(OperatorRoutes::new(
         token,
         Arc::new(move |command| {
             let follower = propose.clone();
@@ -163,11 +163,11 @@
     settings: &Arc<Settings>,
     cx: Cx,
     registry: Arc<admin::Registry>,
-    operators: Option<Operators>,
+    operators: Option<OperatorRoutes>,
     leaving: &Arc<AtomicBool>,
 ) -> Front {
     let (follower, flag) = (cx.follower.clone(), Arc::clone(leaving));
-    let pages = Pages::new(registry, move || ready(&follower, &flag));
+    let pages = MonitoringRoutes::new(registry, move || ready(&follower, &flag));
     Front {
         settings: Arc::clone(settings),
         cx,
@@ -195,13 +195,13 @@
     ended: watch::Sender<bool>,
 ) {
     let cfg = ServerSettings {
-        connections: front.settings.limits.connections,
+        max_connections: front.settings.limits.connections,
         head_timeout: front.settings.timing.receive,
-        drain: front.settings.timing.drain,
-        half_close: HalfClose::Gone,
+        drain_timeout: front.settings.timing.drain,
+        half_close: HalfClose::Disconnect,
         ..ServerSettings::default()
     };
-    let drain = cfg.drain;
+    let drain = cfg.drain_timeout;
     let tracker = front.cx.tracker.clone();
     admin::serve(listeners.http, cfg, stop, move |req| {
         front.clone().handle(req)
--- a/crates/entry/src/http/front.rs
+++ b/crates/entry/src/http/front.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use admin::{Operators, Pages, Problem, Response, read_body};
+use admin::{MonitoringRoutes, OperatorRoutes, Problem, Response, read_body};
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::header::HeaderValue;
@@ -27,8 +27,8 @@
 pub(crate) struct Front {
     pub(crate) settings: Arc<Settings>,
     pub(crate) cx: Cx,
-    pub(crate) pages: Pages,
-    pub(crate) operators: Option<Operators>,
+    pub(crate) pages: MonitoringRoutes,
+    pub(crate) operators: Option<OperatorRoutes>,
 }
 
 /// A request whose caller is known.
@@ -51,7 +51,7 @@
             return page;
         }
         let id = format!("{:032x}", rand::random::<u128>());
-        if Operators::owns(path) {
+        if OperatorRoutes::matches(path) {
             return self.operate(req, &id).await;
         }
         if path == "/v1/addresses" {
--- a/crates/entry/src/http/headers.rs
+++ b/crates/entry/src/http/headers.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use admin::{HOP_HEADERS, Problem, named_by_connection};
+use admin::{HOP_BY_HOP_HEADERS, Problem, connection_options};
 use bytes::Bytes;
 use hyper::{HeaderMap, StatusCode};
 use wire::proto::Header;
@@ -23,7 +23,7 @@
 
 /// Headers of a caller that go to the target.
 pub(super) fn passed(headers: &HeaderMap) -> Vec<Header> {
-    let named = named_by_connection(headers);
+    let named = connection_options(headers);
     let passed = headers.iter().filter(|(name, _)| {
         is_passed(name.as_str()) && !named.iter().any(|other| other == name.as_str())
     });
@@ -40,7 +40,7 @@
 }
 
 fn is_passed(name: &str) -> bool {
-    !HOP_HEADERS.contains(&name) && !OWN.contains(&name)
+    !HOP_BY_HOP_HEADERS.contains(&name) && !OWN.contains(&name)
 }
 
 /// The deadline that the caller asks for, or the default.
--- a/crates/lovageramp/tests/client.rs
+++ b/crates/lovageramp/tests/client.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
 
-use admin::{Operators, ServerSettings, Token, serve};
+use admin::{OperatorRoutes, OperatorToken, ServerSettings, serve};
 use note::{History, Submission};
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
@@ -77,8 +77,8 @@
     let failures = AtomicU32::new(failures);
     let history = Arc::new(Mutex::new(History::default()));
     let asked = Arc::clone(&history);
-    let operators = Operators::new(
-        Token::from_bytes(TOKEN.as_bytes()).unwrap(),
+    let operators = OperatorRoutes::new(
+        OperatorToken::from_bytes(TOKEN.as_bytes()).unwrap(),
         Arc::new(move |command| {
             let body = Some(decide(&mut history.lock().unwrap(), command));
             Box::pin(async { Outcome { index: 1, body } })
