--- a/crates/control/src/machine/notes.rs
+++ b/crates/control/src/machine/notes.rs
@@ -2,7 +2,7 @@
 
 use super::Machine;
 use bytes::Bytes;
-use note::{Accepted, Submission};
+use note::{AcceptedNote, Submission};
 use wire::proto::note_outcome::Kind;
 use wire::proto::{Finding, NoteOutcome, Notes, SubmitNote};
 
@@ -28,7 +28,7 @@
     /// The notes after a number, or the whole catalogue to one far behind.
     pub(crate) fn notes_after(&self, after: u64) -> Notes {
         let number = self.history.catalogue().number();
-        let notes = self.history.after(after).unwrap_or_default();
+        let notes = self.history.notes_after(after).unwrap_or_default();
         let size: usize = notes.iter().map(Bytes::len).sum();
         let whole = after.saturating_add(notes.len() as u64) == number;
         if after >= number || whole && size <= MOST_NOTE_BYTES {
@@ -46,7 +46,7 @@
     }
 }
 
-fn held(kind: Kind, number: u64, by: Option<&Accepted>) -> NoteOutcome {
+fn held(kind: Kind, number: u64, by: Option<&AcceptedNote>) -> NoteOutcome {
     NoteOutcome {
         kind: kind.into(),
         number,
--- a/crates/entry/src/http/front.rs
+++ b/crates/entry/src/http/front.rs
@@ -175,7 +175,7 @@
         }
         let max = self.settings.timing.timeout_max;
         let deadline = headers::deadline(&asked.headers, asked.arrived, offered.timeout, max)?;
-        let repeats = offered.repeats(asked.method.as_str());
+        let repeats = offered.is_repeatable(asked.method.as_str());
         let key = if repeats {
             None
         } else {
--- a/crates/entry/src/links/announced.rs
+++ b/crates/entry/src/links/announced.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use note::Offer;
+use note::Assignment;
 use wire::proto::{MemberView, NodeInfo, Role};
 
 /// What a live agent announces.
@@ -12,7 +12,7 @@
     pub(crate) incarnation: u64,
     pub(crate) zone: String,
     pub(crate) address: SocketAddr,
-    pub(crate) offer: Offer,
+    pub(crate) offer: Assignment,
     pub(crate) leaving: bool,
     pub(crate) healthy: bool,
     pub(crate) can_resume: bool,
@@ -29,9 +29,9 @@
         }
         let target = node.target.as_ref()?;
         let offer = if target.group.is_empty() {
-            Offer::Service(target.service.clone())
+            Assignment::Service(target.service.clone())
         } else {
-            Offer::Group(target.group.clone())
+            Assignment::Group(target.group.clone())
         };
         Some(Announced {
             target: target.target.clone(),
--- a/crates/entry/src/links/subsets.rs
+++ b/crates/entry/src/links/subsets.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use note::{Catalogue, Offer};
+use note::{Assignment, Catalogue};
 use route::{Reachability, Subset, SubsetSettings, ZonedNode};
 use wire::proto::MemberView;
 
@@ -32,7 +32,7 @@
 /// its own; among the picks of a whole pool there might be none that fits.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Profile<'a> {
-    pool: Result<PoolName, &'a Offer>,
+    pool: Result<PoolName, &'a Assignment>,
     adapters: &'a [String],
     versions: &'a [String],
     can_resume: bool,
--- a/crates/entry/src/placement/inner.rs
+++ b/crates/entry/src/placement/inner.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use node::Parts;
-use note::{Catalogue, Offer};
+use note::{Assignment, Catalogue};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use route::{
@@ -264,15 +264,15 @@
 /// just that group or service.
 pub(crate) fn pool_of(catalogue: &Catalogue, announced: &Announced) -> Option<PoolName> {
     let target = catalogue.target(&announced.target)?;
-    if target.offer != announced.offer {
+    if target.assignment != announced.offer {
         return None;
     }
-    match &target.offer {
-        Offer::Group(name) => {
+    match &target.assignment {
+        Assignment::Group(name) => {
             let group = catalogue.group(name)?;
             Some(PoolName::Model(group.model.clone()))
         }
-        Offer::Service(name) => Some(PoolName::Service(name.clone())),
+        Assignment::Service(name) => Some(PoolName::Service(name.clone())),
     }
 }
 
--- a/crates/entry/src/placement/pool_state.rs
+++ b/crates/entry/src/placement/pool_state.rs
@@ -222,8 +222,8 @@
         let choice = self.pool.choose(now, &demand, rng)?;
         let slot = self.slots.values().find(|slot| slot.key == choice.target)?;
         let group = match &slot.announced.offer {
-            note::Offer::Group(group) => group.clone(),
-            note::Offer::Service(_) => String::new(),
+            note::Assignment::Group(group) => group.clone(),
+            note::Assignment::Service(_) => String::new(),
         };
         Some(Found {
             agent: Arc::clone(&slot.agent),
--- a/crates/note/src/accepted.rs
+++ b/crates/note/src/accepted_note.rs
@@ -4,7 +4,7 @@
 
 /// What is remembered of an accepted note.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Accepted {
+pub struct AcceptedNote {
     /// Digest of its content.
     pub digest: Digest,
     /// Who sent it.
--- a/crates/note/src/offer.rs
+++ b/crates/note/src/assignment.rs
@@ -2,7 +2,7 @@
 
 /// What a target is offered for.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Offer {
+pub enum Assignment {
     /// Member of the model group of this name.
     Group(String),
     /// Serves the plain service of this name.
--- a/crates/note/src/catalogue.rs
+++ b/crates/note/src/catalogue.rs
@@ -5,7 +5,7 @@
 use cfg::{Finding, Findings, Reader};
 use serde_json::json;
 
-use crate::{Account, Checked, Digest, Group, Item, Kind, Model, Note, Service, Target, check};
+use crate::{Account, CheckedNote, Digest, Group, Item, Kind, Model, Note, Service, Target, check};
 
 /// All that is on offer: the sum of the notes up to its number. The default
 /// is number 0 and empty.
@@ -41,7 +41,7 @@
     /// let findings = note::Catalogue::default().check(json).unwrap_err();
     /// assert_eq!(findings[0].to_string(), "unknown group \"x\" at added[0].group");
     /// ```
-    pub fn check(&self, json: &[u8]) -> Result<Checked, Vec<Finding>> {
+    pub fn check(&self, json: &[u8]) -> Result<CheckedNote, Vec<Finding>> {
         self.check_note(Note::from_slice(json)?)
     }
 
@@ -56,10 +56,10 @@
     /// let findings = note::Catalogue::default().check_note(note).unwrap_err();
     /// assert_eq!(findings[0].to_string(), "must be 1, the next number, is 2 at number");
     /// ```
-    pub fn check_note(&self, note: Note) -> Result<Checked, Vec<Finding>> {
+    pub fn check_note(&self, note: Note) -> Result<CheckedNote, Vec<Finding>> {
         let findings = check::findings(self, &note);
         if findings.is_empty() {
-            Ok(Checked(note))
+            Ok(CheckedNote(note))
         } else {
             Err(check::bounded(findings))
         }
@@ -75,7 +75,7 @@
     /// catalogue.apply(&checked);
     /// assert_eq!(catalogue.number(), 1);
     /// ```
-    pub fn apply(&mut self, note: &Checked) {
+    pub fn apply(&mut self, note: &CheckedNote) {
         let note = &note.0;
         if Some(note.number) != self.number.checked_add(1) {
             return;
--- a/crates/note/src/checked.rs
+++ b/crates/note/src/checked_note.rs
@@ -8,9 +8,9 @@
 /// the number before; only [`Catalogue::check`](crate::Catalogue::check)
 /// makes one.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Checked(pub(crate) Note);
+pub struct CheckedNote(pub(crate) Note);
 
-impl Checked {
+impl CheckedNote {
     /// The note's number.
     ///
     /// ```
--- a/crates/note/src/history.rs
+++ b/crates/note/src/history.rs
@@ -6,7 +6,7 @@
 use cfg::{Findings, Reader};
 use serde_json::{Value, json};
 
-use crate::{Accepted, Catalogue, Digest, Note, Submission};
+use crate::{AcceptedNote, Catalogue, Digest, Note, Submission};
 
 /// Numbers whose sender and digest are remembered: ten days at 390 a day.
 const MOST_REMEMBERED: usize = 4_096;
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct History {
     catalogue: Catalogue,
-    accepted: BTreeMap<u64, Accepted>,
+    accepted: BTreeMap<u64, AcceptedNote>,
     contents: BTreeMap<u64, Bytes>,
     kept_bytes: usize,
 }
@@ -81,7 +81,7 @@
         };
         self.catalogue.apply(&checked);
         let operator = operator.chars().take(MOST_OPERATOR_CHARS).collect();
-        let accepted = Accepted { digest, operator };
+        let accepted = AcceptedNote { digest, operator };
         self.keep(number, accepted.clone(), checked.to_json());
         Submission::Accepted(accepted)
     }
@@ -94,7 +94,7 @@
     /// assert_eq!(history.accepted(1).unwrap().operator, "anna");
     /// ```
     #[must_use]
-    pub fn accepted(&self, number: u64) -> Option<&Accepted> {
+    pub fn accepted(&self, number: u64) -> Option<&AcceptedNote> {
         self.accepted.get(&number)
     }
 
@@ -114,11 +114,11 @@
     /// ```
     /// let mut history = note::History::default();
     /// history.submit(br#"{"number": 1}"#, "anna");
-    /// assert_eq!(history.after(0).unwrap().len(), 1);
-    /// assert_eq!(history.after(1).unwrap().len(), 0);
+    /// assert_eq!(history.notes_after(0).unwrap().len(), 1);
+    /// assert_eq!(history.notes_after(1).unwrap().len(), 0);
     /// ```
     #[must_use]
-    pub fn after(&self, number: u64) -> Option<Vec<Bytes>> {
+    pub fn notes_after(&self, number: u64) -> Option<Vec<Bytes>> {
         let wanted = self.catalogue.number().saturating_sub(number);
         let notes = self.contents.range(number.saturating_add(1)..);
         let notes: Vec<Bytes> = notes.map(|(_, json)| json.clone()).collect();
@@ -175,7 +175,7 @@
             let operator = note.optional("operator").unwrap_or_default();
             let content: Option<String> = note.optional("content");
             if let (Some(number), Some(digest)) = (number, digest) {
-                let accepted = Accepted { digest, operator };
+                let accepted = AcceptedNote { digest, operator };
                 history.accepted.insert(number, accepted);
                 history.keep_content(number, content);
             }
@@ -193,7 +193,7 @@
         }
     }
 
-    fn keep(&mut self, number: u64, accepted: Accepted, json: Bytes) {
+    fn keep(&mut self, number: u64, accepted: AcceptedNote, json: Bytes) {
         self.accepted.insert(number, accepted);
         self.kept_bytes += json.len();
         self.contents.insert(number, json);
--- a/crates/note/src/item.rs
+++ b/crates/note/src/item.rs
@@ -3,7 +3,7 @@
 use cfg::Reader;
 use serde_json::Value;
 
-use crate::{Account, Group, Kind, Model, Offer, Service, Target};
+use crate::{Account, Assignment, Group, Kind, Model, Service, Target};
 
 /// One thing on offer.
 #[derive(Debug, Clone, PartialEq)]
@@ -59,9 +59,9 @@
     pub(crate) fn reference(&self) -> Option<(Kind, &str)> {
         match self {
             Item::Group(group) => Some((Kind::Model, &group.model)),
-            Item::Target(target) => Some(match &target.offer {
-                Offer::Group(name) => (Kind::Group, name),
-                Offer::Service(name) => (Kind::Service, name),
+            Item::Target(target) => Some(match &target.assignment {
+                Assignment::Group(name) => (Kind::Group, name),
+                Assignment::Service(name) => (Kind::Service, name),
             }),
             Item::Account(_) | Item::Model(_) | Item::Service(_) => None,
         }
--- a/crates/note/src/kind.rs
+++ b/crates/note/src/kind.rs
@@ -46,11 +46,11 @@
     /// The kind that a word stands for.
     ///
     /// ```
-    /// assert_eq!(note::Kind::from_word("group"), Some(note::Kind::Group));
-    /// assert_eq!(note::Kind::from_word("zone"), None);
+    /// assert_eq!(note::Kind::from_name("group"), Some(note::Kind::Group));
+    /// assert_eq!(note::Kind::from_name("zone"), None);
     /// ```
     #[must_use]
-    pub fn from_word(word: &str) -> Option<Kind> {
+    pub fn from_name(word: &str) -> Option<Kind> {
         Kind::ALL.into_iter().find(|kind| kind.as_str() == word)
     }
 
@@ -58,7 +58,7 @@
     /// and the only one of its object.
     pub(crate) fn read(r: &mut cfg::Reader) -> Option<Kind> {
         let word: Option<String> = r.required("kind");
-        let kind = word.as_deref().and_then(Kind::from_word);
+        let kind = word.as_deref().and_then(Kind::from_name);
         if kind.is_some() {
             return kind;
         }
--- a/crates/note/src/lib.rs
+++ b/crates/note/src/lib.rs
@@ -26,11 +26,12 @@
 //! );
 //! ```
 
-mod accepted;
+mod accepted_note;
 mod account;
+mod assignment;
 mod catalogue;
 mod check;
-mod checked;
+mod checked_note;
 mod digest;
 mod group;
 mod history;
@@ -39,18 +40,18 @@
 mod model;
 mod name;
 mod note;
-mod offer;
 mod service;
 mod submission;
 mod target;
 mod weights;
 mod withdrawal;
 
-pub use accepted::Accepted;
+pub use accepted_note::AcceptedNote;
 pub use account::Account;
+pub use assignment::Assignment;
 pub use catalogue::Catalogue;
 pub use cfg::{Finding, Findings};
-pub use checked::Checked;
+pub use checked_note::CheckedNote;
 pub use digest::Digest;
 pub use group::Group;
 pub use history::History;
@@ -58,7 +59,6 @@
 pub use kind::Kind;
 pub use model::Model;
 pub use note::Note;
-pub use offer::Offer;
 pub use service::Service;
 pub use submission::Submission;
 pub use target::Target;
--- a/crates/note/src/service.rs
+++ b/crates/note/src/service.rs
@@ -39,10 +39,10 @@
     /// let checked = catalogue.check(json).unwrap();
     /// catalogue.apply(&checked);
     /// let service = catalogue.service("order-desk").unwrap();
-    /// assert!(service.repeats("GET") && !service.repeats("POST"));
+    /// assert!(service.is_repeatable("GET") && !service.is_repeatable("POST"));
     /// ```
     #[must_use]
-    pub fn repeats(&self, method: &str) -> bool {
+    pub fn is_repeatable(&self, method: &str) -> bool {
         self.repeatable.iter().any(|known| known == method)
     }
 
--- a/crates/note/src/target.rs
+++ b/crates/note/src/target.rs
@@ -3,7 +3,7 @@
 use cfg::Reader;
 use serde_json::{Value, json};
 
-use crate::{Offer, name};
+use crate::{Assignment, name};
 
 /// A target on offer. It takes work only while its agent announces it for the
 /// same group or service.
@@ -12,7 +12,7 @@
     /// The target's name, which its agent announces.
     pub name: String,
     /// What it is offered for.
-    pub offer: Offer,
+    pub assignment: Assignment,
 }
 
 impl Target {
@@ -21,16 +21,16 @@
     /// ```
     /// let target = note::Target {
     ///     name: "advisor-01".into(),
-    ///     offer: note::Offer::Group("blank-advisor".into()),
+    ///     assignment: note::Assignment::Group("blank-advisor".into()),
     /// };
     /// assert_eq!(target.group(), Some("blank-advisor"));
     /// assert_eq!(target.service(), None);
     /// ```
     #[must_use]
     pub fn group(&self) -> Option<&str> {
-        match &self.offer {
-            Offer::Group(name) => Some(name),
-            Offer::Service(_) => None,
+        match &self.assignment {
+            Assignment::Group(name) => Some(name),
+            Assignment::Service(_) => None,
         }
     }
 
@@ -39,23 +39,23 @@
     /// ```
     /// let target = note::Target {
     ///     name: "desk-01".into(),
-    ///     offer: note::Offer::Service("order-desk".into()),
+    ///     assignment: note::Assignment::Service("order-desk".into()),
     /// };
     /// assert_eq!(target.service(), Some("order-desk"));
     /// ```
     #[must_use]
     pub fn service(&self) -> Option<&str> {
-        match &self.offer {
-            Offer::Group(_) => None,
-            Offer::Service(name) => Some(name),
+        match &self.assignment {
+            Assignment::Group(_) => None,
+            Assignment::Service(name) => Some(name),
         }
     }
 
     pub(crate) fn read(r: &mut Reader) -> Option<Self> {
         let name = name::read(r, "name");
-        let offer = match (r.has("group"), r.has("service")) {
-            (true, false) => name::read(r, "group").map(Offer::Group),
-            (false, true) => name::read(r, "service").map(Offer::Service),
+        let assignment = match (r.has("group"), r.has("service")) {
+            (true, false) => name::read(r, "group").map(Assignment::Group),
+            (false, true) => name::read(r, "service").map(Assignment::Service),
             _ => {
                 r.finding("group", "exactly one of group and service must be set");
                 r.accept_rest();
@@ -64,14 +64,16 @@
         };
         Some(Target {
             name: name?,
-            offer: offer?,
+            assignment: assignment?,
         })
     }
 
     pub(crate) fn to_value(&self) -> Value {
-        match &self.offer {
-            Offer::Group(group) => json!({"kind": "target", "name": self.name, "group": group}),
-            Offer::Service(service) => {
+        match &self.assignment {
+            Assignment::Group(group) => {
+                json!({"kind": "target", "name": self.name, "group": group})
+            }
+            Assignment::Service(service) => {
                 json!({"kind": "target", "name": self.name, "service": service})
             }
         }
--- a/crates/note/tests/check.rs
+++ b/crates/note/tests/check.rs
@@ -41,7 +41,12 @@
         Some("order-desk")
     );
     assert_eq!(catalogue.groups_for("burl-notes").count(), 1);
-    assert!(!catalogue.service("order-desk").unwrap().repeats("POST"));
+    assert!(
+        !catalogue
+            .service("order-desk")
+            .unwrap()
+            .is_repeatable("POST")
+    );
 }
 
 #[test]
--- a/crates/note/tests/history.rs
+++ b/crates/note/tests/history.rs
@@ -170,7 +170,7 @@
         for sent in &sent {
             let json = sent.json(history.catalogue().number() + 1).to_string();
             history.submit(json.as_bytes(), "anna");
-            for content in history.after(node.number()).unwrap() {
+            for content in history.notes_after(node.number()).unwrap() {
                 let checked = node.check(&content).unwrap();
                 node.apply(&checked);
                 delivered.push(checked);
@@ -221,8 +221,8 @@
         let submission = history.submit(note.to_string().as_bytes(), "anna");
         assert!(matches!(submission, Submission::Accepted(_)));
     }
-    assert!(history.after(0).is_none());
-    assert_eq!(history.after(29).unwrap().len(), 1);
+    assert!(history.notes_after(0).is_none());
+    assert_eq!(history.notes_after(29).unwrap().len(), 1);
     assert!(history.to_json().len() < 12 << 20);
     assert!(history.accepted(1).is_some());
 }
@@ -250,7 +250,7 @@
                 drop(Catalogue::from_json(bytes));
                 if let Ok(mut read) = History::from_json(bytes) {
                     read.submit(br#"{"number":2}"#, "anna");
-                    drop(read.after(0));
+                    drop(read.notes_after(0));
                 }
             }
         }
