--- a/crates/note/src/accepted_note.rs
+++ b/crates/note/src/accepted_note.rs
@@ -1,12 +1,12 @@
-//! What is remembered of an accepted note.
+//! Record of an accepted note.
 
 use crate::Digest;
 
-/// What is remembered of an accepted note.
+/// Record of an accepted note.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AcceptedNote {
-    /// Digest of its content.
+    /// Digest of the note's canonical JSON.
     pub digest: Digest,
-    /// Who sent it.
+    /// Name of the operator who submitted the note.
     pub operator: String,
 }
--- a/crates/note/src/account.rs
+++ b/crates/note/src/account.rs
@@ -5,11 +5,11 @@
 
 use crate::{Digest, name};
 
-const MOST_SHARE: u32 = 1_000;
-const MOST_TOKENS_PER_S: u32 = 100_000_000;
-const MOST_REQUESTS_PER_S: u32 = 1_000_000;
-const MOST_CONCURRENT: u32 = 1_000_000;
-const MOST_PRIORITY: u32 = 9;
+const MAX_SHARE: u32 = 1_000;
+const MAX_TOKENS_PER_S: u32 = 100_000_000;
+const MAX_REQUESTS_PER_S: u32 = 1_000_000;
+const MAX_CONCURRENT: u32 = 1_000_000;
+const MAX_PRIORITY: u32 = 9;
 
 const DEFAULT_SHARE: u32 = 1;
 const DEFAULT_TOKENS_PER_S: u32 = 2_000;
@@ -22,17 +22,17 @@
 pub struct Account {
     /// The account's name.
     pub name: String,
-    /// Digest of the account's bearer key; the key itself is held nowhere.
+    /// Digest of the account's bearer key; the key itself is not stored.
     pub key_sha256: Digest,
-    /// Weight of the account's fair share when targets are short.
+    /// Weight of the account in fair sharing when capacity is scarce.
     pub share: u32,
-    /// Most tokens a second.
+    /// Maximum number of tokens per second.
     pub tokens_per_s: u32,
-    /// Most requests a second.
+    /// Maximum number of requests per second.
     pub requests_per_s: u32,
-    /// Most requests at once.
+    /// Maximum number of concurrent requests.
     pub concurrent: u32,
-    /// 0 to 9; under overload the lowest are refused first.
+    /// Priority from 0 to 9; under overload, the lowest are rejected first.
     pub priority: u32,
 }
 
@@ -40,15 +40,15 @@
     pub(crate) fn read(r: &mut Reader) -> Option<Self> {
         let name = name::read(r, "name");
         let key_sha256 = read_digest(r);
-        let share = r.within("share", DEFAULT_SHARE, 1..=MOST_SHARE);
-        let tokens_per_s = r.within("tokens_per_s", DEFAULT_TOKENS_PER_S, 1..=MOST_TOKENS_PER_S);
+        let share = r.within("share", DEFAULT_SHARE, 1..=MAX_SHARE);
+        let tokens_per_s = r.within("tokens_per_s", DEFAULT_TOKENS_PER_S, 1..=MAX_TOKENS_PER_S);
         let requests_per_s = r.within(
             "requests_per_s",
             DEFAULT_REQUESTS_PER_S,
-            1..=MOST_REQUESTS_PER_S,
+            1..=MAX_REQUESTS_PER_S,
         );
-        let concurrent = r.within("concurrent", DEFAULT_CONCURRENT, 1..=MOST_CONCURRENT);
-        let priority = r.within("priority", DEFAULT_PRIORITY, 0..=MOST_PRIORITY);
+        let concurrent = r.within("concurrent", DEFAULT_CONCURRENT, 1..=MAX_CONCURRENT);
+        let priority = r.within("priority", DEFAULT_PRIORITY, 0..=MAX_PRIORITY);
         Some(Account {
             name: name?,
             key_sha256: key_sha256?,
--- a/crates/note/src/assignment.rs
+++ b/crates/note/src/assignment.rs
@@ -1,10 +1,10 @@
-//! What a target is offered for.
+//! Assignment of a target to a group or service.
 
-/// What a target is offered for.
+/// The model group or plain service that a target is assigned to.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Assignment {
-    /// Member of the model group of this name.
+    /// Member of the model group with this name.
     Group(String),
-    /// Serves the plain service of this name.
+    /// Serves the plain service with this name.
     Service(String),
 }
--- a/crates/note/src/catalogue.rs
+++ b/crates/note/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! All that is on offer.
+//! The set of configured items.
 
 use std::collections::BTreeMap;
 
@@ -7,18 +7,18 @@
 
 use crate::{Account, CheckedNote, Digest, Group, Item, Kind, Model, Note, Service, Target, check};
 
-/// All that is on offer: the sum of the notes up to its number. The default
-/// is number 0 and empty.
+/// The set of configured items: the result of all notes up to its number. The
+/// default is empty and has number 0.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Catalogue {
     number: u64,
     items: BTreeMap<Kind, BTreeMap<String, Item>>,
-    /// Account names by the digest of their key.
+    /// Account names, indexed by the digest of their key.
     keys: BTreeMap<Digest, String>,
 }
 
 impl Catalogue {
-    /// The number of the last note that was applied.
+    /// Returns the number of the last applied note.
     ///
     /// ```
     /// assert_eq!(note::Catalogue::default().number(), 0);
@@ -28,12 +28,12 @@
         self.number
     }
 
-    /// Checks a note's JSON against what is in force.
+    /// Validates a note's JSON against this catalogue.
     ///
     /// # Errors
     ///
-    /// All findings at once. Those about the note's own shape hide those about
-    /// references, since what could not be read can't be looked up.
+    /// Returns all findings at once. References are only checked once the note
+    /// parses without findings, because unparsed items can't be looked up.
     ///
     /// ```
     /// let json = br#"{"number": 1, "added": [
@@ -45,11 +45,11 @@
         self.check_note(Note::from_slice(json)?)
     }
 
-    /// Checks a note that was read before.
+    /// Validates a parsed note against this catalogue.
     ///
     /// # Errors
     ///
-    /// All findings at once.
+    /// Returns all findings at once.
     ///
     /// ```
     /// let note = note::Note::from_slice(br#"{"number": 2}"#).unwrap();
@@ -61,12 +61,12 @@
         if findings.is_empty() {
             Ok(CheckedNote(note))
         } else {
-            Err(check::bounded(findings))
+            Err(check::truncate(findings))
         }
     }
 
-    /// Applies a note, whole. A note that isn't the next one is left alone: a
-    /// message delivered late or twice must never turn the catalogue back.
+    /// Applies a note atomically. A note whose number isn't the next one is
+    /// ignored, so that a late or duplicate delivery never reverts the catalogue.
     ///
     /// ```
     /// let mut catalogue = note::Catalogue::default();
@@ -83,7 +83,7 @@
         for withdrawal in &note.withdrawn {
             self.remove(withdrawal.kind, &withdrawal.name);
         }
-        // All old keys go before the new ones come: two accounts may swap.
+        // Remove all old keys before inserting new ones: two accounts may swap keys.
         for item in &note.changed {
             self.remove(item.kind(), item.name());
         }
@@ -93,10 +93,11 @@
         self.number = note.number;
     }
 
-    /// The account that a bearer key belongs to.
+    /// Returns the account that a bearer key belongs to.
     ///
-    /// The lookup goes by the key's digest, which a caller can't steer byte by
-    /// byte; the digest found is then compared in constant time.
+    /// The lookup uses the key's digest, which a caller can't control byte by
+    /// byte, and the stored digest is then compared in constant time. Response
+    /// times therefore reveal nothing about a valid key.
     ///
     /// ```
     /// assert!(note::Catalogue::default().account_by_key(b"secret").is_none());
@@ -105,10 +106,10 @@
     pub fn account_by_key(&self, key: &[u8]) -> Option<&Account> {
         let digest = Digest::of(key);
         let account = self.account(self.keys.get(&digest)?)?;
-        Some(account).filter(|account| account.key_sha256.is_secretly(&digest))
+        Some(account).filter(|account| account.key_sha256.ct_eq(&digest))
     }
 
-    /// The account of this name.
+    /// Returns the account with this name.
     ///
     /// ```
     /// assert!(note::Catalogue::default().account("saegewerk-huber").is_none());
@@ -118,7 +119,7 @@
         self.item(Kind::Account, name).and_then(as_account)
     }
 
-    /// The model group of this name.
+    /// Returns the model group with this name.
     ///
     /// ```
     /// assert!(note::Catalogue::default().group("blank-advisor").is_none());
@@ -128,7 +129,7 @@
         self.item(Kind::Group, name).and_then(as_group)
     }
 
-    /// The model of this name.
+    /// Returns the model with this name.
     ///
     /// ```
     /// assert!(note::Catalogue::default().model("burl-notes").is_none());
@@ -138,7 +139,7 @@
         self.item(Kind::Model, name).and_then(as_model)
     }
 
-    /// The plain service of this name.
+    /// Returns the plain service with this name.
     ///
     /// ```
     /// assert!(note::Catalogue::default().service("order-desk").is_none());
@@ -148,7 +149,7 @@
         self.item(Kind::Service, name).and_then(as_service)
     }
 
-    /// The target of this name.
+    /// Returns the target with this name.
     ///
     /// ```
     /// assert!(note::Catalogue::default().target("advisor-01").is_none());
@@ -158,25 +159,25 @@
         self.item(Kind::Target, name).and_then(as_target)
     }
 
-    /// All client accounts, in order of name.
+    /// Iterates over all client accounts, ordered by name.
     ///
     /// ```
     /// assert_eq!(note::Catalogue::default().accounts().count(), 0);
     /// ```
     pub fn accounts(&self) -> impl Iterator<Item = &Account> {
-        self.of(Kind::Account).filter_map(as_account)
+        self.items_of_kind(Kind::Account).filter_map(as_account)
     }
 
-    /// All model groups, in order of name.
+    /// Iterates over all model groups, ordered by name.
     ///
     /// ```
     /// assert_eq!(note::Catalogue::default().groups().count(), 0);
     /// ```
     pub fn groups(&self) -> impl Iterator<Item = &Group> {
-        self.of(Kind::Group).filter_map(as_group)
+        self.items_of_kind(Kind::Group).filter_map(as_group)
     }
 
-    /// The model groups that run a model, in order of name.
+    /// Iterates over the model groups that run a model, ordered by name.
     ///
     /// ```
     /// assert_eq!(note::Catalogue::default().groups_for("burl-notes").count(), 0);
@@ -185,34 +186,34 @@
         self.groups().filter(move |group| group.model == model)
     }
 
-    /// All models, in order of name.
+    /// Iterates over all models, ordered by name.
     ///
     /// ```
     /// assert_eq!(note::Catalogue::default().models().count(), 0);
     /// ```
     pub fn models(&self) -> impl Iterator<Item = &Model> {
-        self.of(Kind::Model).filter_map(as_model)
+        self.items_of_kind(Kind::Model).filter_map(as_model)
     }
 
-    /// All plain services, in order of name.
+    /// Iterates over all plain services, ordered by name.
     ///
     /// ```
     /// assert_eq!(note::Catalogue::default().services().count(), 0);
     /// ```
     pub fn services(&self) -> impl Iterator<Item = &Service> {
-        self.of(Kind::Service).filter_map(as_service)
+        self.items_of_kind(Kind::Service).filter_map(as_service)
     }
 
-    /// All targets, in order of name.
+    /// Iterates over all targets, ordered by name.
     ///
     /// ```
     /// assert_eq!(note::Catalogue::default().targets().count(), 0);
     /// ```
     pub fn targets(&self) -> impl Iterator<Item = &Target> {
-        self.of(Kind::Target).filter_map(as_target)
+        self.items_of_kind(Kind::Target).filter_map(as_target)
     }
 
-    /// The whole catalogue in canonical JSON: equal catalogues have equal
+    /// Serializes the catalogue as canonical JSON: equal catalogues have equal
     /// bytes.
     ///
     /// ```
@@ -226,11 +227,11 @@
             .into_bytes()
     }
 
-    /// Reads a catalogue that [`Catalogue::to_json`] wrote.
+    /// Parses a catalogue written by [`Catalogue::to_json`].
     ///
     /// # Errors
     ///
-    /// All findings at once, dangling references among them.
+    /// Returns all findings at once, including dangling references.
     ///
     /// ```
     /// let catalogue = note::Catalogue::default();
@@ -242,7 +243,7 @@
         let sections = r.sections("items").into_iter();
         let items: Vec<Item> = sections.filter_map(|mut r| Item::read(&mut r)).collect();
         r.finish()?;
-        // One note that adds everything has the same rules.
+        // Validated as a single note that adds every item.
         let note = Note {
             number: 1,
             added: items,
@@ -256,20 +257,20 @@
         Ok(catalogue)
     }
 
-    pub(crate) fn holds(&self, kind: Kind, name: &str) -> bool {
+    pub(crate) fn contains(&self, kind: Kind, name: &str) -> bool {
         self.item(kind, name).is_some()
     }
 
     pub(crate) fn names(&self, kind: Kind) -> impl Iterator<Item = &str> {
-        self.of(kind).map(Item::name)
+        self.items_of_kind(kind).map(Item::name)
     }
 
-    /// All items, in order of kind and name.
+    /// Iterates over all items, ordered by kind and name.
     pub(crate) fn items(&self) -> impl Iterator<Item = &Item> {
         self.items.values().flat_map(BTreeMap::values)
     }
 
-    fn of(&self, kind: Kind) -> impl Iterator<Item = &Item> {
+    fn items_of_kind(&self, kind: Kind) -> impl Iterator<Item = &Item> {
         self.items.get(&kind).into_iter().flat_map(BTreeMap::values)
     }
 
--- a/crates/note/src/checked_note.rs
+++ b/crates/note/src/checked_note.rs
@@ -1,17 +1,17 @@
-//! A release note that was checked against the catalogue in force.
+//! A release note that was validated against a catalogue.
 
 use bytes::Bytes;
 
 use crate::{Digest, Note};
 
-/// A note that fits the catalogue it was checked against, which is the one of
-/// the number before; only [`Catalogue::check`](crate::Catalogue::check)
-/// makes one.
+/// A note that is valid for the catalogue it was checked against, which has the
+/// preceding number. Created by [`Catalogue::check`](crate::Catalogue::check)
+/// and [`Catalogue::check_note`](crate::Catalogue::check_note) only.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CheckedNote(pub(crate) Note);
 
 impl CheckedNote {
-    /// The note's number.
+    /// Returns the note's number.
     ///
     /// ```
     /// let checked = note::Catalogue::default().check(br#"{"number": 1}"#).unwrap();
@@ -22,7 +22,7 @@
         self.0.number
     }
 
-    /// Digest of the note's content.
+    /// Returns the digest of the note's canonical JSON.
     ///
     /// ```
     /// let checked = note::Catalogue::default().check(br#"{"number": 1}"#).unwrap();
@@ -33,7 +33,7 @@
         self.0.digest()
     }
 
-    /// The note in canonical JSON.
+    /// Serializes the note as canonical JSON.
     ///
     /// ```
     /// let checked = note::Catalogue::default().check(br#"{"number": 1}"#).unwrap();
--- a/crates/note/src/digest.rs
+++ b/crates/note/src/digest.rs
@@ -5,15 +5,15 @@
 use sha2::{Digest as _, Sha256};
 use subtle::ConstantTimeEq;
 
-/// A SHA-256 digest; displayed and parsed as 64 hexadecimal digits.
+/// A SHA-256 digest, displayed and parsed as 64 hexadecimal digits.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Digest([u8; Digest::BYTES]);
 
 impl Digest {
-    /// Length of a digest in bytes.
+    /// The length of a digest in bytes.
     pub const BYTES: usize = 32;
 
-    /// The digest of some bytes.
+    /// Computes the digest of `bytes`.
     ///
     /// ```
     /// let digest = note::Digest::of(b"demo");
@@ -24,7 +24,7 @@
         Digest(Sha256::digest(bytes).into())
     }
 
-    /// Reads 64 hexadecimal digits; `None` when they are something else.
+    /// Parses 64 hexadecimal digits; returns `None` for any other text.
     ///
     /// ```
     /// let digest = note::Digest::of(b"demo");
@@ -44,7 +44,7 @@
         Some(Digest(bytes))
     }
 
-    /// The digest's bytes.
+    /// Returns the digest's bytes.
     ///
     /// ```
     /// assert_eq!(note::Digest::of(b"").as_bytes().len(), note::Digest::BYTES);
@@ -54,8 +54,8 @@
         &self.0
     }
 
-    /// Compares in a time that doesn't depend on where the two differ.
-    pub(crate) fn is_secretly(&self, other: &Digest) -> bool {
+    /// Compares two digests in constant time.
+    pub(crate) fn ct_eq(&self, other: &Digest) -> bool {
         self.0.ct_eq(&other.0).into()
     }
 }
--- a/crates/note/src/group.rs
+++ b/crates/note/src/group.rs
@@ -5,26 +5,27 @@
 
 use crate::{Weights, name};
 
-const MOST_RANKS: u32 = 1024;
-const MOST_LAYERS: u32 = 512;
-const MOST_EXPERTS: u32 = 4096;
+const MAX_RANKS: u32 = 1024;
+const MAX_LAYERS: u32 = 512;
+const MAX_EXPERTS: u32 = 4096;
 
-/// A group of ranks that run one model in lock-step on an expert map.
+/// A group of ranks that run one model in lock-step with a shared expert map.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Group {
     /// The group's name.
     pub name: String,
-    /// The model that it runs.
+    /// The name of the model that the group runs.
     pub model: String,
-    /// Number of ranks.
+    /// The number of ranks.
     pub ranks: u32,
-    /// Number of layers with experts.
+    /// The number of layers with experts.
     pub layers: u32,
-    /// Number of experts in each layer.
+    /// The number of experts in each layer.
     pub experts: u32,
-    /// Slots on each rank for copies of experts, beyond its even part.
+    /// Slots per rank and layer for additional expert replicas, beyond an even
+    /// distribution of the experts.
     pub spare_slots: u32,
-    /// Step-time skew against moves of experts.
+    /// Weights of step-time skew and expert moves.
     pub weights: Weights,
 }
 
@@ -32,10 +33,10 @@
     pub(crate) fn read(r: &mut Reader) -> Option<Self> {
         let name = name::read(r, "name");
         let model = name::read_model(r, "model");
-        let ranks = count(r, "ranks", MOST_RANKS);
-        let layers = count(r, "layers", MOST_LAYERS);
-        let experts = count(r, "experts", MOST_EXPERTS);
-        let spare_slots = r.within("spare_slots", 0, 0..=MOST_EXPERTS);
+        let ranks = read_count(r, "ranks", MAX_RANKS);
+        let layers = read_count(r, "layers", MAX_LAYERS);
+        let experts = read_count(r, "experts", MAX_EXPERTS);
+        let spare_slots = r.within("spare_slots", 0, 0..=MAX_EXPERTS);
         let weights = Weights::read(&mut r.section("weights"));
         Some(Group {
             name: name?,
@@ -62,11 +63,11 @@
     }
 }
 
-fn count(r: &mut Reader, key: &str, most: u32) -> Option<u32> {
+fn read_count(r: &mut Reader, key: &str, max: u32) -> Option<u32> {
     let count = r.required(key)?;
-    if (1..=most).contains(&count) {
+    if (1..=max).contains(&count) {
         return Some(count);
     }
-    r.finding(key, format!("must lie between 1 and {most}, is {count}"));
+    r.finding(key, format!("must lie between 1 and {max}, is {count}"));
     None
 }
--- a/crates/note/src/history.rs
+++ b/crates/note/src/history.rs
@@ -1,4 +1,4 @@
-//! The accepted notes and the catalogue they make.
+//! The accepted notes and the resulting catalogue.
 
 use std::collections::BTreeMap;
 
@@ -8,30 +8,31 @@
 
 use crate::{AcceptedNote, Catalogue, Digest, Note, Submission};
 
-/// Numbers whose sender and digest are remembered: ten days at 390 a day.
-const MOST_REMEMBERED: usize = 4_096;
+/// Maximum number of notes whose operator and digest are kept: ten days at 390
+/// notes per day.
+const MAX_RECORDS: usize = 4_096;
 
-/// Bytes of note content that are kept for nodes that catch up. A node that
-/// is further behind takes the whole catalogue.
-const MOST_KEPT_BYTES: usize = 8 << 20;
+/// Maximum total size of the note contents kept for nodes that catch up, in
+/// bytes. Nodes that are further behind fetch the whole catalogue.
+const MAX_CONTENT_BYTES: usize = 8 << 20;
 
-/// Longest name of an operator that is kept, in characters.
-const MOST_OPERATOR_CHARS: usize = 128;
+/// Maximum length of a stored operator name, in characters; longer names are truncated.
+const MAX_OPERATOR_CHARS: usize = 128;
 
-/// The accepted notes in order of number, and the catalogue they make.
+/// The accepted notes, ordered by number, and the resulting catalogue.
 ///
-/// Submitting is deterministic: replicas that take the same submissions in
-/// the same order are equal.
+/// Submission is deterministic: replicas that process the same submissions in
+/// the same order have equal histories.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct History {
     catalogue: Catalogue,
     accepted: BTreeMap<u64, AcceptedNote>,
     contents: BTreeMap<u64, Bytes>,
-    kept_bytes: usize,
+    content_bytes: usize,
 }
 
 impl History {
-    /// The catalogue in force.
+    /// Returns the current catalogue.
     ///
     /// ```
     /// assert_eq!(note::History::default().catalogue().number(), 0);
@@ -41,11 +42,11 @@
         &self.catalogue
     }
 
-    /// Takes a note, whole or not at all.
+    /// Validates and applies a note atomically.
     ///
-    /// The number decides between operators who race: the first in the log
-    /// holds it. A note sent again, because its answer was lost, gets the
-    /// first answer even when later notes were accepted since.
+    /// When operators submit different notes with the same number, the first one
+    /// in the log wins. A note that is resubmitted because its answer was lost
+    /// gets the original answer, even if later notes have been accepted since.
     ///
     /// ```
     /// use note::{History, Submission};
@@ -80,13 +81,13 @@
             Err(findings) => return Submission::Invalid(findings),
         };
         self.catalogue.apply(&checked);
-        let operator = operator.chars().take(MOST_OPERATOR_CHARS).collect();
+        let operator = operator.chars().take(MAX_OPERATOR_CHARS).collect();
         let accepted = AcceptedNote { digest, operator };
-        self.keep(number, accepted.clone(), checked.to_json());
+        self.record(number, accepted.clone(), checked.to_json());
         Submission::Accepted(accepted)
     }
 
-    /// What is remembered of the note of this number.
+    /// Returns the record of the note with this number, if it is still kept.
     ///
     /// ```
     /// let mut history = note::History::default();
@@ -98,7 +99,7 @@
         self.accepted.get(&number)
     }
 
-    /// The canonical JSON of the note of this number, while it is kept.
+    /// Returns the canonical JSON of the note with this number, if it is still kept.
     ///
     /// ```
     /// assert!(note::History::default().content(1).is_none());
@@ -108,8 +109,8 @@
         self.contents.get(&number)
     }
 
-    /// The notes after a number, in order; `None` when they are no longer all
-    /// kept, and the whole catalogue must be sent instead.
+    /// Returns the notes after a number, in order. Returns `None` if some of them
+    /// are no longer kept; the whole catalogue must be sent instead.
     ///
     /// ```
     /// let mut history = note::History::default();
@@ -119,13 +120,13 @@
     /// ```
     #[must_use]
     pub fn notes_after(&self, number: u64) -> Option<Vec<Bytes>> {
-        let wanted = self.catalogue.number().saturating_sub(number);
+        let expected = self.catalogue.number().saturating_sub(number);
         let notes = self.contents.range(number.saturating_add(1)..);
         let notes: Vec<Bytes> = notes.map(|(_, json)| json.clone()).collect();
-        (u64::try_from(notes.len()) == Ok(wanted)).then_some(notes)
+        (u64::try_from(notes.len()) == Ok(expected)).then_some(notes)
     }
 
-    /// The whole history in canonical JSON, for a replica's snapshot.
+    /// Serializes the history as canonical JSON, for a replica's snapshot.
     ///
     /// ```
     /// let mut history = note::History::default();
@@ -136,7 +137,7 @@
     #[must_use]
     pub fn to_json(&self) -> Vec<u8> {
         let notes = self.accepted.iter().map(|(number, accepted)| {
-            let content = self.contents.get(number).map(|json| text(json));
+            let content = self.contents.get(number).map(|json| utf8(json));
             let operator = Some(&accepted.operator).filter(|name| !name.is_empty());
             json!({
                 "number": number,
@@ -146,17 +147,18 @@
             })
         });
         let notes: Vec<Value> = notes.collect();
-        let catalogue = text(&self.catalogue.to_json());
+        let catalogue = utf8(&self.catalogue.to_json());
         json!({"catalogue": catalogue, "notes": notes})
             .to_string()
             .into_bytes()
     }
 
-    /// Reads a history that [`History::to_json`] wrote.
+    /// Parses a history written by [`History::to_json`].
     ///
     /// # Errors
     ///
-    /// All findings of the history's shape, or those of its catalogue.
+    /// Returns all findings about the structure of the history, or those about its
+    /// catalogue.
     ///
     /// ```
     /// assert!(note::History::from_json(b"{}").is_err());
@@ -177,7 +179,7 @@
             if let (Some(number), Some(digest)) = (number, digest) {
                 let accepted = AcceptedNote { digest, operator };
                 history.accepted.insert(number, accepted);
-                history.keep_content(number, content);
+                history.insert_content(number, content);
             }
         }
         r.finish()?;
@@ -186,32 +188,32 @@
         Ok(history)
     }
 
-    fn keep_content(&mut self, number: u64, content: Option<String>) {
+    fn insert_content(&mut self, number: u64, content: Option<String>) {
         if let Some(content) = content {
-            self.kept_bytes += content.len();
+            self.content_bytes += content.len();
             self.contents.insert(number, Bytes::from(content));
         }
     }
 
-    fn keep(&mut self, number: u64, accepted: AcceptedNote, json: Bytes) {
+    fn record(&mut self, number: u64, accepted: AcceptedNote, json: Bytes) {
         self.accepted.insert(number, accepted);
-        self.kept_bytes += json.len();
+        self.content_bytes += json.len();
         self.contents.insert(number, json);
-        while self.accepted.len() > MOST_REMEMBERED {
+        while self.accepted.len() > MAX_RECORDS {
             self.accepted.pop_first();
         }
-        // Contents outlive neither their record nor the bound on bytes.
-        let first = self.accepted.keys().next().copied().unwrap_or(number);
+        // Drop contents whose record is gone, and the oldest ones beyond the size limit.
+        let oldest = self.accepted.keys().next().copied().unwrap_or(number);
         while let Some(entry) = self.contents.first_entry() {
-            if *entry.key() >= first && self.kept_bytes <= MOST_KEPT_BYTES {
+            if *entry.key() >= oldest && self.content_bytes <= MAX_CONTENT_BYTES {
                 break;
             }
-            self.kept_bytes -= entry.remove().len();
+            self.content_bytes -= entry.remove().len();
         }
     }
 }
 
-/// Canonical JSON is UTF-8 by construction.
-fn text(json: &[u8]) -> String {
+/// Converts canonical JSON, which is always valid UTF-8, to a string.
+fn utf8(json: &[u8]) -> String {
     String::from_utf8_lossy(json).into_owned()
 }
--- a/crates/note/src/item.rs
+++ b/crates/note/src/item.rs
@@ -1,11 +1,11 @@
-//! One thing on offer, of whichever kind.
+//! An item of the catalogue, of any kind.
 
 use cfg::Reader;
 use serde_json::Value;
 
 use crate::{Account, Assignment, Group, Kind, Model, Service, Target};
 
-/// One thing on offer.
+/// An item of the catalogue.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Item {
     /// A client account.
@@ -21,7 +21,7 @@
 }
 
 impl Item {
-    /// The item's kind.
+    /// Returns the item's kind.
     ///
     /// ```
     /// let model = note::Model { name: "m".into(), versions: vec![], adapters: vec![] };
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The item's name, unique among its kind.
+    /// Returns the item's name, which is unique within its kind.
     ///
     /// ```
     /// let model = note::Model { name: "m".into(), versions: vec![], adapters: vec![] };
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The kind and name of what this item refers to.
+    /// Returns the kind and name of the item that this one refers to, if any.
     pub(crate) fn reference(&self) -> Option<(Kind, &str)> {
         match self {
             Item::Group(group) => Some((Kind::Model, &group.model)),
--- a/crates/note/src/kind.rs
+++ b/crates/note/src/kind.rs
@@ -1,8 +1,8 @@
-//! The kinds of things a note can offer.
+//! The kinds of catalogue items.
 
 use std::fmt;
 
-/// The kind of an item.
+/// The kind of a catalogue item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
     /// A client account.
@@ -18,7 +18,7 @@
 }
 
 impl Kind {
-    /// All kinds, in the order of their names.
+    /// All kinds, ordered by name.
     pub const ALL: [Kind; 5] = [
         Kind::Account,
         Kind::Group,
@@ -27,7 +27,7 @@
         Kind::Target,
     ];
 
-    /// The word for the kind in a note.
+    /// Returns the name of the kind as written in notes.
     ///
     /// ```
     /// assert_eq!(note::Kind::Group.as_str(), "group");
@@ -43,30 +43,30 @@
         }
     }
 
-    /// The kind that a word stands for.
+    /// Returns the kind with this name.
     ///
     /// ```
     /// assert_eq!(note::Kind::from_name("group"), Some(note::Kind::Group));
     /// assert_eq!(note::Kind::from_name("zone"), None);
     /// ```
     #[must_use]
-    pub fn from_name(word: &str) -> Option<Kind> {
-        Kind::ALL.into_iter().find(|kind| kind.as_str() == word)
+    pub fn from_name(name: &str) -> Option<Kind> {
+        Kind::ALL.into_iter().find(|kind| kind.as_str() == name)
     }
 
-    /// Reads the `kind` of an object of the note. An unknown one is a finding,
-    /// and the only one of its object.
+    /// Reads the `kind` of an item in a note. An unknown kind is the only finding
+    /// reported for its item, since the other keys can't be interpreted.
     pub(crate) fn read(r: &mut cfg::Reader) -> Option<Kind> {
-        let word: Option<String> = r.required("kind");
-        let kind = word.as_deref().and_then(Kind::from_name);
+        let name: Option<String> = r.required("kind");
+        let kind = name.as_deref().and_then(Kind::from_name);
         if kind.is_some() {
             return kind;
         }
-        if let Some(word) = word {
+        if let Some(name) = name {
             let known = Kind::ALL.map(Kind::as_str);
-            let message = match cfg::nearest(&word, known) {
-                Some(near) => format!("unknown kind {word:?}, did you mean {near:?}?"),
-                None => format!("unknown kind {word:?}, known are {}", known.join(", ")),
+            let message = match cfg::nearest(&name, known) {
+                Some(near) => format!("unknown kind {name:?}, did you mean {near:?}?"),
+                None => format!("unknown kind {name:?}, known are {}", known.join(", ")),
             };
             r.finding("kind", message);
         }
--- a/crates/note/src/lib.rs
+++ b/crates/note/src/lib.rs
@@ -1,10 +1,10 @@
-//! Release notes and the catalogue they make.
+//! Release notes and the catalogue that results from them.
 //!
-//! A release note lists what is added, changed and withdrawn. A note is first
-//! checked whole against the [`Catalogue`] in force, with all findings at
-//! once, and then applied whole or not at all. [`History`] numbers the notes
-//! and settles what a resent or competing note means; every replica that takes
-//! the same submissions in the same order holds the same history.
+//! A release note lists the items that it adds, changes and withdraws. A note is
+//! first validated against the current [`Catalogue`], reporting all findings at
+//! once, and then applied atomically. [`History`] accepts notes in order of their
+//! number and resolves resubmitted and conflicting ones; replicas that process the
+//! same submissions in the same order hold equal histories.
 //!
 //! ```
 //! let json = br#"{"number": 1, "added": [
--- a/crates/note/src/model.rs
+++ b/crates/note/src/model.rs
@@ -5,22 +5,22 @@
 
 use crate::name;
 
-/// A model on offer, with its versions and adapters.
+/// A model with its versions and adapters.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Model {
-    /// The name that callers give as `model`.
+    /// The name that callers pass as `model`.
     pub name: String,
-    /// Versions on offer; empty means whichever the targets announce.
+    /// Available versions; if empty, any version that targets announce.
     pub versions: Vec<String>,
-    /// Adapters on offer.
+    /// Available adapters.
     pub adapters: Vec<String>,
 }
 
 impl Model {
     pub(crate) fn read(r: &mut Reader) -> Option<Self> {
         let name = name::read_model(r, "name");
-        let versions = name::read_models(r, "versions");
-        let adapters = name::read_models(r, "adapters");
+        let versions = name::read_model_list(r, "versions");
+        let adapters = name::read_model_list(r, "adapters");
         Some(Model {
             name: name?,
             versions,
--- a/crates/note/src/note.rs
+++ b/crates/note/src/note.rs
@@ -1,4 +1,4 @@
-//! A release note, read but not yet checked against a catalogue.
+//! A release note, parsed but not yet validated against a catalogue.
 
 use std::collections::BTreeMap;
 
@@ -8,12 +8,12 @@
 
 use crate::{Digest, Item, Kind, Withdrawal, check};
 
-/// Largest note, in bytes. It must pass through the replicated log and to all
-/// nodes in one piece.
-const MOST_BYTES: usize = 1 << 20;
+/// Maximum size of a note, in bytes. A note is sent in a single message through
+/// the replicated log and to every node.
+const MAX_NOTE_BYTES: usize = 1 << 20;
 
-/// A release note whose shape is right. Whether it fits what is in force is
-/// for [`Catalogue::check`](crate::Catalogue::check) to say.
+/// A well-formed release note. [`Catalogue::check_note`](crate::Catalogue::check_note)
+/// validates it against a catalogue.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Note {
     pub(crate) number: u64,
@@ -23,12 +23,12 @@
 }
 
 impl Note {
-    /// Reads a note.
+    /// Parses a note.
     ///
     /// # Errors
     ///
-    /// All findings about the note's shape at once: malformed JSON, unknown
-    /// or missing keys, values out of range, one thing named twice.
+    /// Returns all findings about the note's structure at once: malformed JSON,
+    /// unknown or missing keys, values out of range, and items listed twice.
     ///
     /// ```
     /// let findings = note::Note::from_slice(br#"{"numbr": 1}"#).unwrap_err();
@@ -42,10 +42,10 @@
         let added = read_list(&mut r, "added", Item::read);
         let changed = read_list(&mut r, "changed", Item::read);
         let withdrawn = read_list(&mut r, "withdrawn", Withdrawal::read);
-        find_repeats(&mut r, &added, &changed, &withdrawn);
+        find_duplicates(&mut r, &added, &changed, &withdrawn);
         r.finish()
-            .map_err(|findings| check::bounded(findings.into_vec()))?;
-        // Without findings every item was read.
+            .map_err(|findings| check::truncate(findings.into_vec()))?;
+        // Without findings, every item was parsed.
         let number = number.unwrap_or_default();
         let note = Note {
             number,
@@ -53,13 +53,13 @@
             changed: changed.into_iter().flatten().collect(),
             withdrawn: withdrawn.into_iter().flatten().collect(),
         };
-        // With its defaults filled in the note is longer, and that is the
-        // form which nodes must take in again.
+        // The canonical form includes defaults and can be larger. Nodes parse
+        // that form, so it must respect the limit too.
         check_size(note.to_json().len())?;
         Ok(note)
     }
 
-    /// The note's number.
+    /// Returns the note's number.
     ///
     /// ```
     /// assert_eq!(note::Note::from_slice(br#"{"number": 3}"#).unwrap().number(), 3);
@@ -69,8 +69,8 @@
         self.number
     }
 
-    /// The note in canonical JSON: defaults filled in, items in order of kind
-    /// and name, no white space. Two notes that say the same have equal bytes.
+    /// Serializes the note as canonical JSON: with defaults, items ordered by kind
+    /// and name, without white space. Equivalent notes have equal bytes.
     ///
     /// ```
     /// let a = note::Note::from_slice(br#"{"number": 1, "added": []}"#).unwrap();
@@ -91,8 +91,8 @@
         Bytes::from(value.to_string())
     }
 
-    /// Digest of the canonical JSON: tells a note sent again from another one
-    /// that carries the same number.
+    /// Returns the digest of the canonical JSON, which distinguishes a resubmitted
+    /// note from a different one with the same number.
     ///
     /// ```
     /// let a = note::Note::from_slice(br#"{"number": 1}"#).unwrap();
@@ -106,15 +106,15 @@
 }
 
 fn check_size(len: usize) -> Result<(), Vec<Finding>> {
-    if len <= MOST_BYTES {
+    if len <= MAX_NOTE_BYTES {
         return Ok(());
     }
-    let message = format!("{len} bytes are more than the {MOST_BYTES} that a note may have");
+    let message = format!("{len} bytes are more than the {MAX_NOTE_BYTES} that a note may have");
     Err(vec![Finding::new("", message)])
 }
 
-/// One slot for each object of the list, empty where it could not be read, so
-/// that the positions stay those of the document.
+/// Reads a list of items. Invalid items yield `None`, so that the indices match
+/// those of the document.
 fn read_list<T>(r: &mut Reader, key: &str, read: fn(&mut Reader) -> Option<T>) -> Vec<Option<T>> {
     r.sections(key)
         .into_iter()
@@ -128,37 +128,37 @@
     items.into_iter().map(Item::to_value).collect()
 }
 
-/// One thing named twice in a note would make its outcome depend on the order
-/// of the lists, and an operator would see one of the two silently lost.
-fn find_repeats(
+/// Reports items that are listed more than once. Otherwise the result would depend
+/// on the order of the lists, and one of the entries would be silently lost.
+fn find_duplicates(
     r: &mut Reader,
     added: &[Option<Item>],
     changed: &[Option<Item>],
     withdrawn: &[Option<Withdrawal>],
 ) {
-    let mut named = Vec::new();
+    let mut listed = Vec::new();
     for (key, items) in [("added", added), ("changed", changed)] {
         for (position, item) in items.iter().enumerate() {
             if let Some(item) = item {
-                named.push((format!("{key}[{position}]"), item.kind(), item.name()));
+                listed.push((format!("{key}[{position}]"), item.kind(), item.name()));
             }
         }
     }
     for (position, withdrawal) in withdrawn.iter().enumerate() {
         if let Some(withdrawal) = withdrawal {
             let place = format!("withdrawn[{position}]");
-            named.push((place, withdrawal.kind, &withdrawal.name));
+            listed.push((place, withdrawal.kind, &withdrawal.name));
         }
     }
-    let mut first: BTreeMap<(Kind, &str), String> = BTreeMap::new();
-    for (place, kind, name) in named {
-        if let Some(earlier) = first.get(&(kind, name)) {
+    let mut places: BTreeMap<(Kind, &str), String> = BTreeMap::new();
+    for (place, kind, name) in listed {
+        if let Some(earlier) = places.get(&(kind, name)) {
             r.finding(
                 &place,
                 format!("{kind} {name:?} stands already at {earlier}"),
             );
         } else {
-            first.insert((kind, name), place);
+            places.insert((kind, name), place);
         }
     }
 }
--- a/crates/note/src/service.rs
+++ b/crates/note/src/service.rs
@@ -8,30 +8,30 @@
 use crate::name;
 
 /// Methods of RFC 9110, section 9.3, and PATCH of RFC 5789. CONNECT and TRACE
-/// aren't passed on.
+/// are not proxied.
 const METHODS: [&str; 7] = ["DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT"];
 
-/// Methods that RFC 9110, section 9.2.1, calls safe.
+/// The safe methods of RFC 9110, section 9.2.1.
 const SAFE_METHODS: [&str; 3] = ["GET", "HEAD", "OPTIONS"];
 
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
-const LEAST_TIMEOUT: Duration = Duration::from_millis(1);
-const MOST_TIMEOUT: Duration = Duration::from_mins(10);
+const MIN_TIMEOUT: Duration = Duration::from_millis(1);
+const MAX_TIMEOUT: Duration = Duration::from_mins(10);
 
-/// A plain service beside the model engines.
+/// A plain HTTP service, as opposed to a model engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// The name in the path, `/s/{name}/`.
+    /// The service's name, as in the path `/s/{name}/`.
     pub name: String,
-    /// Methods whose calls are idempotent and may be repeated.
+    /// Methods whose calls are idempotent and may be retried.
     pub repeatable: Vec<String>,
-    /// How long one call may take.
+    /// Maximum duration of a call.
     pub timeout: Duration,
 }
 
 impl Service {
-    /// Whether calls of this method may be repeated. All others run at most
-    /// once and need an idempotency key.
+    /// Returns whether calls with this method may be retried. All other calls run
+    /// at most once and need an idempotency key.
     ///
     /// ```
     /// let json = br#"{"number": 1, "added": [{"kind": "service", "name": "order-desk"}]}"#;
@@ -49,7 +49,7 @@
     pub(crate) fn read(r: &mut Reader) -> Option<Self> {
         let name = name::read(r, "name");
         let repeatable = read_methods(r);
-        let timeout = r.within("timeout_ms", DEFAULT_TIMEOUT, LEAST_TIMEOUT..=MOST_TIMEOUT);
+        let timeout = r.within("timeout_ms", DEFAULT_TIMEOUT, MIN_TIMEOUT..=MAX_TIMEOUT);
         Some(Service {
             name: name?,
             repeatable,
--- a/crates/note/src/submission.rs
+++ b/crates/note/src/submission.rs
@@ -1,21 +1,20 @@
-//! What became of a submitted note.
+//! Result of submitting a note.
 
 use cfg::Finding;
 
 use crate::AcceptedNote;
 
-/// What became of a submitted note.
+/// The result of submitting a note.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Submission {
-    /// It is accepted now.
+    /// The note was accepted by this submission.
     Accepted(AcceptedNote),
-    /// The same note was accepted before: the first answer again.
+    /// The same note was accepted before; contains the original answer.
     Repeated(AcceptedNote),
-    /// Another note holds its number; `None` when that was too long ago to be
-    /// remembered.
+    /// A different note has this number; `None` if its record is no longer kept.
     Conflict(Option<AcceptedNote>),
-    /// Its number isn't the next one, which is given here.
+    /// The number isn't the next one; contains the next number.
     Gap(u64),
-    /// It doesn't fit; nothing of it is applied.
+    /// The note is invalid; nothing was applied.
     Invalid(Vec<Finding>),
 }
--- a/crates/note/src/target.rs
+++ b/crates/note/src/target.rs
@@ -5,18 +5,18 @@
 
 use crate::{Assignment, name};
 
-/// A target on offer. It takes work only while its agent announces it for the
-/// same group or service.
+/// A configured target. It receives requests only while its agent announces it
+/// for the same group or service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
-    /// The target's name, which its agent announces.
+    /// The target's name, as announced by its agent.
     pub name: String,
-    /// What it is offered for.
+    /// The group or service that the target is assigned to.
     pub assignment: Assignment,
 }
 
 impl Target {
-    /// The model group that it belongs to, if any.
+    /// Returns the model group that the target belongs to, if any.
     ///
     /// ```
     /// let target = note::Target {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The plain service that it serves, if any.
+    /// Returns the plain service that the target serves, if any.
     ///
     /// ```
     /// let target = note::Target {
--- a/crates/note/src/weights.rs
+++ b/crates/note/src/weights.rs
@@ -1,18 +1,18 @@
-//! How much step-time skew and moves of experts weigh.
+//! Weights of step-time skew and expert moves.
 
 use cfg::Reader;
 use serde_json::{Value, json};
 
-/// Largest weight that makes sense.
-const MOST: f64 = 1_000_000.0;
+/// Maximum value of a weight.
+const MAX_WEIGHT: f64 = 1_000_000.0;
 
-/// Weights of step-time skew against moves of experts, without a unit; only
-/// their ratio counts.
+/// Weights of step-time skew and expert moves in planning an expert map. They have
+/// no unit; only their ratio matters.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Weights {
-    /// Weight of step time saved.
+    /// Weight of the step time saved.
     pub skew: f64,
-    /// Weight of what moving experts costs.
+    /// Weight of the cost of moving experts.
     pub moves: f64,
 }
 
@@ -28,8 +28,8 @@
 impl Weights {
     pub(crate) fn read(r: &mut Reader) -> Self {
         let default = Weights::default();
-        let skew = r.within("skew", default.skew, 0.0..=MOST);
-        let moves = r.within("moves", default.moves, 0.0..=MOST);
+        let skew = r.within("skew", default.skew, 0.0..=MAX_WEIGHT);
+        let moves = r.within("moves", default.moves, 0.0..=MAX_WEIGHT);
         if skew == 0.0 && moves == 0.0 {
             r.finding("skew", "one of skew and moves must be above 0");
         }
--- a/crates/note/src/withdrawal.rs
+++ b/crates/note/src/withdrawal.rs
@@ -1,16 +1,16 @@
-//! What a note takes off the offer.
+//! Withdrawal of a catalogue item.
 
 use cfg::Reader;
 use serde_json::{Value, json};
 
 use crate::{Kind, name};
 
-/// Kind and name of something that is no longer on offer.
+/// The kind and name of an item to remove from the catalogue.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Withdrawal {
-    /// The kind of what is withdrawn.
+    /// The kind of the item.
     pub kind: Kind,
-    /// Its name.
+    /// The name of the item.
     pub name: String,
 }
 
