--- a/crates/note/tests/check.rs
+++ b/crates/note/tests/check.rs
@@ -1,9 +1,9 @@
-//! What a note is refused for, and where the findings point.
+//! Reasons for rejecting a note, and the places that the findings point to.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use note::{Catalogue, Finding};
 
-const FIRST: &str = r#"{"number": 1, "added": [
+const FIRST_NOTE: &str = r#"{"number": 1, "added": [
     {"kind": "group", "name": "blank-advisor", "model": "burl-notes", "ranks": 16, "layers": 4,
      "experts": 128, "spare_slots": 1, "weights": {"skew": 1.0, "moves": 4.0}},
     {"kind": "model", "name": "burl-notes", "versions": ["2026-11"], "adapters": ["spalted"]},
@@ -13,23 +13,23 @@
     {"kind": "target", "name": "advisor-01", "group": "blank-advisor"},
     {"kind": "target", "name": "desk-01", "service": "order-desk"}]}"#;
 
-fn first() -> Catalogue {
+fn catalogue_with_first_note() -> Catalogue {
     let mut catalogue = Catalogue::default();
-    let checked = catalogue.check(FIRST.as_bytes()).unwrap();
+    let checked = catalogue.check(FIRST_NOTE.as_bytes()).unwrap();
     catalogue.apply(&checked);
     catalogue
 }
 
 fn findings(json: &str) -> Vec<String> {
-    match first().check(json.as_bytes()) {
+    match catalogue_with_first_note().check(json.as_bytes()) {
         Ok(_) => Vec::new(),
         Err(findings) => findings.iter().map(Finding::to_string).collect(),
     }
 }
 
 #[test]
-fn check_lookups() {
-    let catalogue = first();
+fn catalogue_lookups() {
+    let catalogue = catalogue_with_first_note();
     assert_eq!(catalogue.number(), 1);
     assert_eq!(
         catalogue.account_by_key(b"demo").unwrap().name,
@@ -50,9 +50,9 @@
 }
 
 #[test]
-fn check_several_shapes() {
-    // An operator's note has several slips of shape. Shown one at a time, each
-    // attempt to send it would show only the next.
+fn check_reports_all_structural_findings() {
+    // Reporting only the first of several structural errors would force the
+    // operator to resubmit the note once per error.
     let json = r#"{"number": 2, "addd": [], "changed": [
         {"kind": "grup", "name": "x", "ranks": 1},
         {"kind": "group", "name": "a/b", "model": "m", "ranks": 0, "layers": 1, "expert": 8},
@@ -81,9 +81,9 @@
 }
 
 #[test]
-fn check_several_references() {
-    // Each item is well formed but the note doesn't fit what is on offer. If
-    // it were taken, targets would stand for a group that nobody defined.
+fn check_reports_all_reference_findings() {
+    // Every item is well formed, but the references don't match the catalogue. An
+    // accepted note would leave targets in a group that does not exist.
     let json = r#"{"number": 3, "added": [
         {"kind": "target", "name": "desk-01", "service": "order-dsk"},
         {"kind": "account", "name": "doppelt",
@@ -107,10 +107,10 @@
 }
 
 #[test]
-fn check_withdraw_together() {
+fn check_withdraws_item_with_its_referrers() {
     let json = r#"{"number": 2, "withdrawn": [{"kind": "model", "name": "burl-notes"},
         {"kind": "group", "name": "blank-advisor"}, {"kind": "target", "name": "advisor-01"}]}"#;
-    let mut catalogue = first();
+    let mut catalogue = catalogue_with_first_note();
     let checked = catalogue.check(json.as_bytes()).unwrap();
     catalogue.apply(&checked);
     assert_eq!(catalogue.targets().count(), 1);
@@ -118,9 +118,9 @@
 }
 
 #[test]
-fn check_accounts_swap_keys() {
-    // Two accounts were given each other's key by mistake and one note swaps
-    // them. Applied one item at a time, the second would delete the first's.
+fn apply_swaps_account_keys() {
+    // One note swaps the keys of two accounts. If the items were applied one at a
+    // time, the second change would delete the key of the first account.
     let other = note::Digest::of(b"other");
     let demo = note::Digest::of(b"demo");
     let account = |name: &str, key| {
@@ -147,9 +147,9 @@
 }
 
 #[test]
-fn check_canonical_too_large() {
-    // A note of minimal items passes the size limit as sent, but grows with its
-    // defaults filled in. Nodes would then refuse what was accepted.
+fn check_rejects_oversized_canonical_form() {
+    // A note of minimal items is within the size limit as sent, but its canonical
+    // form with defaults is not. Nodes would reject a note that was accepted.
     let items: Vec<String> = (0..9_000)
         .map(|n| {
             format!(
@@ -164,18 +164,18 @@
         .check(json.as_bytes())
         .err()
         .unwrap_or_default();
-    assert_eq!(findings.len(), 1, "the note is refused for its size alone");
+    assert_eq!(findings.len(), 1, "the size is the only finding");
     assert!(findings[0].message.contains("more than the 1048576"));
 }
 
 #[test]
-fn check_many_findings() {
-    // A generated note names thousands of unknown things. The report must stay
-    // small enough to send and cost little to make.
-    let gone: Vec<String> = (0..20_000)
+fn check_truncates_long_reports() {
+    // A generated note refers to thousands of unknown items. The report must stay
+    // small enough to send and cheap to compute.
+    let withdrawn: Vec<String> = (0..20_000)
         .map(|n| format!(r#"{{"kind":"model","name":"m{n}"}}"#))
         .collect();
-    let json = format!(r#"{{"number":2,"withdrawn":[{}]}}"#, gone.join(","));
+    let json = format!(r#"{{"number":2,"withdrawn":[{}]}}"#, withdrawn.join(","));
     let findings = findings(&json);
     assert_eq!(findings.len(), 501);
     assert_eq!(findings[500], "19500 further findings");
--- a/crates/note/tests/history.rs
+++ b/crates/note/tests/history.rs
@@ -1,9 +1,9 @@
-//! Notes under random submissions: whole or nothing, equal replicas, late and
-//! doubled deliveries, arbitrary bytes.
+//! Histories under random submissions: atomicity, equality of replicas, late and
+//! duplicate deliveries, arbitrary bytes.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 #![allow(
     clippy::needless_pass_by_value,
-    reason = "quickcheck gives its arguments by value"
+    reason = "quickcheck passes its arguments by value"
 )]
 
 use std::collections::BTreeMap;
@@ -12,14 +12,15 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use serde_json::{Map, Value, json};
 
-const SCHEDULES: u64 = 2_000;
+const CASES: u64 = 2_000;
 const KINDS: [&str; 5] = ["account", "group", "model", "service", "target"];
 
 fn pick<'a>(g: &mut Gen, from: &[&'a str]) -> &'a str {
     g.choose(from).unwrap()
 }
 
-/// An item over few names, so that notes often fit and often don't.
+/// Generates an item from a small set of names, so that both valid and invalid notes
+/// are frequent.
 fn item(g: &mut Gen) -> Value {
     let name = pick(g, &["a", "b", "c"]);
     let other = pick(g, &["a", "b", "c"]);
@@ -43,21 +44,21 @@
     }
 }
 
-fn few(g: &mut Gen, make: fn(&mut Gen) -> Value) -> Vec<Value> {
+fn short_list(g: &mut Gen, make: fn(&mut Gen) -> Value) -> Vec<Value> {
     let len = u8::arbitrary(g) % 3;
     (0..len).map(|_| make(g)).collect()
 }
 
-/// A note sent by an operator; `ahead` is added to the next number.
+/// A note submitted by an operator. `ahead` is added to the next number.
 #[derive(Debug, Clone)]
-struct Sent {
+struct SubmittedNote {
     ahead: i8,
     added: Vec<Value>,
     changed: Vec<Value>,
     withdrawn: Vec<Value>,
 }
 
-impl Sent {
+impl SubmittedNote {
     fn json(&self, next: u64) -> Value {
         let number = next.saturating_add_signed(self.ahead.into());
         json!({"number": number, "added": self.added, "changed": self.changed,
@@ -65,105 +66,106 @@
     }
 }
 
-impl Arbitrary for Sent {
+impl Arbitrary for SubmittedNote {
     fn arbitrary(g: &mut Gen) -> Self {
         let ahead = *g.choose(&[0, 0, 0, 0, 0, 0, -1, 1]).unwrap();
         let withdraw = |g: &mut Gen| json!({"kind": pick(g, &KINDS), "name": pick(g, &["a", "b"])});
-        Sent {
+        SubmittedNote {
             ahead,
-            added: few(g, item),
-            changed: few(g, item),
-            withdrawn: few(g, withdraw),
+            added: short_list(g, item),
+            changed: short_list(g, item),
+            withdrawn: short_list(g, withdraw),
         }
     }
 }
 
-type Offer = BTreeMap<(String, String), Value>;
+type Items = BTreeMap<(String, String), Value>;
 
 fn key(item: &Value) -> (String, String) {
     let text = |key: &str| item[key].as_str().unwrap().to_owned();
     (text("kind"), text("name"))
 }
 
-/// What an accepted note makes of an offer, in the plainest way.
-fn apply(offer: &mut Offer, note: &Value) {
-    for gone in note["withdrawn"].as_array().unwrap() {
-        offer.remove(&key(gone));
+/// Reference implementation: applies an accepted note to the expected items.
+fn apply(items: &mut Items, note: &Value) {
+    for withdrawal in note["withdrawn"].as_array().unwrap() {
+        items.remove(&key(withdrawal));
     }
     for list in ["changed", "added"] {
         for item in note[list].as_array().unwrap() {
-            offer.insert(key(item), item.clone());
+            items.insert(key(item), item.clone());
         }
     }
 }
 
-/// Whether the catalogue holds these items, and no others.
-fn holds(catalogue: &Catalogue, offer: &Offer) -> bool {
+/// Returns whether the catalogue contains exactly these items.
+fn contains_exactly(catalogue: &Catalogue, items: &Items) -> bool {
     let catalogue: Value = serde_json::from_slice(&catalogue.to_json()).unwrap();
     let held = catalogue["items"].as_array().unwrap();
-    held.len() == offer.len()
+    held.len() == items.len()
         && held.iter().all(|item| {
-            let sent = offer.get(&key(item));
+            let sent = items.get(&key(item));
             let sent = sent.and_then(Value::as_object);
-            // The catalogue holds defaults besides what was sent.
+            // The catalogue also contains defaults that were not sent.
             sent.is_some_and(|sent| sent.iter().all(|(key, value)| &item[key] == value))
         })
 }
 
-fn run_seeded(property: fn(Vec<Sent>) -> bool) {
+fn run_seeded(property: fn(Vec<SubmittedNote>) -> bool) {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(40, 31))
-        .tests(SCHEDULES)
+        .tests(CASES)
         .quickcheck(property);
 }
 
 #[test]
-fn submit_whole_or_nothing() {
-    // Operators send notes of which many don't fit. Were one applied in part,
-    // targets would be offered for a group that was refused with it.
-    fn property(sent: Vec<Sent>) -> bool {
+fn submit_is_atomic() {
+    // If an invalid note were applied in part, targets could be assigned to a group
+    // that was rejected with the same note.
+    fn property(sent: Vec<SubmittedNote>) -> bool {
         let mut history = History::default();
-        let mut offer = Offer::new();
+        let mut items = Items::new();
         sent.iter().all(|sent| {
             let before = history.clone();
             let note = sent.json(before.catalogue().number() + 1);
             let submission = history.submit(note.to_string().as_bytes(), "anna");
             if matches!(submission, Submission::Accepted(_)) {
-                apply(&mut offer, &note);
+                apply(&mut items, &note);
             } else if history != before {
                 return false;
             }
-            // Reading the snapshot checks every reference again.
+            // Parsing the snapshot validates every reference again.
             let read = Catalogue::from_json(&history.catalogue().to_json());
-            holds(history.catalogue(), &offer) && read.as_ref() == Ok(history.catalogue())
+            contains_exactly(history.catalogue(), &items)
+                && read.as_ref() == Ok(history.catalogue())
         })
     }
     run_seeded(property);
 }
 
 #[test]
-fn submit_equal_replicas() {
-    // One replica takes every submission, another is restored from a snapshot
-    // after each of them. Were they to differ, a change of leader would turn an
-    // accepted note back.
-    fn property(sent: Vec<Sent>) -> bool {
-        let (mut steady, mut restored) = (History::default(), History::default());
+fn submit_is_deterministic_across_restore() {
+    // One replica processes every submission, the other is restored from a snapshot
+    // after each. If their histories differed, a leader change could revert an
+    // accepted note.
+    fn property(sent: Vec<SubmittedNote>) -> bool {
+        let (mut continuous, mut restored) = (History::default(), History::default());
         sent.iter().all(|sent| {
-            let json = sent.json(steady.catalogue().number() + 1).to_string();
-            let here = steady.submit(json.as_bytes(), "anna");
+            let json = sent.json(continuous.catalogue().number() + 1).to_string();
+            let here = continuous.submit(json.as_bytes(), "anna");
             let there = restored.submit(json.as_bytes(), "anna");
             restored = History::from_json(&restored.to_json()).unwrap();
-            here == there && steady == restored && steady.to_json() == restored.to_json()
+            here == there && continuous == restored && continuous.to_json() == restored.to_json()
         })
     }
     run_seeded(property);
 }
 
 #[test]
-fn apply_late_and_doubled() {
-    // A node fetches notes over several links, so that each of them arrives
-    // again and late. It must reach the same catalogue and never go back.
-    fn property(sent: Vec<Sent>) -> bool {
+fn apply_ignores_late_and_duplicate_notes() {
+    // A node fetches notes over several links, so notes can arrive late and more
+    // than once. The node must reach the same catalogue and never revert.
+    fn property(sent: Vec<SubmittedNote>) -> bool {
         let mut history = History::default();
         let mut node = Catalogue::default();
         let mut delivered = Vec::new();
@@ -188,14 +190,14 @@
 }
 
 #[test]
-fn submit_again_first_answer() {
-    // An operator lost the answer and sends the note again, with other white
-    // space and after a colleague's later note. Told of a conflict, she would
-    // send the change a second time under another number.
+fn resubmit_returns_original_answer() {
+    // The answer to a note was lost. The operator resubmits it with different white
+    // space, after another operator's note was accepted. If a conflict were
+    // reported, the operator would submit the same change under another number.
     let mut history = History::default();
     let first = r#"{"number": 1, "added": [{"kind": "model", "name": "m"}]}"#;
     let Submission::Accepted(accepted) = history.submit(first.as_bytes(), "anna") else {
-        panic!("the first note fits");
+        panic!("the first note must be accepted");
     };
     history.submit(br#"{"number": 2}"#, "boris");
     let again = first.replace(' ', "\n ");
@@ -206,9 +208,9 @@
 }
 
 #[test]
-fn after_far_behind() {
-    // A node was down while many large notes were accepted. What is kept for it
-    // must stay bounded; it is told to take the whole catalogue instead.
+fn notes_after_is_bounded() {
+    // A node is down while many large notes are accepted. The size of the kept
+    // notes must stay bounded; the node has to fetch the whole catalogue instead.
     let mut history = History::default();
     for number in 1..=30 {
         let list = if number == 1 { "added" } else { "changed" };
@@ -228,9 +230,9 @@
 }
 
 #[test]
-fn from_slice_arbitrary_bytes() {
-    // Something that isn't a note is sent, or a snapshot is damaged. It must be
-    // refused with a finding and must not bring a replica down.
+fn arbitrary_bytes_do_not_panic() {
+    // Malformed notes and corrupted snapshots must be rejected with a finding and
+    // must not crash a replica.
     fn property(noise: Vec<u8>, at: usize) -> bool {
         let mut history = History::default();
         let note = br#"{"number":1,"added":[{"kind":"model","name":"m","versions":["v"]},
@@ -258,6 +260,6 @@
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(48, 37))
-        .tests(SCHEDULES)
+        .tests(CASES)
         .quickcheck(property as fn(Vec<u8>, usize) -> bool);
 }
