--- a/crates/admin/src/body.rs
+++ b/crates/admin/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and responses.
+//! Request and response bodies.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -11,13 +11,13 @@
 
 use crate::Problem;
 
-/// Body of a response, streamed or whole.
+/// A response body, streamed or buffered.
 pub type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// A response of any daemon.
+/// An HTTP response of a daemon.
 pub type Response = hyper::Response<Body>;
 
-/// A body that is there as a whole.
+/// Creates a fully buffered body.
 ///
 /// ```
 /// use hyper::body::Body as _;
@@ -30,7 +30,7 @@
         .boxed_unsync()
 }
 
-/// No body.
+/// Creates an empty body.
 ///
 /// ```
 /// use hyper::body::Body as _;
@@ -42,7 +42,7 @@
     full(Bytes::new())
 }
 
-/// A response of JSON.
+/// Creates a JSON response.
 ///
 /// ```
 /// let response = admin::json(hyper::StatusCode::OK, "{}");
@@ -56,12 +56,12 @@
     response
 }
 
-/// Reads a request's body whole.
+/// Reads a whole request body.
 ///
 /// # Errors
 ///
-/// 413 when it is larger than `most` bytes, 408 when it takes longer than
-/// `within`, 400 when the connection breaks; in each case nothing ran.
+/// Returns 413 if the body is larger than `max_bytes`, 408 if it does not arrive within
+/// `timeout`, and 400 if the connection fails. In each case, the request did not run.
 ///
 /// ```
 /// # tokio::runtime::Builder::new_current_thread().enable_time().build().unwrap().block_on(async {
@@ -72,42 +72,41 @@
 /// assert_eq!(problem.status, 413);
 /// # });
 /// ```
-pub async fn read_body<B>(body: B, most: usize, within: Duration) -> Result<Bytes, Problem>
+pub async fn read_body<B>(body: B, max_bytes: usize, timeout: Duration) -> Result<Bytes, Problem>
 where
     B: hyper::body::Body,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    let announced = body.size_hint().lower();
-    if usize::try_from(announced).map_or(true, |announced| announced > most) {
-        return Err(too_large(most));
+    let length = body.size_hint().lower();
+    if usize::try_from(length).map_or(true, |length| length > max_bytes) {
+        return Err(too_large(max_bytes));
     }
-    let read = Limited::new(body, most).collect();
-    match tokio::time::timeout(within, read).await {
-        Ok(Ok(collected)) => Ok(tight(collected.to_bytes())),
-        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(too_large(most)),
+    let read = Limited::new(body, max_bytes).collect();
+    match tokio::time::timeout(timeout, read).await {
+        Ok(Ok(collected)) => Ok(compact(collected.to_bytes())),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(too_large(max_bytes)),
         Ok(Err(error)) => {
             let detail = format!("the body broke off: {error}");
             Err(Problem::new(StatusCode::BAD_REQUEST, detail))
         }
         Err(_) => {
-            let detail = format!("the body did not arrive within {} ms", within.as_millis());
+            let detail = format!("the body did not arrive within {} ms", timeout.as_millis());
             Err(Problem::new(StatusCode::REQUEST_TIMEOUT, detail))
         }
     }
 }
 
-/// A small body in memory of its own: as it came it holds on to the whole of
-/// the connection's read buffer, which is many times as large, for as long as
-/// its answer takes.
-fn tight(body: Bytes) -> Bytes {
-    const SMALL: usize = 4 << 10;
-    if body.len() > SMALL {
+/// Copies a small body into its own allocation. Otherwise it would keep the
+/// connection's much larger read buffer alive until the request is answered.
+fn compact(body: Bytes) -> Bytes {
+    const MAX_COPIED_BYTES: usize = 4 << 10;
+    if body.len() > MAX_COPIED_BYTES {
         return body;
     }
     Bytes::copy_from_slice(&body)
 }
 
-fn too_large(most: usize) -> Problem {
-    let detail = format!("the body is larger than {most} bytes");
+fn too_large(max_bytes: usize) -> Problem {
+    let detail = format!("the body is larger than {max_bytes} bytes");
     Problem::new(StatusCode::PAYLOAD_TOO_LARGE, detail)
 }
--- a/crates/admin/src/hex.rs
+++ b/crates/admin/src/hex.rs
@@ -1,4 +1,4 @@
-//! Bytes as hexadecimal digits.
+//! Hexadecimal encoding.
 
 use std::fmt::Write;
 
@@ -18,11 +18,11 @@
     }
     let pairs = digits.chunks_exact(2);
     pairs
-        .map(|pair| Some(value(pair[0])? << 4 | value(pair[1])?))
+        .map(|pair| Some(digit_value(pair[0])? << 4 | digit_value(pair[1])?))
         .collect()
 }
 
-fn value(digit: u8) -> Option<u8> {
+fn digit_value(digit: u8) -> Option<u8> {
     let value = char::from(digit).to_digit(16)?;
     u8::try_from(value).ok()
 }
--- a/crates/admin/src/hop.rs
+++ b/crates/admin/src/hop.rs
@@ -1,10 +1,10 @@
-//! Headers that end with the connection that they came on.
+//! Hop-by-hop headers.
 
 use hyper::HeaderMap;
 use hyper::header::CONNECTION;
 
-/// Headers that belong to one connection and aren't passed on (RFC 9110,
-/// section 7.6.1), and the length, which follows from the body.
+/// Hop-by-hop headers, which are not forwarded (RFC 9110, section 7.6.1), and
+/// `content-length`, which is determined by the forwarded body.
 pub const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "content-length",
@@ -17,7 +17,8 @@
     "upgrade",
 ];
 
-/// Headers that a message says are for its connection alone, in lower case.
+/// Returns the headers that a message declares as hop-by-hop in its `Connection`
+/// header, in lower case.
 ///
 /// ```
 /// let mut headers = hyper::HeaderMap::new();
@@ -32,24 +33,24 @@
     names.map(|name| name.trim().to_ascii_lowercase()).collect()
 }
 
-/// The headers that go further than the connection they came on.
+/// Returns the end-to-end headers, which are to be forwarded.
 ///
 /// ```
 /// let mut headers = hyper::HeaderMap::new();
 /// headers.insert("connection", "close, X-Seen".parse().unwrap());
 /// headers.insert("x-seen", "1".parse().unwrap());
 /// headers.insert("accept", "text/html".parse().unwrap());
-/// let passed = admin::end_to_end_headers(&headers);
-/// assert_eq!(passed.keys().collect::<Vec<_>>(), ["accept"]);
+/// let forwarded = admin::end_to_end_headers(&headers);
+/// assert_eq!(forwarded.keys().collect::<Vec<_>>(), ["accept"]);
 /// ```
 #[must_use]
 pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
-    let mut passed = headers.clone();
+    let mut forwarded = headers.clone();
     for name in connection_options(headers) {
-        passed.remove(name);
+        forwarded.remove(name);
     }
     for name in HOP_BY_HOP_HEADERS {
-        passed.remove(name);
+        forwarded.remove(name);
     }
-    passed
+    forwarded
 }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,19 +1,20 @@
-//! Health, readiness, metrics and operators HTTP for every daemon.
+//! HTTP server, monitoring routes and operators' routes of the daemons.
 //!
-//! [`serve`] runs a bounded HTTP/1 server over a handler; [`MonitoringRoutes`] answers
+//! [`serve`] runs an HTTP/1 server with resource limits; [`MonitoringRoutes`] answers
 //! `/healthz`, `/readyz` and `/metrics`; [`OperatorRoutes`] answers the operators'
-//! routes over two closures, so that entry and control mount the same one.
-//! Whatever goes wrong is told as a [`Problem`].
+//! routes. It accesses the durable state through two closures, so that entry and
+//! control share one implementation. Errors are reported as a [`Problem`].
 //!
 //! ```
 //! use std::sync::Arc;
 //! use admin::{MonitoringRoutes, Registry};
 //!
-//! let pages = MonitoringRoutes::new(Arc::new(Registry::default()), || Err("no lease yet".to_owned()));
+//! let registry = Arc::new(Registry::default());
+//! let routes = MonitoringRoutes::new(registry, || Err("no lease yet".to_owned()));
 //! let get = admin::Method::GET;
-//! assert_eq!(pages.answer(&get, "/healthz").unwrap().status(), 200);
-//! assert_eq!(pages.answer(&get, "/readyz").unwrap().status(), 503);
-//! assert!(pages.answer(&get, "/v1/addresses").is_none());
+//! assert_eq!(routes.answer(&get, "/healthz").unwrap().status(), 200);
+//! assert_eq!(routes.answer(&get, "/readyz").unwrap().status(), 503);
+//! assert!(routes.answer(&get, "/v1/addresses").is_none());
 //! ```
 
 mod body;
--- a/crates/admin/src/linger.rs
+++ b/crates/admin/src/linger.rs
@@ -1,4 +1,4 @@
-//! Closing a connection so that the last answer arrives.
+//! Lingering close: closing a connection without losing the last response.
 
 use std::io;
 use std::pin::Pin;
@@ -11,64 +11,67 @@
 use tokio::net::TcpStream;
 use tokio::time::{Sleep, sleep};
 
-/// Bytes that are read and dropped, at most.
-const MOST_BYTES: usize = 64 << 20;
+/// Maximum number of bytes to read and discard.
+const MAX_DISCARDED_BYTES: usize = 64 << 20;
 
-/// How long a peer may go on sending.
-const MOST_TIME: Duration = Duration::from_secs(5);
+/// Maximum time to wait for the peer to stop sending.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Bytes that are dropped at a time.
-const CHUNK: usize = 16 << 10;
+/// Bytes to discard per read.
+const CHUNK_BYTES: usize = 16 << 10;
 
-/// A connection that reads on after its last answer, if a request's body may
-/// not have been read.
+/// A connection that keeps reading after its last response, if a request body may
+/// not have been read completely.
 ///
-/// A socket that is closed with unread bytes is reset, and a reset makes the
-/// peer's kernel drop what it had received: a caller who still sends a body
-/// that was refused as too large would see a broken pipe and never the 413.
-/// So the sending side is shut down first and the rest is read and dropped,
-/// within bounds.
-pub(crate) struct Linger {
+/// Closing a socket with unread bytes resets the connection, and a reset makes the
+/// peer's kernel discard data that it has already received: a caller that is still
+/// sending a body rejected as too large would get a broken pipe instead of the 413
+/// response. Therefore the write side is shut down first, and the remaining bytes
+/// are read and discarded, up to a limit in size and time.
+pub(crate) struct LingeringStream {
     stream: TcpStream,
-    wanted: Arc<AtomicBool>,
-    shutdown: bool,
-    dropped: usize,
-    until: Option<Pin<Box<Sleep>>>,
+    unread_body: Arc<AtomicBool>,
+    write_shut_down: bool,
+    discarded: usize,
+    deadline: Option<Pin<Box<Sleep>>>,
 }
 
-impl Linger {
-    /// Wraps a connection; `wanted` is set once a body was left unread.
-    pub(crate) fn new(stream: TcpStream, wanted: Arc<AtomicBool>) -> Self {
-        Linger {
+impl LingeringStream {
+    /// Wraps a connection. `unread_body` is set once a request body may be left unread.
+    pub(crate) fn new(stream: TcpStream, unread_body: Arc<AtomicBool>) -> Self {
+        LingeringStream {
             stream,
-            wanted,
-            shutdown: false,
-            dropped: 0,
-            until: None,
+            unread_body,
+            write_shut_down: false,
+            discarded: 0,
+            deadline: None,
         }
     }
 
-    /// Ready once the peer has ended, or the bounds are reached.
-    fn poll_drop_rest(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        let until = self.until.get_or_insert_with(|| Box::pin(sleep(MOST_TIME)));
-        if until.as_mut().poll(cx).is_ready() {
+    /// Reads and discards the remaining bytes. Ready once the peer has closed its side or
+    /// a limit is reached.
+    fn poll_discard_rest(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        let deadline = self
+            .deadline
+            .get_or_insert_with(|| Box::pin(sleep(LINGER_TIMEOUT)));
+        if deadline.as_mut().poll(cx).is_ready() {
             return Poll::Ready(());
         }
-        let mut chunk = [0; CHUNK];
-        while self.dropped < MOST_BYTES {
+        let mut chunk = [0; CHUNK_BYTES];
+        while self.discarded < MAX_DISCARDED_BYTES {
             let mut buf = ReadBuf::new(&mut chunk);
             let read = Pin::new(&mut self.stream).poll_read(cx, &mut buf);
             let filled = buf.filled().len();
             if ready!(read).is_err() || filled == 0 {
                 break;
             }
-            self.dropped += filled;
+            self.discarded += filled;
         }
         Poll::Ready(())
     }
 }
 
-impl AsyncRead for Linger {
+impl AsyncRead for LingeringStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -78,7 +81,7 @@
     }
 }
 
-impl AsyncWrite for Linger {
+impl AsyncWrite for LingeringStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -92,12 +95,12 @@
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if !self.shutdown {
+        if !self.write_shut_down {
             ready!(Pin::new(&mut self.stream).poll_shutdown(cx))?;
-            self.shutdown = true;
+            self.write_shut_down = true;
         }
-        if self.wanted.load(Ordering::Relaxed) {
-            ready!(self.poll_drop_rest(cx));
+        if self.unread_body.load(Ordering::Relaxed) {
+            ready!(self.poll_discard_rest(cx));
         }
         Poll::Ready(Ok(()))
     }
--- a/crates/admin/src/log_lines.rs
+++ b/crates/admin/src/log_lines.rs
@@ -1,17 +1,17 @@
-//! The count of log lines that were left out, as a metric.
+//! Metric for the number of log lines left out.
 
 use prometheus_client::collector::Collector;
 use prometheus_client::encoding::{DescriptorEncoder, EncodeMetric};
 use prometheus_client::metrics::counter::ConstCounter;
 use std::fmt;
 
-/// The count of log lines that a process has left out, read when the page is.
+/// Counter of the log lines that a process has left out, read on each scrape.
 ///
 /// ```
 /// let mut registry = admin::Registry::default();
 /// registry.register_collector(Box::new(admin::LinesLeftOut(|| 3)));
-/// let pages = admin::MonitoringRoutes::new(std::sync::Arc::new(registry), || Ok(()));
-/// assert!(pages.answer(&admin::Method::GET, "/metrics").is_some());
+/// let routes = admin::MonitoringRoutes::new(std::sync::Arc::new(registry), || Ok(()));
+/// assert!(routes.answer(&admin::Method::GET, "/metrics").is_some());
 /// ```
 #[derive(Clone, Copy)]
 pub struct LinesLeftOut(pub fn() -> u64);
--- a/crates/admin/src/monitoring_routes.rs
+++ b/crates/admin/src/monitoring_routes.rs
@@ -1,4 +1,4 @@
-//! Health, readiness and metrics.
+//! Health, readiness and metrics routes.
 
 use std::sync::Arc;
 
@@ -9,26 +9,26 @@
 
 use crate::{Problem, Response, full, json};
 
-const OPENMETRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+const OPENMETRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-type Ready = dyn Fn() -> Result<(), String> + Send + Sync;
+type ReadinessCheck = dyn Fn() -> Result<(), String> + Send + Sync;
 
-/// Answers `/healthz`, `/readyz` and `/metrics`; cheap to clone.
+/// Handler for `/healthz`, `/readyz` and `/metrics`; cheap to clone.
 #[derive(Clone)]
 pub struct MonitoringRoutes {
     registry: Arc<Registry>,
-    ready: Arc<Ready>,
+    ready: Arc<ReadinessCheck>,
 }
 
 impl MonitoringRoutes {
-    /// Makes the pages. `ready` tells why the daemon can't do its work now.
+    /// Creates the routes. `ready` returns the reason if the daemon is not ready.
     ///
     /// ```
     /// use std::sync::Arc;
     ///
     /// let registry = Arc::new(admin::Registry::default());
-    /// let pages = admin::MonitoringRoutes::new(registry, || Ok(()));
-    /// let ready = pages.answer(&admin::Method::GET, "/readyz").unwrap();
+    /// let routes = admin::MonitoringRoutes::new(registry, || Ok(()));
+    /// let ready = routes.answer(&admin::Method::GET, "/readyz").unwrap();
     /// assert_eq!(ready.status(), 200);
     /// ```
     #[must_use]
@@ -42,13 +42,13 @@
         }
     }
 
-    /// The page at a path, if it is one of these.
+    /// Answers a request, or returns `None` if the path is not one of these routes.
     ///
     /// ```
     /// use std::sync::Arc;
     ///
-    /// let pages = admin::MonitoringRoutes::new(Arc::new(admin::Registry::default()), || Ok(()));
-    /// let posted = pages.answer(&admin::Method::POST, "/metrics").unwrap();
+    /// let routes = admin::MonitoringRoutes::new(Arc::new(admin::Registry::default()), || Ok(()));
+    /// let posted = routes.answer(&admin::Method::POST, "/metrics").unwrap();
     /// assert_eq!(posted.status(), 405);
     /// ```
     #[must_use]
@@ -81,7 +81,7 @@
             return Problem::new(status, "a metric can't be encoded").into_response();
         }
         let mut response = Response::new(full(text));
-        let kind = HeaderValue::from_static(OPENMETRICS);
+        let kind = HeaderValue::from_static(OPENMETRICS_CONTENT_TYPE);
         response.headers_mut().insert(CONTENT_TYPE, kind);
         response
     }
--- a/crates/admin/src/operator_routes.rs
+++ b/crates/admin/src/operator_routes.rs
@@ -15,38 +15,38 @@
 
 use crate::{OperatorToken, Problem, Ran, Response, hex, outcomes, read_body};
 
-/// All of these routes begin so.
+/// Prefix of the operators' routes.
 const PREFIX: &str = "/v1/operator/";
 
-/// A note may have 1 MiB; anything else is shorter.
-const MOST_BODY_BYTES: usize = 1 << 20;
+/// Maximum size of a request body: 1 MiB, the size limit of a note.
+const MAX_BODY_BYTES: usize = 1 << 20;
 
 const BODY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A fingerprint is a SHA-256 digest.
+/// Length of a fingerprint, which is a SHA-256 digest.
 const FINGERPRINT_BYTES: usize = 32;
 
-/// An attempt is named by 128 random bits.
+/// Length of an attempt id, which consists of 128 random bits.
 const ATTEMPT_BYTES: usize = 16;
 
-/// Number in a query that stands for the catalogue instead of one note.
+/// Note number that queries the whole catalogue.
 const WHOLE_CATALOGUE: u64 = 0;
 
-/// Who sent the command, when the request doesn't say so.
-const UNNAMED: &str = "operator";
+/// Operator name recorded for requests without one.
+const DEFAULT_OPERATOR: &str = "operator";
 
-/// Header by which an operator gives a name, kept with each note.
+/// Request header with the operator's name, which is recorded with each note.
 const OPERATOR_HEADER: &str = "x-operator";
 
-type Answer<T> = Pin<Box<dyn Future<Output = T> + Send>>;
+type BoxFuture<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
-/// Has a command committed to the durable state.
-pub type ProposeFn = Arc<dyn Fn(command::Body) -> Answer<Outcome> + Send + Sync>;
+/// Submits a command to the durable state and returns its outcome.
+pub type ProposeFn = Arc<dyn Fn(command::Body) -> BoxFuture<Outcome> + Send + Sync>;
 
-/// Reads the durable state.
-pub type QueryFn = Arc<dyn Fn(query::Body) -> Answer<eyre::Result<QueryReply>> + Send + Sync>;
+/// Queries the durable state.
+pub type QueryFn = Arc<dyn Fn(query::Body) -> BoxFuture<eyre::Result<QueryReply>> + Send + Sync>;
 
-/// Answers the operators' routes; cheap to clone.
+/// Handler for the operators' routes; cheap to clone.
 #[derive(Clone)]
 pub struct OperatorRoutes {
     token: OperatorToken,
@@ -55,17 +55,17 @@
 }
 
 impl OperatorRoutes {
-    /// Makes the handler over the two ways to the durable state.
+    /// Creates a handler that accesses the durable state through the given functions.
     ///
     /// ```
     /// use std::sync::Arc;
     ///
-    /// let operators = admin::OperatorRoutes::new(
+    /// let routes = admin::OperatorRoutes::new(
     ///     admin::OperatorToken::from_bytes(b"0123456789abcdef").unwrap(),
     ///     Arc::new(|_| Box::pin(async { Default::default() })),
     ///     Arc::new(|_| Box::pin(async { Err(eyre::eyre!("no leader")) })),
     /// );
-    /// # drop(operators);
+    /// # drop(routes);
     /// ```
     #[must_use]
     pub fn new(token: OperatorToken, propose: ProposeFn, query: QueryFn) -> Self {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Whether a path is for this handler.
+    /// Returns whether a path belongs to the operators' routes.
     ///
     /// ```
     /// assert!(admin::OperatorRoutes::matches("/v1/operator/status"));
@@ -87,16 +87,16 @@
         path.starts_with(PREFIX)
     }
 
-    /// Answers a request; `id` is the request's id.
+    /// Answers a request; `id` is the request id.
     pub async fn handle(&self, req: Request<Incoming>, id: &str) -> Response {
         let method = req.method().clone();
         let path = req.uri().path().to_owned();
-        let answer = self.route(req).await;
-        let status = answer
+        let result = self.route(req).await;
+        let status = result
             .as_ref()
             .map_or_else(|problem| problem.status, Response::status);
         log::info!(request = id; "operator {method} {path} {status}");
-        answer.unwrap_or_else(|mut problem| {
+        result.unwrap_or_else(|mut problem| {
             problem.request = Some(id.to_owned());
             problem.into_response()
         })
@@ -112,17 +112,23 @@
         let path = head.uri.path().strip_prefix(PREFIX).unwrap_or_default();
         let segments: Vec<&str> = path.split('/').collect();
         match (&head.method, segments.as_slice()) {
-            (&Method::POST, ["notes"]) => self.send_note(&head.headers, body).await,
+            (&Method::POST, ["notes"]) => self.submit_note(&head.headers, body).await,
             (&Method::GET, ["notes", "status"]) => self.note_status().await,
             (&Method::GET, ["notes", number]) => self.note(number).await,
-            (&Method::GET, ["catalogue"]) => self.document(note_query(WHOLE_CATALOGUE)).await,
-            (&Method::GET, ["status"]) => self.document(query::Body::Status(StatusQuery {})).await,
+            (&Method::GET, ["catalogue"]) => self.json_document(note_query(WHOLE_CATALOGUE)).await,
+            (&Method::GET, ["status"]) => {
+                self.json_document(query::Body::Status(StatusQuery {}))
+                    .await
+            }
             (&Method::POST, ["targets", name, "drain"]) => self.drain(name, body).await,
             (&Method::GET, ["quarantine"]) => self.quarantine().await,
             (&Method::DELETE, ["quarantine", fingerprint]) => self.pardon(fingerprint).await,
-            (&Method::GET, ["ledger"]) => self.document(query::Body::Ledger(LedgerQuery {})).await,
+            (&Method::GET, ["ledger"]) => {
+                self.json_document(query::Body::Ledger(LedgerQuery {}))
+                    .await
+            }
             (&Method::DELETE, ["ledger", attempt]) => self.forget(attempt).await,
-            (method, known) if is_route(known) => {
+            (method, segments) if is_route(segments) => {
                 let detail = format!("{method} isn't known here");
                 Err(Problem::new(StatusCode::METHOD_NOT_ALLOWED, detail))
             }
@@ -130,20 +136,20 @@
         }
     }
 
-    async fn send_note(&self, headers: &HeaderMap, body: Incoming) -> Result<Response, Problem> {
-        let json = read_body(body, MOST_BODY_BYTES, BODY_TIMEOUT).await?;
+    async fn submit_note(&self, headers: &HeaderMap, body: Incoming) -> Result<Response, Problem> {
+        let json = read_body(body, MAX_BODY_BYTES, BODY_TIMEOUT).await?;
         let operator = headers.get(OPERATOR_HEADER);
-        // Names are UTF-8, which `to_str` would refuse beyond ASCII.
+        // Names are UTF-8; `to_str` would reject non-ASCII characters.
         let operator = operator.and_then(|name| str::from_utf8(name.as_bytes()).ok());
         let command = command::Body::SubmitNote(SubmitNote {
             json,
-            operator: operator.unwrap_or(UNNAMED).to_owned(),
+            operator: operator.unwrap_or(DEFAULT_OPERATOR).to_owned(),
         });
         outcomes::note((self.propose)(command).await)
     }
 
     async fn drain(&self, target: &str, body: Incoming) -> Result<Response, Problem> {
-        let json = read_body(body, MOST_BODY_BYTES, BODY_TIMEOUT).await?;
+        let json = read_body(body, MAX_BODY_BYTES, BODY_TIMEOUT).await?;
         let draining = read_draining(&json)?;
         let command = command::Body::Drain(Drain {
             target: target.to_owned(),
@@ -182,51 +188,54 @@
             let detail = "the number of a note is a whole number above 0";
             return Err(Problem::new(StatusCode::BAD_REQUEST, detail));
         };
-        self.document(note_query(number)).await
+        self.json_document(note_query(number)).await
     }
 
     async fn quarantine(&self) -> Result<Response, Problem> {
         let body = query::Body::Quarantine(QuarantineQuery {});
-        let Some(query_reply::Body::Quarantine(quarantine)) = self.ask(body).await? else {
-            return Err(unexpected());
+        let Some(query_reply::Body::Quarantine(quarantine)) = self.run_query(body).await? else {
+            return Err(unexpected_reply());
         };
-        let list = |prints: &[Bytes]| -> Vec<String> {
-            prints.iter().map(|print| hex::encode(print)).collect()
+        let encode_all = |fingerprints: &[Bytes]| -> Vec<String> {
+            fingerprints
+                .iter()
+                .map(|bytes| hex::encode(bytes))
+                .collect()
         };
         let answer = json!({
             "version": quarantine.version,
-            "suspects": list(&quarantine.suspects),
-            "convicted": list(&quarantine.convicted),
+            "suspects": encode_all(&quarantine.suspects),
+            "convicted": encode_all(&quarantine.convicted),
         });
         Ok(crate::json(StatusCode::OK, answer.to_string()))
     }
 
-    /// The member `notes` of the status document.
+    /// Returns the member `notes` of the status document.
     async fn note_status(&self) -> Result<Response, Problem> {
-        let status = self.read(query::Body::Status(StatusQuery {})).await?;
-        let status: Value = serde_json::from_slice(&status).map_err(|_| unexpected())?;
-        let notes = status.get("notes").ok_or_else(unexpected)?;
+        let status = self.read_json(query::Body::Status(StatusQuery {})).await?;
+        let status: Value = serde_json::from_slice(&status).map_err(|_| unexpected_reply())?;
+        let notes = status.get("notes").ok_or_else(unexpected_reply)?;
         Ok(crate::json(StatusCode::OK, notes.to_string()))
     }
 
-    async fn document(&self, body: query::Body) -> Result<Response, Problem> {
-        let json = self.read(body).await?;
+    async fn json_document(&self, body: query::Body) -> Result<Response, Problem> {
+        let json = self.read_json(body).await?;
         Ok(crate::json(StatusCode::OK, json))
     }
 
-    /// A JSON document; an empty one means that there is none.
-    async fn read(&self, body: query::Body) -> Result<Bytes, Problem> {
-        match self.ask(body).await? {
+    /// Queries a JSON document. An empty reply means that the document does not exist.
+    async fn read_json(&self, body: query::Body) -> Result<Bytes, Problem> {
+        match self.run_query(body).await? {
             Some(query_reply::Body::Json(json)) if json.is_empty() => Err(Problem::new(
                 StatusCode::NOT_FOUND,
                 "that isn't known, or no longer kept",
             )),
             Some(query_reply::Body::Json(json)) => Ok(json),
-            _ => Err(unexpected()),
+            _ => Err(unexpected_reply()),
         }
     }
 
-    async fn ask(&self, body: query::Body) -> Result<Option<query_reply::Body>, Problem> {
+    async fn run_query(&self, body: query::Body) -> Result<Option<query_reply::Body>, Problem> {
         match (self.query)(body).await {
             Ok(reply) => Ok(reply.body),
             Err(error) => {
@@ -262,7 +271,7 @@
     draining.ok_or_else(|| malformed("expected true or false at draining".to_owned()))
 }
 
-fn unexpected() -> Problem {
+fn unexpected_reply() -> Problem {
     let detail = "control gave an answer of another kind";
     let mut problem = Problem::new(StatusCode::BAD_GATEWAY, detail);
     problem.ran = Ran::Unknown;
--- a/crates/admin/src/operator_token.rs
+++ b/crates/admin/src/operator_token.rs
@@ -8,19 +8,19 @@
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-/// Shorter tokens could be guessed.
-const LEAST_BYTES: usize = 16;
+/// Minimum length of a token, in bytes; shorter tokens could be guessed.
+const MIN_TOKEN_BYTES: usize = 16;
 
-/// The operators' bearer token; only its digest is held.
+/// The operators' bearer token, stored as a SHA-256 digest only.
 #[derive(Clone)]
 pub struct OperatorToken([u8; 32]);
 
 impl OperatorToken {
-    /// Takes a token; white space around it is dropped.
+    /// Creates a token from bytes, trimming white space at both ends.
     ///
     /// # Errors
     ///
-    /// Fails when it is shorter than 16 bytes.
+    /// Returns an error if the token is shorter than 16 bytes.
     ///
     /// ```
     /// assert!(admin::OperatorToken::from_bytes(b"short").is_err());
@@ -29,8 +29,8 @@
     pub fn from_bytes(token: &[u8]) -> eyre::Result<Self> {
         let token = token.trim_ascii();
         ensure!(
-            token.len() >= LEAST_BYTES,
-            "the operators' token is shorter than {LEAST_BYTES} bytes"
+            token.len() >= MIN_TOKEN_BYTES,
+            "the operators' token is shorter than {MIN_TOKEN_BYTES} bytes"
         );
         Ok(OperatorToken(Sha256::digest(token).into()))
     }
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the file can't be read or the token is too short.
+    /// Returns an error if the file can't be read or the token is shorter than 16 bytes.
     ///
     /// ```
     /// assert!(admin::OperatorToken::from_file("no/such/file").is_err());
@@ -51,7 +51,7 @@
         OperatorToken::from_bytes(&token).wrap_err_with(|| format!("in {}", path.display()))
     }
 
-    /// Whether a request carries the token, compared in constant time.
+    /// Returns whether a request carries the token. Compares in constant time.
     ///
     /// ```
     /// let token = admin::OperatorToken::from_bytes(b"0123456789abcdef").unwrap();
@@ -62,16 +62,16 @@
     /// ```
     #[must_use]
     pub fn authorizes(&self, headers: &HeaderMap) -> bool {
-        let Some(given) = bearer(headers) else {
+        let Some(credentials) = bearer_credentials(headers) else {
             return false;
         };
-        let given: [u8; 32] = Sha256::digest(given).into();
-        given.ct_eq(&self.0).into()
+        let digest: [u8; 32] = Sha256::digest(credentials).into();
+        digest.ct_eq(&self.0).into()
     }
 }
 
-/// The credentials of the Bearer scheme (RFC 6750, section 2.1).
-fn bearer(headers: &HeaderMap) -> Option<&[u8]> {
+/// Returns the credentials of the Bearer scheme (RFC 6750, section 2.1).
+fn bearer_credentials(headers: &HeaderMap) -> Option<&[u8]> {
     const SCHEME: &[u8] = b"bearer ";
     let value = headers.get(AUTHORIZATION)?.as_bytes();
     let (scheme, credentials) = value.split_at_checked(SCHEME.len())?;
--- a/crates/admin/src/outcomes.rs
+++ b/crates/admin/src/outcomes.rs
@@ -1,4 +1,4 @@
-//! What became of a command, as HTTP.
+//! Conversion of command outcomes to HTTP responses.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 
 use crate::{Problem, Ran, Response, hex};
 
-/// When to come back after control could not be asked.
+/// Default `Retry-After` if control is unavailable.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_secs(2);
 
 pub(crate) fn note(outcome: Outcome) -> Result<Response, Problem> {
     match outcome.body {
-        Some(outcome::Body::Note(note)) => note_answer(&note),
-        other => Err(failed(other)),
+        Some(outcome::Body::Note(note)) => note_result(&note),
+        other => Err(unavailable_problem(other)),
     }
 }
 
@@ -29,7 +29,7 @@
             let detail = format!("unknown target {target:?}");
             Err(Problem::new(StatusCode::NOT_FOUND, detail))
         }
-        other => Err(failed(other)),
+        other => Err(unavailable_problem(other)),
     }
 }
 
@@ -43,17 +43,17 @@
             let detail = format!("{fingerprint} isn't in quarantine");
             Err(Problem::new(StatusCode::NOT_FOUND, detail))
         }
-        other => Err(failed(other)),
+        other => Err(unavailable_problem(other)),
     }
 }
 
 pub(crate) fn forget(outcome: Outcome, attempt: &str) -> Result<Response, Problem> {
     match outcome.body {
-        Some(outcome::Body::Forget(call)) if call.known => {
+        Some(outcome::Body::Forget(record)) if record.known => {
             let answer = json!({
                 "forgotten": attempt,
-                "account": call.account,
-                "key": call.key.escape_ascii().to_string(),
+                "account": record.account,
+                "key": record.key.escape_ascii().to_string(),
             });
             Ok(crate::json(StatusCode::OK, answer.to_string()))
         }
@@ -61,11 +61,11 @@
             let detail = format!("{attempt} isn't an attempt whose outcome is unknown");
             Err(Problem::new(StatusCode::NOT_FOUND, detail))
         }
-        other => Err(failed(other)),
+        other => Err(unavailable_problem(other)),
     }
 }
 
-fn note_answer(note: &NoteOutcome) -> Result<Response, Problem> {
+fn note_result(note: &NoteOutcome) -> Result<Response, Problem> {
     let number = note.number;
     let (status, detail) = match note.kind() {
         Kind::Accepted => return Ok(note_response(StatusCode::OK, "accepted", note)),
@@ -82,11 +82,13 @@
             StatusCode::UNPROCESSABLE_ENTITY,
             format!("{} findings", note.findings.len()),
         ),
-        Kind::Unspecified => return Err(failed(None)),
+        Kind::Unspecified => return Err(unavailable_problem(None)),
     };
     let mut problem = Problem::new(status, detail);
     let findings: Vec<Value> = note.findings.iter().map(finding).collect();
-    problem.members.insert("outcome".into(), word(note).into());
+    problem
+        .members
+        .insert("outcome".into(), outcome_name(note).into());
     problem.members.insert("number".into(), number.into());
     problem.members.insert("findings".into(), findings.into());
     if note.kind() == Kind::Conflict {
@@ -108,7 +110,7 @@
     crate::json(status, answer.to_string())
 }
 
-fn word(note: &NoteOutcome) -> &'static str {
+fn outcome_name(note: &NoteOutcome) -> &'static str {
     match note.kind() {
         Kind::Accepted => "accepted",
         Kind::Repeated => "repeated",
@@ -123,9 +125,9 @@
     json!({"place": finding.place, "message": finding.message})
 }
 
-/// No answer of the command's own kind. Whether it was or will be committed is
-/// said only where it is known.
-fn failed(body: Option<outcome::Body>) -> Problem {
+/// Converts an outcome that is `Unavailable` or does not match the command. The command is
+/// reported as not run only if it is certain that it was not and will not be committed.
+fn unavailable_problem(body: Option<outcome::Body>) -> Problem {
     let unavailable = match body {
         Some(outcome::Body::Unavailable(unavailable)) => unavailable,
         _ => Unavailable {
--- a/crates/admin/src/peer_addr.rs
+++ b/crates/admin/src/peer_addr.rs
@@ -1,8 +1,8 @@
-//! Who is at the other end of a connection.
+//! Address of the peer of a connection.
 
 use std::net::SocketAddr;
 
-/// Address of the other end, an extension of each request that
-/// [`serve`](crate::serve) hands on.
+/// Address of the peer. [`serve`](crate::serve) adds it to the extensions of each
+/// request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerAddr(pub SocketAddr);
--- a/crates/admin/src/problem.rs
+++ b/crates/admin/src/problem.rs
@@ -1,4 +1,4 @@
-//! What went wrong, told as `application/problem+json` (RFC 9457).
+//! Error responses as `application/problem+json` (RFC 9457).
 
 use std::time::Duration;
 
@@ -8,25 +8,25 @@
 
 use crate::{Ran, Response, full};
 
-/// What went wrong with a request and whether it ran.
+/// An error response, which also says whether the request ran.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Problem {
-    /// The status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// What happened, for people.
+    /// Human-readable description.
     pub detail: String,
     /// Whether the request ran.
     pub ran: Ran,
-    /// The request's id.
+    /// The request id.
     pub request: Option<String>,
-    /// When asking again makes sense.
+    /// Time after which the request may be retried.
     pub retry_after: Option<Duration>,
-    /// Further members of the JSON object.
+    /// Additional members of the JSON object.
     pub members: Map<String, Value>,
 }
 
 impl Problem {
-    /// A problem with a request that did not run.
+    /// Creates a problem for a request that did not run.
     ///
     /// ```
     /// use hyper::StatusCode;
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A request without a key or token that is known.
+    /// Creates a 401 problem for a request without a known key or token.
     ///
     /// ```
     /// let response = admin::Problem::unauthorized("no bearer key").into_response();
@@ -61,7 +61,7 @@
         Problem::new(StatusCode::UNAUTHORIZED, detail)
     }
 
-    /// The problem's JSON.
+    /// Converts the problem to a JSON object.
     ///
     /// ```
     /// let problem = admin::Problem::new(hyper::StatusCode::NOT_FOUND, "unknown model \"x\"");
@@ -72,7 +72,7 @@
     pub fn to_json(&self) -> Value {
         let title = self.status.canonical_reason().unwrap_or("Error");
         let mut members = self.members.clone();
-        // "about:blank": the status says it all (RFC 9457, section 4.2.1).
+        // "about:blank": no semantics beyond the status code (RFC 9457, section 4.2.1).
         members.insert("type".to_owned(), "about:blank".into());
         members.insert("title".to_owned(), title.into());
         members.insert("status".to_owned(), self.status.as_u16().into());
@@ -84,7 +84,7 @@
         Value::Object(members)
     }
 
-    /// The problem as a response.
+    /// Converts the problem to an HTTP response.
     ///
     /// ```
     /// let problem = admin::Problem::new(hyper::StatusCode::NOT_FOUND, "no such page");
@@ -98,17 +98,16 @@
         let kind = HeaderValue::from_static("application/problem+json");
         headers.insert(CONTENT_TYPE, kind);
         if let Some(after) = self.retry_after {
-            // Whole seconds (RFC 9110, section 10.2.3), never too early.
+            // Whole seconds (RFC 9110, section 10.2.3), rounded up.
             let seconds = u64::try_from(after.as_millis().div_ceil(1_000)).unwrap_or(u64::MAX);
             headers.insert(RETRY_AFTER, HeaderValue::from(seconds));
         }
         if self.status == StatusCode::UNAUTHORIZED {
             headers.insert(WWW_AUTHENTICATE, HeaderValue::from_static("Bearer"));
         }
-        let unread = [StatusCode::PAYLOAD_TOO_LARGE, StatusCode::REQUEST_TIMEOUT];
-        if unread.contains(&self.status) {
-            // What is left of the body won't be read, so the connection can't
-            // carry another request.
+        let body_unread = [StatusCode::PAYLOAD_TOO_LARGE, StatusCode::REQUEST_TIMEOUT];
+        if body_unread.contains(&self.status) {
+            // The rest of the body is not read, so the connection can't be reused.
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
--- a/crates/admin/src/ran.rs
+++ b/crates/admin/src/ran.rs
@@ -1,18 +1,18 @@
 //! Whether a request ran.
 
-/// Whether a request ran, as its caller is told.
+/// Whether a request ran, as reported to its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ran {
-    /// It is proved that it did not run and never will.
+    /// It is certain that the request did not run and never will.
     No,
-    /// It may have run, or may still.
+    /// The request may have run or may still run.
     Unknown,
-    /// It ran.
+    /// The request ran.
     Yes,
 }
 
 impl Ran {
-    /// The word in a problem's JSON.
+    /// Returns the value of the member `ran` in a problem's JSON.
     ///
     /// ```
     /// assert_eq!(admin::Ran::Unknown.as_str(), "unknown");
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1 server.
+//! An HTTP/1 server with resource limits.
 
 use std::convert::Infallible;
 use std::io;
@@ -18,20 +18,19 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use crate::linger::Linger;
+use crate::linger::LingeringStream;
 use crate::{HalfClose, PeerAddr, Response, ServerSettings};
 
-/// Pause after a failed accept, mostly for want of file descriptors: without
-/// it the loop would spin until one is free.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept. The usual cause is a lack of file descriptors; without a
+/// delay, the loop would spin until one becomes available.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Answer to a connection beyond the limit.
-const BUSY: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\n\
+/// Response to a connection beyond the limit.
+const TOO_MANY_CONNECTIONS: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\n\
     connection: close\r\ncontent-length: 0\r\n\r\n";
 
-/// Serves connections until `stop`, then lets open requests finish, for at
-/// most [`ServerSettings::drain_timeout`]. Connections between two requests are closed
-/// at once.
+/// Serves connections until `stop` is cancelled, then waits for requests in progress for
+/// at most [`ServerSettings::drain_timeout`]. Idle connections are closed immediately.
 ///
 /// ```
 /// # tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(async {
@@ -63,18 +62,18 @@
             Ok(accepted) => accepted,
             Err(error) => {
                 log::warn!("can't accept a connection: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
-            refuse(&stream, peer);
+            reject_connection(&stream, peer);
             continue;
         };
-        if let Err(error) = watch_for_silence(&stream, cfg.peer_timeout) {
-            log::debug!("can't set up the connection of {peer}: {error}");
+        if let Err(error) = set_socket_options(&stream, cfg.peer_timeout) {
+            log::debug!("can't set socket options for {peer}: {error}");
         }
-        let connection = connection(stream, peer, &cfg, stop.clone(), handler.clone());
+        let connection = serve_connection(stream, peer, &cfg, stop.clone(), handler.clone());
         tracker.spawn(async move {
             connection.await;
             drop(permit);
@@ -87,13 +86,13 @@
         .is_err()
     {
         let open = tracker.len();
-        log::warn!("{open} connections were still open when the time to drain was over");
+        log::warn!("drain timeout expired with {open} open connections");
     }
 }
 
-/// Serves one connection; after `stop` it ends with the request in progress,
-/// and is cut off once the time to drain is over.
-fn connection<H, F>(
+/// Serves one connection. After `stop` is cancelled, the connection is closed when the
+/// request in progress is finished or the drain timeout expires.
+fn serve_connection<H, F>(
     stream: TcpStream,
     peer: SocketAddr,
     cfg: &ServerSettings,
@@ -104,20 +103,21 @@
     H: Fn(hyper::Request<Incoming>) -> F + Send + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
-    let (head_timeout, drain, half_close) = (cfg.head_timeout, cfg.drain_timeout, cfg.half_close);
+    let (head_timeout, drain_timeout, half_close) =
+        (cfg.head_timeout, cfg.drain_timeout, cfg.half_close);
     async move {
-        let unread = Arc::new(AtomicBool::new(false));
-        let stream = Linger::new(stream, Arc::clone(&unread));
+        let unread_body = Arc::new(AtomicBool::new(false));
+        let stream = LingeringStream::new(stream, Arc::clone(&unread_body));
         let service = service_fn(move |mut req: hyper::Request<Incoming>| {
             req.extensions_mut().insert(PeerAddr(peer));
             let has_body = !req.body().is_end_stream();
-            let unread = Arc::clone(&unread);
+            let unread_body = Arc::clone(&unread_body);
             let response = handler(req);
             async move {
                 let response = response.await;
-                // Whoever refuses a request may not have read its body.
+                // A handler that rejects a request may not have read its body.
                 if has_body && !response.status().is_success() {
-                    unread.store(true, Ordering::Relaxed);
+                    unread_body.store(true, Ordering::Relaxed);
                 }
                 Ok::<Response, Infallible>(response)
             }
@@ -131,39 +131,39 @@
             ended = connection.as_mut() => ended,
             () = stop.cancelled() => {
                 connection.as_mut().graceful_shutdown();
-                match tokio::time::timeout(drain, connection).await {
+                match tokio::time::timeout(drain_timeout, connection).await {
                     Ok(ended) => ended,
                     Err(_) => return,
                 }
             }
         };
         if let Err(error) = ended {
-            log::debug!("connection of {peer} ended: {error}");
+            log::debug!("connection from {peer} failed: {error}");
         }
     }
 }
 
-/// Turns a connection away; one that doesn't take the few bytes at once is
-/// just closed.
-fn refuse(stream: &TcpStream, peer: SocketAddr) {
-    log::warn!("turned away {peer}: too many connections");
-    if let Err(error) = stream.try_write(BUSY) {
-        log::debug!("can't tell {peer} so: {error}");
+/// Rejects a connection with 503. If the response can't be written immediately, the
+/// connection is closed without one.
+fn reject_connection(stream: &TcpStream, peer: SocketAddr) {
+    log::warn!("rejected connection from {peer}: too many connections");
+    if let Err(error) = stream.try_write(TOO_MANY_CONNECTIONS) {
+        log::debug!("can't send 503 to {peer}: {error}");
     }
 }
 
-/// A connection can go silent for good while new ones work. Without probes its
-/// task and permit would be held for ever, and after enough of them nobody
-/// gets in.
-fn watch_for_silence(stream: &TcpStream, silence: Duration) -> io::Result<()> {
+/// Makes the kernel detect connections whose peer no longer responds, which can happen
+/// while new connections work. Without this, each of them would hold its task and
+/// permit forever, and the server would eventually reject all new connections.
+fn set_socket_options(stream: &TcpStream, peer_timeout: Duration) -> io::Result<()> {
     const PROBES: u32 = 3;
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    let interval = (silence / PROBES).max(Duration::from_secs(1));
+    let interval = (peer_timeout / PROBES).max(Duration::from_secs(1));
     let keepalive = TcpKeepalive::new()
         .with_time(interval)
         .with_interval(interval)
         .with_retries(PROBES);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(silence))
+    socket.set_tcp_user_timeout(Some(peer_timeout))
 }
--- a/crates/admin/src/server_settings.rs
+++ b/crates/admin/src/server_settings.rs
@@ -5,28 +5,28 @@
 /// Limits of an HTTP server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerSettings {
-    /// Most connections at once; those beyond get 503 at once.
+    /// Maximum number of connections; further ones are rejected with 503.
     pub max_connections: usize,
-    /// How long the head of a request may take to arrive, and how long a
-    /// connection may stay open without one.
+    /// Maximum time to receive the head of a request; also the idle timeout of a
+    /// connection.
     pub head_timeout: Duration,
-    /// How long sent bytes may stay unacknowledged, and how often an idle
-    /// connection is probed: a peer that vanished without a word is noticed.
+    /// Time after which a peer that acknowledges neither data nor keepalive probes is
+    /// considered gone.
     pub peer_timeout: Duration,
-    /// How long open requests may go on after the server was told to stop.
+    /// Maximum time for requests in progress to finish after the server is stopped.
     pub drain_timeout: Duration,
-    /// What a peer that shuts down its sending side means by it.
+    /// Reaction to a peer that shuts down its write side.
     pub half_close: HalfClose,
 }
 
-/// What a peer that shuts down its sending side means by it.
+/// Reaction to a peer that shuts down its write side.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HalfClose {
-    /// It still reads the answer.
+    /// The peer still reads the response; requests in progress continue.
     KeepServing,
-    /// It has gone. A request in progress is dropped, so that what it holds
-    /// is free for others; a caller that hangs up can't be told apart from one
-    /// that only stops sending.
+    /// The peer is treated as disconnected, since a caller that hangs up can't be
+    /// distinguished from one that only stops sending. A request in progress is
+    /// dropped, which frees its resources for others.
     Disconnect,
 }
 
