--- a/crates/admin/tests/operators.rs
+++ b/crates/admin/tests/operators.rs
@@ -1,5 +1,4 @@
-//! The operators' routes over a real connection, with control played by
-//! closures.
+//! The operators' routes over a real connection, with closures in place of control.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::net::SocketAddr;
@@ -20,28 +19,28 @@
 
 const TOKEN: &str = "0123456789abcdef";
 
-fn decide(command: command::Body) -> outcome::Body {
+fn outcome_for(command: command::Body) -> outcome::Body {
     match command {
         command::Body::SubmitNote(note) => {
-            let mut answer = NoteOutcome {
+            let mut outcome = NoteOutcome {
                 number: 7,
                 operator: note.operator,
                 ..NoteOutcome::default()
             };
-            answer.set_kind(match &note.json[..] {
+            outcome.set_kind(match &note.json[..] {
                 b"new" => Kind::Accepted,
                 b"again" => Kind::Repeated,
                 b"other" => Kind::Conflict,
                 b"early" => Kind::Gap,
                 _ => Kind::Invalid,
             });
-            if answer.kind() == Kind::Invalid {
-                answer.findings.push(Finding {
+            if outcome.kind() == Kind::Invalid {
+                outcome.findings.push(Finding {
                     place: "number".into(),
                     message: "missing".into(),
                 });
             }
-            outcome::Body::Note(answer)
+            outcome::Body::Note(outcome)
         }
         command::Body::Drain(drain) => outcome::Body::Drain(DrainOutcome {
             known: drain.target == "desk-01",
@@ -58,7 +57,7 @@
     }
 }
 
-fn read(query: &query::Body) -> eyre::Result<query_reply::Body> {
+fn reply_to(query: &query::Body) -> eyre::Result<query_reply::Body> {
     Ok(match query {
         query::Body::Status(_) => query_reply::Body::Json(r#"{"notes":{"accepted":7}}"#.into()),
         query::Body::Quarantine(_) => query_reply::Body::Quarantine(Quarantine {
@@ -72,15 +71,15 @@
     })
 }
 
-fn operators() -> OperatorRoutes {
+fn operator_routes() -> OperatorRoutes {
     OperatorRoutes::new(
         OperatorToken::from_bytes(TOKEN.as_bytes()).unwrap(),
         Arc::new(|command| {
-            let body = Some(decide(command));
+            let body = Some(outcome_for(command));
             Box::pin(async { Outcome { index: 1, body } })
         }),
         Arc::new(|query| {
-            let body = read(&query);
+            let body = reply_to(&query);
             Box::pin(async { Ok(QueryReply { body: Some(body?) }) })
         }),
     )
@@ -90,13 +89,13 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let stop = CancellationToken::new();
-    let operators = operators();
-    let pages = MonitoringRoutes::new(Arc::new(Registry::default()), || Ok(()));
+    let operators = operator_routes();
+    let monitoring = MonitoringRoutes::new(Arc::new(Registry::default()), || Ok(()));
     let handler = move |req: hyper::Request<hyper::body::Incoming>| {
-        let (operators, pages) = (operators.clone(), pages.clone());
+        let (operators, monitoring) = (operators.clone(), monitoring.clone());
         async move {
-            if let Some(page) = pages.answer(req.method(), req.uri().path()) {
-                return page;
+            if let Some(response) = monitoring.answer(req.method(), req.uri().path()) {
+                return response;
             }
             if OperatorRoutes::matches(req.uri().path()) {
                 return operators.handle(req, "r1").await;
@@ -108,8 +107,14 @@
     (address, stop)
 }
 
-/// Sends one request as text and reads until the server closes.
-async fn ask(address: SocketAddr, method: &str, path: &str, token: &str, body: &str) -> String {
+/// Sends a request and reads the response until the server closes the connection.
+async fn send_request(
+    address: SocketAddr,
+    method: &str,
+    path: &str,
+    token: &str,
+    body: &str,
+) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let len = body.len();
     let request = format!(
@@ -117,19 +122,19 @@
          authorization: Bearer {token}\r\ncontent-length: {len}\r\n\r\n{body}"
     );
     stream.write_all(request.as_bytes()).await.unwrap();
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).await.unwrap();
-    answer
+    let mut response = String::new();
+    stream.read_to_string(&mut response).await.unwrap();
+    response
 }
 
-/// Status and body of an answer.
-fn parts(answer: &str) -> (&str, &str) {
-    let (head, body) = answer.split_once("\r\n\r\n").unwrap();
+/// Returns the status and the body of a response.
+fn status_and_body(response: &str) -> (&str, &str) {
+    let (head, body) = response.split_once("\r\n\r\n").unwrap();
     (&head[9..12], body)
 }
 
 #[tokio::test]
-async fn handle_routes() {
+async fn all_routes_answer() {
     let (address, _stop) = start(ServerSettings::default()).await;
     let cases = [
         ("POST", "notes", "new", "200", r#""outcome":"accepted""#),
@@ -210,30 +215,30 @@
         ("DELETE", "notes", "", "405", "DELETE isn't known here"),
         ("GET", "elsewhere", "", "404", "no such page"),
     ];
-    for (method, path, body, status, part) in cases {
+    for (method, path, body, status, excerpt) in cases {
         let path = format!("/v1/operator/{path}");
-        let answer = ask(address, method, &path, TOKEN, body).await;
-        let (got, text) = parts(&answer);
-        assert_eq!(got, status, "{method} {path}: {answer}");
-        assert!(text.contains(part), "{method} {path}: {answer}");
+        let response = send_request(address, method, &path, TOKEN, body).await;
+        let (got, text) = status_and_body(&response);
+        assert_eq!(got, status, "{method} {path}: {response}");
+        assert!(text.contains(excerpt), "{method} {path}: {response}");
     }
 }
 
 #[tokio::test]
-async fn handle_wrong_token() {
-    // Somebody without the operators' token, a client account perhaps, finds
-    // these routes. Any answer but 401 would let it change what is on offer.
+async fn wrong_token_is_rejected() {
+    // A caller without the operators' token, such as a client account, finds these
+    // routes. Any response other than 401 could let it change the catalogue.
     let (address, _stop) = start(ServerSettings::default()).await;
     for token in ["", "0123456789abcdeg", "0123456789abcdef0"] {
-        let answer = ask(address, "POST", "/v1/operator/notes", token, "new").await;
-        assert_eq!(parts(&answer).0, "401", "{answer}");
+        let response = send_request(address, "POST", "/v1/operator/notes", token, "new").await;
+        assert_eq!(status_and_body(&response).0, "401", "{response}");
     }
 }
 
 #[tokio::test]
-async fn handle_large_body() {
-    // A client sends far more than any note has. It must be told, and the
-    // daemon's memory must not grow with it.
+async fn oversized_body_is_rejected() {
+    // A client announces a body far larger than any note. It must get a 413 response, and
+    // the daemon must not buffer the body.
     let (address, _stop) = start(ServerSettings::default()).await;
     let mut stream = TcpStream::connect(address).await.unwrap();
     let head = format!(
@@ -241,16 +246,16 @@
          content-length: 99999999\r\n\r\n"
     );
     stream.write_all(head.as_bytes()).await.unwrap();
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).await.unwrap();
-    assert_eq!(parts(&answer).0, "413", "{answer}");
+    let mut response = String::new();
+    stream.read_to_string(&mut response).await.unwrap();
+    assert_eq!(status_and_body(&response).0, "413", "{response}");
 }
 
 #[tokio::test]
-async fn serve_unread_body() {
-    // A caller sends a large body, all of it, before it reads the answer, and
-    // the body is refused at its head. Closed at once, the connection would be
-    // reset, and the caller would see a broken pipe instead of the reason.
+async fn response_arrives_despite_unread_body() {
+    // A caller sends all of a large body before it reads the response, and the request
+    // is rejected on its headers. If the connection were closed immediately, it would be
+    // reset, and the caller would see a broken pipe instead of the response.
     let (address, _stop) = start(ServerSettings::default()).await;
     let body = vec![b'x'; 24 << 20];
     for (token, status) in [("wrong", "401"), (TOKEN, "413")] {
@@ -262,38 +267,38 @@
         );
         stream.write_all(head.as_bytes()).await.unwrap();
         stream.write_all(&body).await.unwrap();
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).await.unwrap();
-        assert_eq!(parts(&answer).0, status, "{answer}");
+        let mut response = String::new();
+        stream.read_to_string(&mut response).await.unwrap();
+        assert_eq!(status_and_body(&response).0, status, "{response}");
     }
 }
 
 #[tokio::test]
-async fn serve_too_many_connections() {
-    // Callers open connections and keep them. Those beyond the limit must learn
-    // it at once; left in the accept queue they would hang until they give up.
+async fn excess_connections_are_rejected() {
+    // Callers keep connections open. Connections beyond the limit must be rejected
+    // immediately; in the accept queue, they would hang until the caller times out.
     let cfg = ServerSettings {
         max_connections: 1,
         ..ServerSettings::default()
     };
     let (address, _stop) = start(cfg).await;
-    let mut kept = TcpStream::connect(address).await.unwrap();
-    kept.write_all(b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n")
+    let mut open = TcpStream::connect(address).await.unwrap();
+    open.write_all(b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n")
         .await
         .unwrap();
     let mut first = [0; 12];
-    kept.read_exact(&mut first).await.unwrap();
+    open.read_exact(&mut first).await.unwrap();
     assert_eq!(&first, b"HTTP/1.1 200");
-    let mut turned_away = TcpStream::connect(address).await.unwrap();
-    let mut answer = String::new();
-    turned_away.read_to_string(&mut answer).await.unwrap();
-    assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
+    let mut rejected = TcpStream::connect(address).await.unwrap();
+    let mut response = String::new();
+    rejected.read_to_string(&mut response).await.unwrap();
+    assert!(response.starts_with("HTTP/1.1 503"), "{response}");
 }
 
 #[tokio::test]
-async fn serve_stop_closes_idle() {
-    // An operator restarts a daemon while a client keeps an idle connection. The
-    // client must see it close and not wait for an answer that never comes.
+async fn stop_closes_idle_connections() {
+    // A daemon is restarted while a client keeps an idle connection. The connection must
+    // be closed, so that the client does not wait for a response on it.
     let (address, stop) = start(ServerSettings::default()).await;
     let mut idle = TcpStream::connect(address).await.unwrap();
     idle.write_all(b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n")
@@ -308,24 +313,24 @@
 }
 
 #[tokio::test]
-async fn serve_arbitrary_bytes() {
-    // Something that isn't HTTP at all connects to the port. The daemon must
-    // turn it away and go on serving others.
+async fn arbitrary_bytes_do_not_stop_server() {
+    // A client that does not speak HTTP connects. The server must end the connection and
+    // keep serving others.
     let (address, _stop) = start(ServerSettings::default()).await;
-    let noises: [&[u8]; 4] = [
+    let inputs: [&[u8]; 4] = [
         b"\x16\x03\x01\x02\x00\x01",
         b"\0\0\0\0\0",
         b"GET\r\n\r\n",
         &[0xff; 5_000],
     ];
-    for noise in noises {
+    for input in inputs {
         let mut stream = TcpStream::connect(address).await.unwrap();
-        stream.write_all(noise).await.unwrap();
+        stream.write_all(input).await.unwrap();
         stream.shutdown().await.unwrap();
-        let mut answer = Vec::new();
-        // The connection may be reset; only that it ends counts.
-        let _ = stream.read_to_end(&mut answer).await;
-        let healthy = ask(address, "GET", "/healthz", "", "").await;
-        assert_eq!(parts(&healthy).0, "200");
+        let mut response = Vec::new();
+        // The connection may be reset; the test only requires that it ends.
+        let _ = stream.read_to_end(&mut response).await;
+        let healthy = send_request(address, "GET", "/healthz", "", "").await;
+        assert_eq!(status_and_body(&healthy).0, "200");
     }
 }
--- a/crates/admin/tests/server.rs
+++ b/crates/admin/tests/server.rs
@@ -1,4 +1,4 @@
-//! Bounds of the server: slow heads, callers who don't read, stopping.
+//! Limits of the server: incomplete request heads, callers that stop reading, shutdown.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::net::SocketAddr;
@@ -18,8 +18,8 @@
 use tokio::time::timeout;
 use tokio_util::sync::CancellationToken;
 
-/// Far longer than anything here takes.
-const BOUND: Duration = Duration::from_secs(30);
+/// Upper bound for every wait in these tests.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 const GET: &[u8] = b"GET / HTTP/1.1\r\nhost: x\r\n\r\n";
 
@@ -39,15 +39,15 @@
 
 async fn read_to_end(stream: &mut TcpStream) -> String {
     let mut answer = Vec::new();
-    let read = timeout(BOUND, stream.read_to_end(&mut answer)).await;
+    let read = timeout(TEST_TIMEOUT, stream.read_to_end(&mut answer)).await;
     drop(read.unwrap());
     String::from_utf8_lossy(&answer).into_owned()
 }
 
 #[tokio::test]
-async fn serve_half_a_head() {
-    // Somebody opens connections, sends half a head and waits. Kept for ever,
-    // such connections would use up the limit and keep callers out.
+async fn incomplete_head_times_out() {
+    // A client opens connections and sends only part of a request head. Without a
+    // timeout, such connections would use up the connection limit.
     let cfg = ServerSettings {
         head_timeout: Duration::from_millis(200),
         ..ServerSettings::default()
@@ -60,11 +60,11 @@
 }
 
 #[tokio::test]
-async fn serve_stop_finishes_request() {
-    // A daemon is told to stop while it answers a request. Its caller must get
-    // the whole answer.
-    let (arrived, release) = (Arc::new(Notify::new()), Arc::new(Notify::new()));
-    let (seen, go) = (Arc::clone(&arrived), Arc::clone(&release));
+async fn stop_finishes_request_in_progress() {
+    // A daemon is stopped while it handles a request. The caller must get the complete
+    // response.
+    let (arrived, finish) = (Arc::new(Notify::new()), Arc::new(Notify::new()));
+    let (seen, go) = (Arc::clone(&arrived), Arc::clone(&finish));
     let handler = move |_req| {
         let (seen, go) = (Arc::clone(&seen), Arc::clone(&go));
         async move {
@@ -78,21 +78,21 @@
     stream.write_all(GET).await.unwrap();
     arrived.notified().await;
     stop.cancel();
-    // No new connection is taken any more.
+    // Wait until new connections are refused.
     while TcpStream::connect(address).await.is_ok() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    // Long enough for a connection to be cut off that ought not to be.
+    // Leave time for the connection to be closed by mistake.
     tokio::time::sleep(Duration::from_millis(100)).await;
-    release.notify_one();
+    finish.notify_one();
     assert!(read_to_end(&mut stream).await.ends_with("whole"));
-    timeout(BOUND, server).await.unwrap().unwrap();
+    timeout(TEST_TIMEOUT, server).await.unwrap().unwrap();
 }
 
 #[tokio::test]
-async fn serve_stop_bounded() {
-    // A caller never finishes. The stop of the daemon must not wait for it
-    // beyond the time to drain, or an upgrade hangs.
+async fn stop_is_bounded_by_drain_timeout() {
+    // A request never finishes. Shutdown must not wait for it beyond the drain timeout,
+    // or upgrades would hang.
     let cfg = ServerSettings {
         drain_timeout: Duration::from_millis(200),
         ..ServerSettings::default()
@@ -108,31 +108,34 @@
     stream.write_all(GET).await.unwrap();
     arrived.notified().await;
     stop.cancel();
-    timeout(BOUND, server).await.unwrap().unwrap();
+    timeout(TEST_TIMEOUT, server).await.unwrap().unwrap();
     assert_eq!(read_to_end(&mut stream).await, "");
 }
 
-/// Sends without end; returns once nobody takes it any more.
-async fn flood(mut tx: Sender<Bytes, std::io::Error>) {
+/// Sends data until the receiver is dropped.
+async fn send_until_dropped(mut tx: Sender<Bytes, std::io::Error>) {
     let chunk = Bytes::from(vec![b'x'; 64 << 10]);
     while tx.send_data(chunk.clone()).await.is_ok() {}
 }
 
 #[tokio::test]
-async fn serve_caller_stops_reading() {
-    // A caller opens a stream and stops to read, but its host goes on answering
-    // probes. Without a bound the stream and its target would be held for ever.
+async fn caller_that_stops_reading_is_disconnected() {
+    // A caller opens a stream and stops reading, while its host still acknowledges
+    // keepalive probes. Without a timeout, the stream and its target would be held forever.
     let cfg = ServerSettings {
         peer_timeout: Duration::from_secs(1),
         ..ServerSettings::default()
     };
-    let floods = Arc::new(Mutex::new(Vec::new()));
-    let started = Arc::clone(&floods);
+    let senders = Arc::new(Mutex::new(Vec::new()));
+    let started = Arc::clone(&senders);
     let handler = move |_req| {
         let started = Arc::clone(&started);
         async move {
             let (tx, body) = Channel::new(1);
-            started.lock().await.push(tokio::spawn(flood(tx)));
+            started
+                .lock()
+                .await
+                .push(tokio::spawn(send_until_dropped(tx)));
             let body: Body = body.boxed_unsync();
             Response::new(body)
         }
@@ -142,6 +145,6 @@
     stream.write_all(GET).await.unwrap();
     let mut first = [0; 16];
     stream.read_exact(&mut first).await.unwrap();
-    let flood = floods.lock().await.pop().unwrap();
-    timeout(BOUND, flood).await.unwrap().unwrap();
+    let sender = senders.lock().await.pop().unwrap();
+    timeout(TEST_TIMEOUT, sender).await.unwrap().unwrap();
 }
