--- a/crates/wire/src/gen/lovageramp.rs
+++ b/crates/wire/src/gen/lovageramp.rs
@@ -15,7 +15,7 @@
 pub mod frame {
     #[derive(Clone, PartialEq, ::prost::Oneof)]
     pub enum Body {
-        /// Handshake and heartbeat, consumed by the link itself.
+        /// Handshake and heartbeat, handled by the link itself.
         #[prost(message, tag = "10")]
         Hello(super::Hello),
         #[prost(message, tag = "11")]
@@ -107,7 +107,8 @@
         MapApplied(super::MapApplied),
     }
 }
-/// First frame of both sides: who speaks, and a nonce for the other's proof.
+/// The first frame in each direction: the identity of the sender and a nonce
+/// that the proofs cover.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Hello {
     #[prost(enumeration = "Role", tag = "1")]
@@ -121,7 +122,7 @@
     #[prost(uint32, tag = "5")]
     pub version: u32,
 }
-/// HMAC-SHA256 with the cluster key over both hellos.
+/// HMAC-SHA256, with the cluster key, of the sender's side and both hellos.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Proof {
     #[prost(bytes = "bytes", tag = "1")]
@@ -137,8 +138,8 @@
     #[prost(uint64, tag = "1")]
     pub sent: u64,
 }
-/// A message of the replicated log; `payload` is encoded by the control crate
-/// from the quorum crate's own types (see QuorumBody).
+/// A message of the consensus protocol for the replicated log. The control crate
+/// converts it from and to the types of the quorum crate.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct QuorumMessage {
     #[prost(uint64, tag = "1")]
@@ -166,7 +167,7 @@
         InstallSnapshot(super::InstallSnapshot),
         #[prost(message, tag = "15")]
         SnapshotReply(super::SnapshotReply),
-        /// A blank replica asks the leader to take it in as a learner.
+        /// A replica without data asks the leader to add it as a learner.
         #[prost(message, tag = "16")]
         Join(super::Join),
     }
@@ -193,7 +194,7 @@
     pub index: u64,
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// 0 command, 1 no-op, 2 membership change.
+    /// 0: command, 1: no-op, 2: membership change.
     #[prost(uint32, tag = "3")]
     pub kind: u32,
     #[prost(bytes = "bytes", tag = "4")]
@@ -209,7 +210,7 @@
     pub commit: u64,
     #[prost(message, repeated, tag = "4")]
     pub entries: ::prost::alloc::vec::Vec<LogEntry>,
-    /// Order number of the heartbeat round, echoed by the reply.
+    /// Sequence number of the heartbeat round, echoed in the reply.
     #[prost(uint64, tag = "5")]
     pub round: u64,
 }
@@ -217,7 +218,7 @@
 pub struct AppendReply {
     #[prost(bool, tag = "1")]
     pub accepted: bool,
-    /// Accepted: the last index that is synced. Refused: where to try next.
+    /// If accepted, the last index synced to disk; otherwise the index to try next.
     #[prost(uint64, tag = "2")]
     pub index: u64,
     #[prost(uint64, tag = "3")]
@@ -263,7 +264,7 @@
 /// A replica of the durable state.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Replica {
-    /// Identity of its disk.
+    /// Identity of the replica's disk.
     #[prost(uint64, tag = "1")]
     pub disk: u64,
     #[prost(string, tag = "2")]
@@ -271,7 +272,7 @@
     #[prost(string, tag = "3")]
     pub address: ::prost::alloc::string::String,
 }
-/// Who takes part in the replicated log.
+/// The members of the replicated log.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct ReplicaSet {
     #[prost(message, repeated, tag = "1")]
@@ -279,7 +280,7 @@
     #[prost(message, repeated, tag = "2")]
     pub learners: ::prost::alloc::vec::Vec<Replica>,
 }
-/// A snapshot as it lies on a control replica's disk.
+/// A snapshot as stored on the disk of a control replica.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct StoredSnapshot {
     #[prost(message, optional, tag = "1")]
@@ -292,7 +293,7 @@
 pub struct DurableState {
     #[prost(uint64, tag = "1")]
     pub now_ms: u64,
-    /// Each in the own format of its crate.
+    /// The following fields are encoded in the format of the crate that owns them.
     #[prost(bytes = "bytes", tag = "2")]
     pub notes: ::prost::bytes::Bytes,
     #[prost(bytes = "bytes", tag = "3")]
@@ -306,7 +307,8 @@
     #[prost(message, optional, tag = "7")]
     pub route_table: ::core::option::Option<RouteTable>,
 }
-/// A whole route table as its operator wrote it; the highest number holds.
+/// A complete route table as written by an operator; the one with the highest
+/// number is in force.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct RouteTable {
     #[prost(uint64, tag = "1")]
@@ -314,7 +316,7 @@
     #[prost(bytes = "bytes", tag = "2")]
     pub source: ::prost::bytes::Bytes,
 }
-/// What became of a route table that was handed in: the number held now.
+/// The result of submitting a route table: the number of the table now in force.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct RouteTableOutcome {
     #[prost(uint64, tag = "1")]
@@ -322,7 +324,7 @@
 }
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct RouteTableQuery {}
-/// An entry tells where callers reach it and which route table it goes by.
+/// Reports the address of an entry for callers and the route table it uses.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Report {
     #[prost(message, optional, tag = "1")]
@@ -330,17 +332,18 @@
 }
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Reported {
-    /// Addresses of the links of all replicas, as far as this one knows.
+    /// Link addresses of all replicas known to the sender.
     #[prost(string, repeated, tag = "1")]
     pub replicas: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
 }
+/// An entry as it announces itself to the control replicas.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Entrance {
     #[prost(string, tag = "1")]
     pub name: ::prost::alloc::string::String,
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// Counts the reports of this incarnation.
+    /// Sequence number of the report within this incarnation.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
     #[prost(string, tag = "4")]
@@ -350,14 +353,14 @@
     /// Address for callers, "ip:port".
     #[prost(string, tag = "6")]
     pub address: ::prost::alloc::string::String,
-    /// False while it takes no new callers.
+    /// False while the entry accepts no new callers.
     #[prost(bool, tag = "7")]
     pub open: bool,
-    /// Number of the route table in force there; 0 for none.
+    /// Number of the route table in force at the entry; 0 for none.
     #[prost(uint64, tag = "8")]
     pub table: u64,
 }
-/// What a target has told of itself.
+/// The last announcement received from a target.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Sighting {
     #[prost(string, tag = "1")]
@@ -372,10 +375,10 @@
     pub slots: u32,
     #[prost(enumeration = "Presence", tag = "6")]
     pub presence: i32,
-    /// Milliseconds since 1970 of the target's start, by its own clock.
+    /// Start time of the target by its own clock, in milliseconds since the Unix epoch.
     #[prost(uint64, tag = "7")]
     pub born: u64,
-    /// Counts what this incarnation tells.
+    /// Sequence number of the announcement within this incarnation.
     #[prost(uint64, tag = "8")]
     pub sequence: u64,
 }
@@ -388,19 +391,19 @@
     #[prost(message, repeated, tag = "3")]
     pub speeds: ::prost::alloc::vec::Vec<TargetSpeed>,
 }
-/// What an agent reports of the target beside it.
+/// The speed of a target, reported by its agent.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct TargetSpeed {
-    /// Where the target accepts requests, "ip:port".
+    /// Address on which the target accepts requests, "ip:port".
     #[prost(string, tag = "1")]
     pub address: ::prost::alloc::string::String,
-    /// How many times longer than usual it takes for its work, in thousandths.
+    /// Current processing time relative to the usual one, in thousandths.
     #[prost(uint32, tag = "2")]
     pub slowdown_permille: u32,
 }
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct SightingsTaken {}
-/// What a node tells of itself with each lease renewal.
+/// The state of a node, sent with each lease renewal.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct NodeInfo {
     #[prost(enumeration = "Role", tag = "1")]
@@ -411,19 +414,19 @@
     pub incarnation: u64,
     #[prost(string, tag = "4")]
     pub zone: ::prost::alloc::string::String,
-    /// Address of the node's own links, "ip:port".
+    /// Address on which the node accepts links, "ip:port".
     #[prost(string, tag = "5")]
     pub link_address: ::prost::alloc::string::String,
-    /// Entries: address for callers, "ip:port".
+    /// Entries only: address for callers, "ip:port".
     #[prost(string, tag = "6")]
     pub caller_address: ::prost::alloc::string::String,
     #[prost(bool, tag = "7")]
     pub leaving: bool,
-    /// Agents: what stands behind them.
+    /// Agents only: the target that the agent serves.
     #[prost(message, optional, tag = "8")]
     pub target: ::core::option::Option<Announcement>,
 }
-/// A target as its agent announces it.
+/// A target as announced by its agent.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Announcement {
     #[prost(string, tag = "1")]
@@ -461,18 +464,18 @@
     /// Number of the note in force at the node.
     #[prost(uint64, tag = "2")]
     pub note: u64,
-    /// Version of the member view that the node holds, and the term it is of.
+    /// Term and version of the node's member view.
     #[prost(uint64, tag = "3")]
     pub view_term: u64,
     #[prost(uint64, tag = "4")]
     pub view_version: u64,
     #[prost(uint64, tag = "5")]
     pub quarantine_version: u64,
-    /// Counts the node's renewals; 0 when it doesn't. One that is overtaken on its
-    /// way through a relay says nothing new.
+    /// Sequence number of the renewal; 0 if the node doesn't count them. A renewal that
+    /// a later one has overtaken in a relay is outdated.
     #[prost(uint64, tag = "6")]
     pub sequence: u64,
-    /// An entry's use of accounts; those used most, if there are many.
+    /// Entries only: use of accounts, limited to those used most.
     #[prost(message, repeated, tag = "7")]
     pub uses: ::prost::alloc::vec::Vec<AccountUse>,
 }
@@ -481,14 +484,15 @@
     /// Hash of the account's name.
     #[prost(fixed32, tag = "1")]
     pub account: u32,
-    /// What callers ask for, and the most that the entry gives out by the grants it
-    /// has, in ten-thousandths of the account's limits.
+    /// The demand of callers, and the maximum that the entry may admit under its
+    /// current grants, in ten-thousandths of the account's limits.
     #[prost(uint32, tag = "2")]
     pub demand: u32,
     #[prost(uint32, tag = "3")]
     pub held: u32,
 }
-/// The part of an account's limits that an entry may give out for a lease.
+/// The part of an account's limits that is granted to an entry for the duration of
+/// a lease.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct AccountPart {
     #[prost(fixed32, tag = "1")]
@@ -496,7 +500,7 @@
     #[prost(uint32, tag = "2")]
     pub part: u32,
 }
-/// A lease counts from when the node sent the renewal.
+/// The reply to a Renew. The lease starts when the node sent the renewal.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Renewed {
     #[prost(uint64, tag = "1")]
@@ -505,30 +509,32 @@
     pub note: u64,
     #[prost(uint32, tag = "3")]
     pub lease_ms: u32,
-    /// Set when the node's view is not the current one.
+    /// Set if the node's member view is outdated.
     #[prost(message, optional, tag = "4")]
     pub view: ::core::option::Option<MemberView>,
     #[prost(message, optional, tag = "5")]
     pub quarantine: ::core::option::Option<Quarantine>,
-    /// In a batch: place in `views`, counted from 1, and whether its quarantine is
-    /// for this node too.
+    /// In a batch: 1-based index into `views`, and whether the batch's quarantine
+    /// applies to this node.
     #[prost(uint32, tag = "6")]
     pub shared_view: u32,
     #[prost(bool, tag = "7")]
     pub shared_quarantine: bool,
-    /// Set by a relay: when to renew next, so that its nodes come together.
+    /// Set by a relay: delay until the next renewal, in milliseconds, so that the
+    /// renewals of its nodes arrive together.
     #[prost(uint32, tag = "8")]
     pub next_ms: u32,
     #[prost(message, repeated, tag = "9")]
     pub parts: ::prost::alloc::vec::Vec<AccountPart>,
 }
-/// The renewals of nodes of one availability zone, sent by one that passes them on.
+/// The renewals of several nodes of an availability zone, forwarded by a relay.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct RenewBatch {
     #[prost(message, repeated, tag = "1")]
     pub renewals: ::prost::alloc::vec::Vec<Renew>,
 }
-/// Answers in the order of the renewals; what is the same for several comes once.
+/// The replies in the order of the renewals; views shared by several nodes are sent
+/// once.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct RenewedBatch {
     #[prost(message, repeated, tag = "1")]
@@ -540,7 +546,7 @@
 }
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct NotLeader {
-    /// Name and address of the leader, empty when there is none.
+    /// Name and address of the leader; empty if there is none.
     #[prost(string, tag = "1")]
     pub leader: ::prost::alloc::string::String,
     #[prost(string, tag = "2")]
@@ -552,14 +558,14 @@
     pub term: u64,
     #[prost(uint64, tag = "2")]
     pub version: u64,
-    /// False while a new leader hasn't yet heard from all that live: then what
-    /// is missing here is not to be taken for gone.
+    /// False while a new leader may not have heard from all live nodes yet: nodes
+    /// missing from the view must not be treated as gone.
     #[prost(bool, tag = "3")]
     pub settled: bool,
     #[prost(message, repeated, tag = "4")]
     pub nodes: ::prost::alloc::vec::Vec<NodeInfo>,
-    /// Not 0: `nodes` and `gone` are only what changed since this version of the
-    /// same term.
+    /// If not 0, `nodes` and `gone` contain only the changes since this version of
+    /// the same term.
     #[prost(uint64, tag = "5")]
     pub since: u64,
     #[prost(message, repeated, tag = "6")]
@@ -588,10 +594,10 @@
 }
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Notes {
-    /// The notes that follow, as JSON, in order of number; or a snapshot.
+    /// The requested notes as JSON, ordered by number, unless `snapshot` is set.
     #[prost(bytes = "bytes", repeated, tag = "1")]
     pub notes: ::prost::alloc::vec::Vec<::prost::bytes::Bytes>,
-    /// The whole catalogue as JSON, when the node is far behind.
+    /// The whole catalogue as JSON, if the node is too far behind.
     #[prost(bytes = "bytes", tag = "2")]
     pub snapshot: ::prost::bytes::Bytes,
     #[prost(uint64, tag = "3")]
@@ -604,8 +610,8 @@
 }
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Command {
-    /// Milliseconds that the cluster has had a leader, set by the one that
-    /// orders the command.
+    /// Total time for which the cluster has had a leader, in milliseconds, set by the
+    /// leader that orders the command.
     #[prost(uint64, tag = "1")]
     pub now_ms: u64,
     #[prost(
@@ -658,7 +664,8 @@
     #[prost(string, tag = "2")]
     pub operator: ::prost::alloc::string::String,
 }
-/// A claim on a non-repeatable call, before anything is sent to a target.
+/// Claims the idempotency key of a non-repeatable call before anything is sent to
+/// a target.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Claim {
     #[prost(string, tag = "1")]
@@ -694,7 +701,7 @@
     pub enum Result {
         #[prost(message, tag = "4")]
         Answer(super::Answer),
-        /// The attempt's outcome can't be learnt any more.
+        /// The outcome of the attempt can no longer be determined.
         #[prost(message, tag = "5")]
         Unknown(super::Unknown),
     }
@@ -720,7 +727,7 @@
     #[prost(bytes = "bytes", tag = "3")]
     pub body: ::prost::bytes::Bytes,
 }
-/// The attempt is barred at its agent and never ran: the key is free again.
+/// Releases the key of an attempt that is barred at its agent and never ran.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Release {
     #[prost(string, tag = "1")]
@@ -730,14 +737,14 @@
     #[prost(bytes = "bytes", tag = "3")]
     pub attempt: ::prost::bytes::Bytes,
 }
-/// An operator has made sure that this attempt, of which nothing is known, can't
-/// run any more: its key is free again.
+/// Releases the key of an attempt with unknown outcome, after an operator has made
+/// sure that the attempt can't run any more.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Forget {
     #[prost(bytes = "bytes", tag = "1")]
     pub attempt: ::prost::bytes::Bytes,
 }
-/// The leader's settings of the ledger, where they differ from those in force.
+/// The leader's settings of the ledger, proposed if they differ from those in force.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct LedgerLimits {
     #[prost(uint64, tag = "1")]
@@ -793,7 +800,7 @@
     #[prost(bool, tag = "2")]
     pub draining: bool,
 }
-/// The answer to a Propose.
+/// The reply to a Propose.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Outcome {
     #[prost(uint64, tag = "1")]
@@ -826,7 +833,8 @@
         Map(super::MapDecision),
         #[prost(message, tag = "18")]
         Drain(super::DrainOutcome),
-        /// Not committed and never will be by this call, or not known to be.
+        /// The command was not and will not be committed by this call, or its result is
+        /// unknown.
         #[prost(message, tag = "19")]
         Unavailable(super::Unavailable),
         #[prost(message, tag = "20")]
@@ -841,12 +849,12 @@
 pub struct Unavailable {
     #[prost(string, tag = "1")]
     pub reason: ::prost::alloc::string::String,
-    /// True when the command may still be committed.
+    /// True if the command may still be committed.
     #[prost(bool, tag = "2")]
     pub maybe: bool,
     #[prost(uint32, tag = "3")]
     pub retry_after_ms: u32,
-    /// True when asking again at once is of no use, as while a disk is full.
+    /// True if an immediate retry is of no use, for example while a disk is full.
     #[prost(bool, tag = "4")]
     pub lasting: bool,
 }
@@ -863,7 +871,7 @@
     pub kind: i32,
     #[prost(uint64, tag = "2")]
     pub number: u64,
-    /// Who sent the note that holds the number, and its SHA-256.
+    /// Operator and SHA-256 digest of the accepted note with this number.
     #[prost(string, tag = "3")]
     pub operator: ::prost::alloc::string::String,
     #[prost(bytes = "bytes", tag = "4")]
@@ -888,9 +896,9 @@
     pub enum Kind {
         Unspecified = 0,
         Accepted = 1,
-        /// Same number and content as an accepted note: the first answer again.
+        /// Same number and content as an accepted note: the original answer is returned.
         Repeated = 2,
-        /// Same number, other content.
+        /// Same number, different content.
         Conflict = 3,
         /// The number isn't the next one.
         Gap = 4,
@@ -929,8 +937,8 @@
 pub struct ClaimOutcome {
     #[prost(enumeration = "claim_outcome::Kind", tag = "1")]
     pub kind: i32,
-    /// The attempt that holds the key; with UNKNOWN only if nobody has proved that
-    /// it ended: then its answer is still taken.
+    /// The attempt that holds the key. With UNKNOWN, only set if the attempt is not
+    /// proved to have ended; its answer is then still accepted.
     #[prost(bytes = "bytes", tag = "2")]
     pub attempt: ::prost::bytes::Bytes,
     #[prost(string, tag = "3")]
@@ -959,11 +967,11 @@
     pub enum Kind {
         Unspecified = 0,
         Claimed = 1,
-        /// Another attempt holds the key: attach to it at its agent.
+        /// Another attempt holds the key: attach to that attempt at its agent.
         Running = 2,
         Finished = 3,
         Unknown = 4,
-        /// Same key, other body.
+        /// Same key, different request.
         Mismatch = 5,
         /// The ledger is full.
         Full = 6,
@@ -999,7 +1007,7 @@
         }
     }
 }
-/// What the ledger holds after a Finish: the first result stays.
+/// The ledger's record after a Finish; the first result is kept.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct FinishOutcome {
     #[prost(bool, tag = "1")]
@@ -1042,8 +1050,8 @@
     /// The latest decision, commit or abort.
     #[prost(message, optional, tag = "2")]
     pub current: ::core::option::Option<MapDecision>,
-    /// The newest committed decisions, newest first, at most two: a rank that
-    /// restarts before the newest one's barrier step needs the one before it.
+    /// The latest committed decisions, newest first, at most two: a rank that restarts
+    /// before the barrier step of the newest one needs the preceding one.
     #[prost(message, repeated, tag = "3")]
     pub committed: ::prost::alloc::vec::Vec<MapDecision>,
 }
@@ -1061,7 +1069,8 @@
     pub commit: bool,
     #[prost(bytes = "bytes", tag = "6")]
     pub map: ::prost::bytes::Bytes,
-    /// False: refused, the fields above are what stands.
+    /// False if the proposal was rejected; the other fields then contain the decision
+    /// in force.
     #[prost(bool, tag = "7")]
     pub accepted: bool,
 }
@@ -1072,7 +1081,7 @@
     #[prost(bool, tag = "2")]
     pub draining: bool,
 }
-/// Linearizable reads, by read-index at the leader.
+/// A linearizable read (read index at the leader).
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Query {
     #[prost(oneof = "query::Body", tags = "1, 2, 3, 4, 5, 6, 7")]
@@ -1145,9 +1154,9 @@
         RouteTable(super::RouteTable),
     }
 }
-/// Asks an agent to run one attempt. The agent answers with StartReply at
-/// once and then sends AnswerHead, AnswerChunk and AnswerEnd on the link that
-/// attached last.
+/// Asks an agent to run an attempt. The agent replies with StartReply immediately
+/// and then sends AnswerHead, AnswerChunk and AnswerEnd on the link that attached
+/// last.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Start {
     #[prost(bytes = "bytes", tag = "1")]
@@ -1186,15 +1195,16 @@
     pub body: ::prost::bytes::Bytes,
     #[prost(string, tag = "18")]
     pub traceparent: ::prost::alloc::string::String,
-    /// Complete server-sent events that the caller has already been given.
+    /// Number of complete server-sent events that the caller has already received.
     #[prost(uint64, tag = "19")]
     pub resume_events: u64,
-    /// A non-repeatable call: its answer is kept until the ledger holds it.
+    /// True for a non-repeatable call: the answer is kept until the ledger has
+    /// recorded it.
     #[prost(bool, tag = "20")]
     pub keep: bool,
     #[prost(bytes = "bytes", tag = "21")]
     pub fingerprint: ::prost::bytes::Bytes,
-    /// Whether the entry's own lease was live when it sent this.
+    /// Whether the entry's lease was valid when it sent this message.
     #[prost(bool, tag = "22")]
     pub entry_leased: bool,
 }
@@ -1204,7 +1214,7 @@
     pub attempt: ::prost::bytes::Bytes,
     #[prost(bool, tag = "2")]
     pub accepted: bool,
-    /// Not accepted: nothing of the attempt ran or ever will.
+    /// Reason if not accepted; no part of the attempt has run or will run.
     #[prost(enumeration = "Refusal", tag = "3")]
     pub refusal: i32,
     #[prost(uint64, tag = "4")]
@@ -1227,7 +1237,8 @@
     #[prost(enumeration = "AttemptState", tag = "2")]
     pub state: i32,
 }
-/// Bars an attempt that has not started: it never will at this incarnation.
+/// Bars an attempt that has not started, so that it never starts at this
+/// incarnation.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Bar {
     #[prost(bytes = "bytes", tag = "1")]
@@ -1247,15 +1258,15 @@
     #[prost(bytes = "bytes", tag = "1")]
     pub attempt: ::prost::bytes::Bytes,
 }
-/// All bytes before `offset` have arrived and need not be kept; the agent
-/// keeps at most a window beyond it.
+/// Acknowledges all bytes before `offset`, which the agent can discard. The agent
+/// buffers at most one window beyond it.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Progress {
     #[prost(bytes = "bytes", tag = "1")]
     pub attempt: ::prost::bytes::Bytes,
     #[prost(uint64, tag = "2")]
     pub offset: u64,
-    /// The whole answer is recorded: forget the attempt.
+    /// The whole answer is recorded, and the agent can forget the attempt.
     #[prost(bool, tag = "3")]
     pub done: bool,
 }
@@ -1313,7 +1324,7 @@
     pub queued: u32,
     #[prost(uint32, tag = "5")]
     pub limit: u32,
-    /// Age of the figures when sent.
+    /// Age of the measurements when sent, in milliseconds.
     #[prost(uint32, tag = "6")]
     pub age_ms: u32,
     #[prost(bool, tag = "7")]
@@ -1341,7 +1352,7 @@
 pub struct CacheEvents {
     #[prost(uint64, tag = "1")]
     pub sequence: u64,
-    /// Hashes of prompt prefixes now held, and no longer held.
+    /// Hashes of the prompt prefixes added to and evicted from the cache.
     #[prost(fixed64, repeated, tag = "2")]
     pub stored: ::prost::alloc::vec::Vec<u64>,
     #[prost(fixed64, repeated, tag = "3")]
@@ -1355,12 +1366,12 @@
     pub window: u64,
     #[prost(message, repeated, tag = "3")]
     pub ranks: ::prost::alloc::vec::Vec<RankWindow>,
-    /// Asks for the formation alone, or answers that.
+    /// True for a request for the formation only, and for the reply to it.
     #[prost(bool, tag = "4")]
     pub about_formation: bool,
     #[prost(bool, tag = "5")]
     pub is_answer: bool,
-    /// Number of the formation in which the engine steps; 0 if it tells none.
+    /// Number of the engine's current formation; 0 if the engine doesn't report one.
     #[prost(uint64, tag = "6")]
     pub formation: u64,
     /// Ranks of that formation.
@@ -1373,15 +1384,15 @@
     pub rank: u32,
     #[prost(uint32, tag = "2")]
     pub step_us: u32,
-    /// Tokens by layer, then expert, row-major.
+    /// Token counts by layer and expert, in row-major order.
     #[prost(uint32, repeated, tag = "3")]
     pub tokens: ::prost::alloc::vec::Vec<u32>,
     #[prost(uint64, tag = "4")]
     pub step: u64,
     #[prost(uint64, tag = "5")]
     pub map_version: u64,
-    /// How many times longer than usual the rank takes for its work, in
-    /// thousandths; not set where the engine doesn't tell.
+    /// Current processing time of the rank relative to the usual one, in thousandths;
+    /// not set if the engine doesn't report it.
     #[prost(uint32, optional, tag = "6")]
     pub slowdown_permille: ::core::option::Option<u32>,
 }
@@ -1408,11 +1419,11 @@
     pub step: u64,
     #[prost(string, tag = "5")]
     pub reason: ::prost::alloc::string::String,
-    /// The highest fencing number seen, when refused.
+    /// If refused, the highest fencing number seen.
     #[prost(uint64, tag = "6")]
     pub fencing: u64,
 }
-/// The ranks promise not to pass `barrier_step` without the outcome.
+/// Asks the ranks not to pass `barrier_step` before they receive the outcome.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct HoldBarrier {
     #[prost(string, tag = "1")]
@@ -1423,7 +1434,7 @@
     pub version: u64,
     #[prost(uint64, tag = "4")]
     pub barrier_step: u64,
-    /// Formation of the engines that promise.
+    /// Formation of the engines that hold the barrier.
     #[prost(uint64, tag = "5")]
     pub formation: u64,
 }
@@ -1580,7 +1591,7 @@
 #[repr(i32)]
 pub enum AttemptState {
     Unspecified = 0,
-    /// Never heard of by this incarnation, and not barred.
+    /// Not known to this incarnation, and not barred.
     Absent = 1,
     Running = 2,
     Ended = 3,
@@ -1620,11 +1631,11 @@
 #[repr(i32)]
 pub enum End {
     Unspecified = 0,
-    /// The target ended its answer properly.
+    /// The target completed its answer.
     Whole = 1,
-    /// Nothing was written to the target.
+    /// Nothing was sent to the target.
     NotRun = 2,
-    /// The target was lost while the attempt ran.
+    /// The target or its answer was lost after the attempt had started.
     Lost = 3,
     Cancelled = 4,
     Deadline = 5,
