--- a/crates/wire/tests/assembly.rs
+++ b/crates/wire/tests/assembly.rs
@@ -1,5 +1,4 @@
-//! Answers put together from frames that are late, doubled, re-ordered,
-//! foreign or damaged.
+//! Assembly of answers from late, duplicate, reordered, foreign and corrupted frames.
 
 use bytes::Bytes;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -35,25 +34,25 @@
     })
 }
 
-fn run(frames: Vec<Body>) -> (Vec<u8>, Option<AnswerPart>) {
-    let mut assembly = AnswerAssembler::new("mine".into(), WINDOW);
+fn assemble(frames: Vec<Body>) -> (Vec<u8>, Option<AnswerPart>) {
+    let mut assembler = AnswerAssembler::new("mine".into(), WINDOW);
     let mut body = Vec::new();
     let mut last = None;
-    for piece in frames.into_iter().flat_map(|frame| assembly.push(frame)) {
-        match piece {
+    for part in frames.into_iter().flat_map(|frame| assembler.push(frame)) {
+        match part {
             AnswerPart::Head(_) => assert!(body.is_empty() && last.is_none()),
             AnswerPart::Data(data) => body.extend_from_slice(&data),
-            piece => assert!(last.replace(piece).is_none()),
+            part => assert!(last.replace(part).is_none()),
         }
     }
     (body, last)
 }
 
 #[test]
-fn take_former_attempt() {
-    // The frames of an attempt that was given up arrive after the next one
-    // started. The caller would find another answer mixed into its own.
-    let (body, last) = run(vec![
+fn push_ignores_former_attempt() {
+    // Frames of an abandoned attempt arrive after the next attempt has started. They must
+    // not be mixed into its answer.
+    let (body, last) = assemble(vec![
         head("former"),
         head("mine"),
         chunk("former", 0, b"theirs"),
@@ -67,10 +66,10 @@
 }
 
 #[test]
-fn take_overlapping_chunks() {
-    // A fresh link continues at an offset in the middle of a chunk that the
-    // old link delivers as well. No byte may come twice.
-    let (body, last) = run(vec![
+fn push_merges_overlapping_chunks() {
+    // A new link continues at an offset within a chunk that the old link also delivers.
+    // No byte may be returned twice.
+    let (body, last) = assemble(vec![
         head("mine"),
         chunk("mine", 0, b"abcd"),
         chunk("mine", 2, b"cdef"),
@@ -83,20 +82,20 @@
 }
 
 #[test]
-fn take_end_before_chunk() {
-    // The end overtakes the last chunk on a fresh link. The answer isn't
-    // whole until every byte is here.
+fn push_end_before_last_chunk() {
+    // On a new link, the end arrives before the last chunk. The answer must not be
+    // complete before all bytes have arrived.
     let mut frames = vec![head("mine"), end("mine", End::Whole, b"ab")];
-    assert_eq!(run(frames.clone()), (Vec::new(), None));
+    assert_eq!(assemble(frames.clone()), (Vec::new(), None));
     frames.push(chunk("mine", 0, b"ab"));
-    assert!(matches!(run(frames).1, Some(AnswerPart::Complete(_))));
+    assert!(matches!(assemble(frames).1, Some(AnswerPart::Complete(_))));
 }
 
 #[test]
-fn take_damaged_bytes() {
-    // A byte is changed on the way. The caller must see a broken answer,
-    // not a proper end.
-    let (_, last) = run(vec![
+fn push_detects_corrupted_bytes() {
+    // A byte is changed in transit. The answer must be reported as corrupted, not as
+    // complete.
+    let (_, last) = assemble(vec![
         head("mine"),
         chunk("mine", 0, b"aXc"),
         end("mine", End::Whole, b"abc"),
@@ -108,9 +107,9 @@
 }
 
 #[test]
-fn take_longer_than_end() {
-    // The agent counted fewer bytes than arrived; something doubled them.
-    let (_, last) = run(vec![
+fn push_detects_excess_bytes() {
+    // More bytes arrived than the agent counted, for example because of duplication.
+    let (_, last) = assemble(vec![
         head("mine"),
         chunk("mine", 0, b"abcabc"),
         end("mine", End::Whole, b"abc"),
@@ -122,9 +121,10 @@
 }
 
 #[test]
-fn take_lost_target() {
-    // The target is lost in mid-answer. What came stays, the end is broken.
-    let (body, last) = run(vec![
+fn push_reports_lost_target() {
+    // The target is lost during the answer. The bytes received so far are returned, and the
+    // answer is reported as failed.
+    let (body, last) = assemble(vec![
         head("mine"),
         chunk("mine", 0, b"ab"),
         end("mine", End::Lost, b"ab"),
@@ -138,16 +138,16 @@
 }
 
 #[test]
-fn take_beyond_window() {
-    // Chunks that never fit their gap must not fill the memory.
-    let mut assembly = AnswerAssembler::new("mine".into(), WINDOW);
-    assembly.push(head("mine"));
+fn push_bounds_buffered_chunks() {
+    // Chunks behind a gap that is never filled must not use unlimited memory.
+    let mut assembler = AnswerAssembler::new("mine".into(), WINDOW);
+    assembler.push(head("mine"));
     for at in 0..100 {
-        assembly.push(chunk("mine", 1 + at * 1000, &[0; 1000]));
+        assembler.push(chunk("mine", 1 + at * 1000, &[0; 1000]));
     }
-    assert_eq!(assembly.dropped(), 96);
-    assert!(assembly.push(chunk("mine", u64::MAX, b"xy")).is_empty());
-    assert!(assembly.push(Body::Beat(Beat { sent: 1 })).is_empty());
+    assert_eq!(assembler.dropped(), 96);
+    assert!(assembler.push(chunk("mine", u64::MAX, b"xy")).is_empty());
+    assert!(assembler.push(Body::Beat(Beat { sent: 1 })).is_empty());
 }
 
 #[derive(Clone, Debug)]
@@ -168,16 +168,16 @@
     }
 }
 
-/// Chunks of any place and length in any order, the end among them, and then
-/// one attachment anew from the offset reached.
-fn whole_after_any_order(schedule: Schedule) -> bool {
+/// Pushes chunks of any offset and length in any order, with the end among them, and then
+/// continues from the offset reached, as after a new `Attach`.
+fn completes_in_any_order(schedule: Schedule) -> bool {
     let Schedule {
         body,
         chunks,
         end_at,
     } = schedule;
-    let mut assembly = AnswerAssembler::new("mine".into(), WINDOW);
-    let mut got = Vec::new();
+    let mut assembler = AnswerAssembler::new("mine".into(), WINDOW);
+    let mut received = Vec::new();
     let mut last = None;
     let mut frames = vec![head("mine")];
     for (start, length) in chunks {
@@ -188,30 +188,33 @@
     }
     let end_at = usize::from(end_at) % (frames.len() + 1);
     frames.insert(end_at, end("mine", End::Whole, &body));
-    let mut feed = |assembly: &mut AnswerAssembler, frame| {
-        for piece in assembly.push(frame) {
-            match piece {
+    let mut feed = |assembler: &mut AnswerAssembler, frame| {
+        for part in assembler.push(frame) {
+            match part {
                 AnswerPart::Head(_) => {}
-                AnswerPart::Data(data) => got.extend_from_slice(&data),
-                piece => last = Some(piece),
+                AnswerPart::Data(data) => received.extend_from_slice(&data),
+                part => last = Some(part),
             }
         }
     };
     for frame in frames {
-        feed(&mut assembly, frame);
+        feed(&mut assembler, frame);
     }
-    let offset = usize::try_from(assembly.offset()).unwrap_or(usize::MAX);
-    feed(&mut assembly, chunk("mine", offset as u64, &body[offset..]));
-    feed(&mut assembly, end("mine", End::Whole, &body));
-    got == body && matches!(last, Some(AnswerPart::Complete(_)))
+    let offset = usize::try_from(assembler.offset()).unwrap_or(usize::MAX);
+    feed(
+        &mut assembler,
+        chunk("mine", offset as u64, &body[offset..]),
+    );
+    feed(&mut assembler, end("mine", End::Whole, &body));
+    received == body && matches!(last, Some(AnswerPart::Complete(_)))
 }
 
 #[test]
-fn take_any_order() {
-    // Frames of an old and a fresh link arrive in any order, cut anywhere.
-    // The caller sees its answer once, byte by byte.
+fn push_in_any_order() {
+    // Frames of an old and a new link arrive in any order and with any chunk boundaries.
+    // The caller must receive every byte of its answer exactly once.
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 77))
         .tests(3_000)
-        .quickcheck(whole_after_any_order as fn(Schedule) -> bool);
+        .quickcheck(completes_in_any_order as fn(Schedule) -> bool);
 }
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Frames as bytes.
+//! Encoding and decoding of frames.
 
 use bytes::{Bytes, BytesMut};
 use tokio_util::codec::{Decoder, Encoder};
@@ -6,7 +6,7 @@
 use wire::proto::frame::Body;
 use wire::proto::{AnswerChunk, Frame};
 
-const MAX: usize = 1024;
+const MAX_FRAME_BYTES: usize = 1024;
 
 fn chunk(offset: u64, length: usize) -> Frame {
     let chunk = AnswerChunk {
@@ -21,8 +21,8 @@
 }
 
 #[test]
-fn encode_one_behind_another() {
-    let mut codec = FrameCodec::new(MAX);
+fn encode_consecutive_frames() {
+    let mut codec = FrameCodec::new(MAX_FRAME_BYTES);
     let mut buf = BytesMut::new();
     let frames = [chunk(1, 0), Frame::default(), chunk(2, 900)];
     for frame in &frames {
@@ -36,13 +36,13 @@
 }
 
 #[test]
-fn encode_beyond_max() {
-    // A frame that the other side would refuse is not sent at all: half of it
-    // in the buffer would make nonsense of what follows.
-    let mut codec = FrameCodec::new(MAX);
+fn encode_rejects_oversized_frame() {
+    // A frame beyond the limit must not be written in part: the peer could not decode any
+    // of the frames that follow.
+    let mut codec = FrameCodec::new(MAX_FRAME_BYTES);
     let mut buf = BytesMut::new();
     codec.encode(chunk(1, 10), &mut buf).unwrap();
     let before = buf.clone();
-    assert!(codec.encode(chunk(2, MAX), &mut buf).is_err());
+    assert!(codec.encode(chunk(2, MAX_FRAME_BYTES), &mut buf).is_err());
     assert_eq!(buf, before);
 }
--- a/crates/wire/tests/link.rs
+++ b/crates/wire/tests/link.rs
@@ -1,4 +1,4 @@
-//! Links: calls, wrong keys, silence, bytes that are no frames.
+//! Links: calls, wrong keys, silent connections, invalid frames.
 
 use bytes::BytesMut;
 use quickcheck::{Gen, QuickCheck};
@@ -16,21 +16,21 @@
 use wire::proto::{FetchNotes, Notes};
 use wire::{ClusterKey, Error, FrameCodec, Identity, Incoming, Link, LinkSettings, Role};
 
-const WITHIN: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn key() -> ClusterKey {
     ClusterKey::from_bytes(b"a key of the cluster").unwrap()
 }
 
-fn quick() -> LinkSettings {
+fn test_settings() -> LinkSettings {
     LinkSettings {
         heartbeat_interval: Duration::from_millis(100),
-        dial_timeout: WITHIN,
+        dial_timeout: TIMEOUT,
         ..LinkSettings::default()
     }
 }
 
-fn entry() -> Identity {
+fn entry_identity() -> Identity {
     Identity::new(Role::Entry, "entry-1", 1)
 }
 
@@ -38,39 +38,39 @@
     TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap()
 }
 
-type Accepted = wire::Result<(Link, mpsc::Receiver<Incoming>)>;
+type AcceptResult = wire::Result<(Link, mpsc::Receiver<Incoming>)>;
 
-fn accept_one(listener: TcpListener, key: ClusterKey) -> tokio::task::JoinHandle<Accepted> {
+fn accept_one(listener: TcpListener, key: ClusterKey) -> tokio::task::JoinHandle<AcceptResult> {
     tokio::spawn(async move {
         let me = Identity::new(Role::Control, "control-1", 2);
         let (stream, _) = listener.accept().await.unwrap();
-        wire::accept(stream, &me, &key, &quick()).await
+        wire::accept(stream, &me, &key, &test_settings()).await
     })
 }
 
 #[tokio::test]
-async fn call_answered_by_number() {
+async fn replies_are_matched_by_call_number() {
     let listener = listen().await;
     let address = listener.local_addr().unwrap();
     let accepted = accept_one(listener, key());
-    let (link, _rx) = wire::dial(address, &entry(), &key(), &quick())
+    let (link, _rx) = wire::dial(address, &entry_identity(), &key(), &test_settings())
         .await
         .unwrap();
     let (other, mut rx) = accepted.await.unwrap().unwrap();
     assert_eq!(link.peer().name, "control-1");
-    assert_eq!(other.peer(), &entry());
+    assert_eq!(other.peer(), &entry_identity());
     tokio::spawn(async move {
-        let mut held = Vec::new();
+        let mut requests = Vec::new();
         while let Some(incoming) = rx.recv().await {
-            held.push(incoming);
-            if held.len() == 2 {
-                // The later request is answered first.
-                for incoming in held.drain(..).rev() {
-                    let Body::FetchNotes(ask) = incoming.body else {
+            requests.push(incoming);
+            if requests.len() == 2 {
+                // Reply to the later request first.
+                for incoming in requests.drain(..).rev() {
+                    let Body::FetchNotes(request) = incoming.body else {
                         panic!()
                     };
                     let notes = Notes {
-                        number: ask.after,
+                        number: request.after,
                         ..Notes::default()
                     };
                     incoming
@@ -82,29 +82,29 @@
             }
         }
     });
-    let ask = |after| link.call(Body::FetchNotes(FetchNotes { after }), WITHIN);
-    let (first, second) = tokio::join!(ask(5), ask(6));
+    let fetch = |after| link.call(Body::FetchNotes(FetchNotes { after }), TIMEOUT);
+    let (first, second) = tokio::join!(fetch(5), fetch(6));
     assert!(matches!(first.unwrap(), Body::Notes(notes) if notes.number == 5));
     assert!(matches!(second.unwrap(), Body::Notes(notes) if notes.number == 6));
 }
 
-/// A process is started with the key file of another deployment. Were it let in, it
-/// could order this deployment's targets about.
+/// A process is started with the key file of another deployment. It must be rejected, since
+/// it could otherwise control the targets of this deployment.
 #[tokio::test]
-async fn accept_wrong_key() {
+async fn accept_rejects_wrong_key() {
     let listener = listen().await;
     let address = listener.local_addr().unwrap();
     let accepted = accept_one(listener, key());
     let wrong = ClusterKey::from_bytes(b"the key of another cluster").unwrap();
-    let dialled = wire::dial(address, &entry(), &wrong, &quick()).await;
+    let dialled = wire::dial(address, &entry_identity(), &wrong, &test_settings()).await;
     assert!(matches!(dialled, Err(Error::Refused(_))));
     assert!(matches!(accepted.await.unwrap(), Err(Error::WrongKey)));
 }
 
-/// Somebody without the key sends our own hello and proof back to us. Without the
-/// side in the proof he would pass.
+/// A peer without the key reflects our own hello and proof. It must be rejected; without the
+/// side in the proof, it would be accepted.
 #[tokio::test]
-async fn dial_own_proof_sent_back() {
+async fn dial_rejects_reflected_proof() {
     let listener = listen().await;
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
@@ -114,109 +114,114 @@
             stream.write_all(&buf[..n]).await.unwrap();
         }
     });
-    let dialled = wire::dial(address, &entry(), &key(), &quick()).await;
+    let dialled = wire::dial(address, &entry_identity(), &key(), &test_settings()).await;
     assert!(matches!(dialled, Err(Error::WrongKey)));
 }
 
-/// A host that is just starting answers nothing yet. The kernel asks it again only
-/// after a second, and until then nobody would learn that it is up.
+/// A host that is just starting does not answer yet. The kernel retransmits the SYN only
+/// after one second; the connect timeout must expire earlier, so that dialling can be
+/// retried.
 #[tokio::test]
-async fn dial_unanswered() {
+async fn dial_times_out_without_answer() {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind((Ipv4Addr::LOCALHOST, 0).into()).unwrap();
     let address = socket.local_addr().unwrap();
-    // Beyond those that wait to be accepted, connections aren't answered.
+    // Once the accept queue is full, further connections aren't answered.
     let listener = socket.listen(1).unwrap();
-    let mut waiting = Vec::new();
+    let mut queued = Vec::new();
     while let Ok(Ok(stream)) =
         timeout(Duration::from_millis(300), TcpStream::connect(address)).await
     {
-        waiting.push(stream);
+        queued.push(stream);
     }
     let cfg = LinkSettings {
         connect_timeout: Duration::from_millis(50),
         dial_timeout: Duration::from_hours(1),
-        ..quick()
+        ..test_settings()
     };
-    let dialled = timeout(WITHIN, wire::dial(address, &entry(), &key(), &cfg)).await;
+    let dialled = timeout(
+        TIMEOUT,
+        wire::dial(address, &entry_identity(), &key(), &cfg),
+    )
+    .await;
     assert!(matches!(dialled, Ok(Err(Error::TimedOut))));
     drop(listener);
 }
 
-/// Copies bytes between two ends until told to swallow them.
-async fn copy(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, swallow: Arc<AtomicBool>) {
+/// Forwards bytes; discards them while `discard` is set.
+async fn forward(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, discard: Arc<AtomicBool>) {
     let mut buf = [0; 4096];
     while let Ok(n @ 1..) = from.read(&mut buf).await {
-        if !swallow.load(Ordering::SeqCst) && to.write_all(&buf[..n]).await.is_err() {
+        if !discard.load(Ordering::SeqCst) && to.write_all(&buf[..n]).await.is_err() {
             break;
         }
     }
 }
 
-/// Something between the two ends loses track of an open connection: no byte arrives
-/// any more and nothing fails. A user would wait for ever on an answer.
+/// A middlebox loses the state of an open connection: no bytes arrive any more, and no
+/// operation fails. The link must be closed, or callers would wait forever for an answer.
 #[tokio::test]
-async fn closed_after_silence() {
-    for (there, back) in [(true, true), (true, false), (false, true)] {
+async fn silent_link_is_closed() {
+    for (drop_forward, drop_back) in [(true, true), (true, false), (false, true)] {
         let listener = listen().await;
         let address = listener.local_addr().unwrap();
         let accepted = accept_one(listener, key());
         let relay = listen().await;
-        let through = relay.local_addr().unwrap();
-        let swallow = [
+        let relay_address = relay.local_addr().unwrap();
+        let discard = [
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicBool::new(false)),
         ];
-        let switches = swallow.clone();
+        let switches = discard.clone();
         tokio::spawn(async move {
             let (near, _) = relay.accept().await.unwrap();
             let far = TcpStream::connect(address).await.unwrap();
             let (near_rx, near_tx) = near.into_split();
             let (far_rx, far_tx) = far.into_split();
-            tokio::spawn(copy(near_rx, far_tx, switches[0].clone()));
-            tokio::spawn(copy(far_rx, near_tx, switches[1].clone()));
+            tokio::spawn(forward(near_rx, far_tx, switches[0].clone()));
+            tokio::spawn(forward(far_rx, near_tx, switches[1].clone()));
         });
-        let (link, _rx) = wire::dial(through, &entry(), &key(), &quick())
+        let (link, _rx) = wire::dial(relay_address, &entry_identity(), &key(), &test_settings())
             .await
             .unwrap();
         let (other, _other_rx) = accepted.await.unwrap().unwrap();
-        swallow[0].store(there, Ordering::SeqCst);
-        swallow[1].store(back, Ordering::SeqCst);
-        let gone = async {
-            if back {
+        discard[0].store(drop_forward, Ordering::SeqCst);
+        discard[1].store(drop_back, Ordering::SeqCst);
+        let closed = async {
+            if drop_back {
                 link.closed().await;
             }
-            if there {
+            if drop_forward {
                 other.closed().await;
             }
         };
-        tokio::time::timeout(WITHIN, gone).await.unwrap();
+        tokio::time::timeout(TIMEOUT, closed).await.unwrap();
     }
 }
 
-/// A request is handed to a link that is already down. Only then may the caller be
-/// told that nothing ran.
+/// A request is sent on a link that is already down. Only in this case may the caller be told
+/// that the request did not run.
 #[tokio::test]
-async fn call_link_down_not_sent() {
+async fn call_on_closed_link_is_not_sent() {
     let listener = listen().await;
     let address = listener.local_addr().unwrap();
     let accepted = accept_one(listener, key());
-    let (link, _rx) = wire::dial(address, &entry(), &key(), &quick())
+    let (link, _rx) = wire::dial(address, &entry_identity(), &key(), &test_settings())
         .await
         .unwrap();
     let (other, _other_rx) = accepted.await.unwrap().unwrap();
-    let ask = || link.call(Body::FetchNotes(FetchNotes { after: 1 }), WITHIN);
+    let fetch = || link.call(Body::FetchNotes(FetchNotes { after: 1 }), TIMEOUT);
     let closing = async { other.close() };
-    let (in_flight, ()) = tokio::join!(ask(), closing);
+    let (in_flight, ()) = tokio::join!(fetch(), closing);
     assert!(!in_flight.unwrap_err().is_not_sent());
-    assert!(ask().await.unwrap_err().is_not_sent());
+    assert!(fetch().await.unwrap_err().is_not_sent());
 }
 
-/// Something that isn't ours talks to a link's port. A daemon that fell over at its
-/// bytes would take all its callers with it.
+/// An unrelated program connects to a link's port. Its bytes must not make the daemon panic,
+/// which would affect all callers.
 #[test]
-fn decode_any_bytes() {
-    fn decodes((bytes, length): (Vec<u8>, u8)) -> bool {
+fn decode_arbitrary_bytes_does_not_panic() {
+    fn property((bytes, length): (Vec<u8>, u8)) -> bool {
         let mut buf = BytesMut::new();
         buf.extend_from_slice(&u32::from(length).to_be_bytes());
         buf.extend(bytes);
@@ -227,5 +232,5 @@
     QuickCheck::new()
         .tests(2_000)
         .rng(Gen::from_size_and_seed(300, 11))
-        .quickcheck(decodes as fn((Vec<u8>, u8)) -> bool);
+        .quickcheck(property as fn((Vec<u8>, u8)) -> bool);
 }
