--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -11,7 +11,7 @@
 use crate::replica::{Msg, Replica, Start};
 use crate::settings::Settings;
 use crate::target_cache::TargetCache;
-use admin::Token;
+use admin::OperatorToken;
 use eyre::{Result, WrapErr, eyre};
 use ractor::{Actor, ActorRef};
 use std::net::SocketAddr;
@@ -68,7 +68,7 @@
         let http_address = listeners.http.local_addr()?;
         let mut settings = settings;
         settings.advertise.get_or_insert(link_address);
-        let token = Token::from_file(&settings.operator_token_file)?;
+        let token = OperatorToken::from_file(&settings.operator_token_file)?;
         let disk_closed = CancellationToken::new();
         bootstrap_if_needed(&settings)?;
         let start = open(settings.clone(), ops, disk_closed.clone()).await?;
@@ -80,8 +80,8 @@
             .await
             .map_err(|e| eyre!("replica can't start: {e}"))?;
         let cfg = LinkSettings {
-            beat: settings.timing.link_heartbeat,
-            redial_pause: (
+            heartbeat_interval: settings.timing.link_heartbeat,
+            redial_backoff: (
                 min_redial_delay(settings.timing.max_redial_delay),
                 settings.timing.max_redial_delay,
             ),
@@ -285,7 +285,7 @@
 
 /// Returns the delay before the first redial of a link; it doubles from there.
 fn min_redial_delay(max: Duration) -> Duration {
-    LinkSettings::default().redial_pause.0.min(max)
+    LinkSettings::default().redial_backoff.0.min(max)
 }
 
 async fn until_stopped(stop: CancellationToken, work: impl Future<Output = ()>) {
--- a/crates/control/src/gossip.rs
+++ b/crates/control/src/gossip.rs
@@ -12,7 +12,7 @@
 use tokio::time::{MissedTickBehavior, interval, timeout};
 use wire::proto::frame::Body;
 use wire::proto::{Report, Reported, RouteTable, Sightings, SightingsTaken};
-use wire::{Link, entrance, entrance_message, sighting, sighting_message};
+use wire::{Link, entrance_from_proto, entrance_to_proto, sighting_from_proto, sighting_to_proto};
 
 /// Interval between two messages that tell entries and other replicas which targets
 /// have checked in again. Targets check in about once a second, so a shorter interval
@@ -62,7 +62,7 @@
     ) -> Gossip {
         let mut board = ReportStore::default();
         let now = Instant::now();
-        for cached in cache.read().into_iter().filter_map(sighting) {
+        for cached in cache.read().into_iter().filter_map(sighting_from_proto) {
             log::info!(target_id = cached.id.as_str(); "target restored from the cache file");
             board.record_target(cached, now);
         }
@@ -111,7 +111,7 @@
         if !known {
             self.add_entry(link).await;
         }
-        if let Some(state) = report.entrance.and_then(entrance) {
+        if let Some(state) = report.entrance.and_then(entrance_from_proto) {
             let heard = self.board().record_entry(state.clone(), Instant::now());
             if heard == ReportEffect::Changed {
                 log::info!(
@@ -134,7 +134,7 @@
         let targets = self
             .board()
             .targets()
-            .map(|(target, _)| sighting_message(target))
+            .map(|(target, _)| sighting_to_proto(target))
             .collect();
         let sightings = targets_message(targets);
         for body in [Body::RouteTable(table), sightings] {
@@ -149,17 +149,21 @@
     pub(crate) async fn handle_sightings(&self, received: Sightings, call: u64, link: &Link) {
         let now = Instant::now();
         let mut changed = Vec::new();
-        for target in received.targets.into_iter().filter_map(sighting) {
+        for target in received.targets.into_iter().filter_map(sighting_from_proto) {
             match self.board().record_target(target.clone(), now) {
                 ReportEffect::Changed => {
                     *lock(&self.shared.cache_state) = CacheState::Dirty;
-                    changed.push(sighting_message(&target));
+                    changed.push(sighting_to_proto(&target));
                 }
                 ReportEffect::Refreshed => drop(lock(&self.shared.refreshed).insert(target.id)),
                 ReportEffect::Stale => {}
             }
         }
-        for entry in received.entrances.into_iter().filter_map(entrance) {
+        for entry in received
+            .entrances
+            .into_iter()
+            .filter_map(entrance_from_proto)
+        {
             self.board().record_entry(entry, now);
         }
         if !changed.is_empty() {
@@ -232,7 +236,7 @@
     /// Sends the state of a target to entries and replicas. Returns whether all entries
     /// connected here, or a majority of replicas, have confirmed it.
     async fn disseminate(&self, target: &TargetReport) -> bool {
-        let update = targets_message(vec![sighting_message(target)]);
+        let update = targets_message(vec![sighting_to_proto(target)]);
         let entries = self.entries();
         let replicas = self.shared.replica_links.open();
         let confirm = |link: Link| {
@@ -265,8 +269,8 @@
             let mut board = self.board();
             board.remove_silent(TARGET_EXPIRY, Instant::now());
             let rows = refreshed.iter().filter_map(|id| board.target(id));
-            let rows: Vec<_> = rows.map(sighting_message).collect();
-            let entrances = board.entries().map(|(entry, _)| entrance_message(entry));
+            let rows: Vec<_> = rows.map(sighting_to_proto).collect();
+            let entrances = board.entries().map(|(entry, _)| entrance_to_proto(entry));
             (rows, entrances.collect())
         };
         self.write_cache_if_dirty();
@@ -295,7 +299,7 @@
         let targets = board.targets().map(|(target, _)| target);
         let rows = targets
             .filter(|target| target.presence != Presence::Gone)
-            .map(sighting_message)
+            .map(sighting_to_proto)
             .collect();
         drop(board);
         let gossip = self.clone();
--- a/crates/control/src/state_machine/notes.rs
+++ b/crates/control/src/state_machine/notes.rs
@@ -2,7 +2,7 @@
 
 use super::StateMachine;
 use bytes::Bytes;
-use note::{Accepted, Submission};
+use note::{AcceptedNote, Submission};
 use wire::proto::note_outcome::Kind;
 use wire::proto::{Finding, NoteOutcome, Notes, SubmitNote};
 
@@ -34,7 +34,7 @@
     /// longer kept or too large.
     pub(crate) fn notes_after(&self, after: u64) -> Notes {
         let number = self.history.catalogue().number();
-        let notes = self.history.after(after).unwrap_or_default();
+        let notes = self.history.notes_after(after).unwrap_or_default();
         let size: usize = notes.iter().map(Bytes::len).sum();
         let complete = after.saturating_add(notes.len() as u64) == number;
         if after >= number || complete && size <= MAX_NOTE_BYTES {
@@ -52,7 +52,7 @@
     }
 }
 
-fn note_outcome(kind: Kind, number: u64, accepted: Option<&Accepted>) -> NoteOutcome {
+fn note_outcome(kind: Kind, number: u64, accepted: Option<&AcceptedNote>) -> NoteOutcome {
     NoteOutcome {
         kind: kind.into(),
         number,
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use admin::{HalfClose, Operators, Pages, ServerSettings, Token};
+use admin::{HalfClose, MonitoringRoutes, OperatorRoutes, OperatorToken, ServerSettings};
 use eyre::WrapErr;
 use node::{Follower, FollowerSettings};
 use ractor::{Actor, ActorRef};
@@ -45,7 +45,7 @@
             .wrap_err_with(|| format!("cluster key {}", settings.cluster_key_file.display()))?;
         let identity = Identity::new(Role::Entry, &settings.name, rand::random());
         let link = LinkSettings {
-            beat: settings.timing.beat,
+            heartbeat_interval: settings.timing.beat,
             ..LinkSettings::default()
         };
         let info = info(&settings, &identity, http);
@@ -140,14 +140,14 @@
     }
 }
 
-fn operators(settings: &Settings, follower: &Follower) -> eyre::Result<Option<Operators>> {
+fn operators(settings: &Settings, follower: &Follower) -> eyre::Result<Option<OperatorRoutes>> {
     let Some(file) = &settings.operator_token_file else {
         return Ok(None);
     };
-    let token = Token::from_file(file)?;
+    let token = OperatorToken::from_file(file)?;
     let timeout = settings.timing.commit;
     let (propose, query) = (follower.clone(), follower.clone());
-    Ok(Some(Operators::new(
+    Ok(Some(OperatorRoutes::new(
         token,
         Arc::new(move |command| {
             let follower = propose.clone();
@@ -164,11 +164,11 @@
     settings: &Arc<Settings>,
     context: ExecutionContext,
     registry: Arc<admin::Registry>,
-    operators: Option<Operators>,
+    operators: Option<OperatorRoutes>,
     shutting_down: &Arc<AtomicBool>,
 ) -> Frontend {
     let (follower, is_shutting_down) = (context.follower.clone(), Arc::clone(shutting_down));
-    let pages = Pages::new(registry, move || ready(&follower, &is_shutting_down));
+    let pages = MonitoringRoutes::new(registry, move || ready(&follower, &is_shutting_down));
     Frontend {
         settings: Arc::clone(settings),
         context,
@@ -196,13 +196,13 @@
     ended: watch::Sender<bool>,
 ) {
     let cfg = ServerSettings {
-        connections: frontend.settings.limits.connections,
+        max_connections: frontend.settings.limits.connections,
         head_timeout: frontend.settings.timing.receive,
-        drain: frontend.settings.timing.drain,
-        half_close: HalfClose::Gone,
+        drain_timeout: frontend.settings.timing.drain,
+        half_close: HalfClose::Disconnect,
         ..ServerSettings::default()
     };
-    let drain = cfg.drain;
+    let drain = cfg.drain_timeout;
     let tracker = frontend.context.tracker.clone();
     admin::serve(listeners.http, cfg, stop, move |req| {
         frontend.clone().handle(req)
--- a/crates/entry/src/http/frontend.rs
+++ b/crates/entry/src/http/frontend.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use admin::{Operators, Pages, Problem, Response, read_body};
+use admin::{MonitoringRoutes, OperatorRoutes, Problem, Response, read_body};
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::header::HeaderValue;
@@ -30,8 +30,8 @@
 pub(crate) struct Frontend {
     pub(crate) settings: Arc<Settings>,
     pub(crate) context: ExecutionContext,
-    pub(crate) pages: Pages,
-    pub(crate) operators: Option<Operators>,
+    pub(crate) pages: MonitoringRoutes,
+    pub(crate) operators: Option<OperatorRoutes>,
 }
 
 /// The head of an authenticated request.
@@ -54,14 +54,14 @@
             return page;
         }
         let id = format!("{:032x}", rand::random::<u128>());
-        if Operators::owns(path) {
+        if OperatorRoutes::matches(path) {
             return self.handle_operator(req, &id).await;
         }
         if path == "/v1/addresses" {
             return self.addresses(&req);
         }
         let span = tracing::info_span!("request", request = %id);
-        trace::adopt(&span, &headers::traceparent(req.headers()));
+        trace::set_parent(&span, &headers::traceparent(req.headers()));
         let arrived = Instant::now();
         let open = &self.context.metrics.open_requests;
         open.inc();
@@ -116,7 +116,7 @@
             query: req.uri().query().map(str::to_owned),
             headers: req.headers().clone(),
             account,
-            traceparent: trace::context(&span, &traceparent),
+            traceparent: trace::traceparent(&span, &traceparent),
         };
         if request.path == "/v1/chat/completions" {
             if request.method != Method::POST {
@@ -178,7 +178,7 @@
         }
         let max = self.settings.timing.timeout_max;
         let deadline = headers::deadline(&request.headers, request.arrived, offered.timeout, max)?;
-        let repeats = offered.repeats(request.method.as_str());
+        let repeats = offered.is_repeatable(request.method.as_str());
         let key = if repeats {
             None
         } else {
--- a/crates/entry/src/http/headers.rs
+++ b/crates/entry/src/http/headers.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use admin::{HOP_HEADERS, Problem, named_by_connection};
+use admin::{HOP_BY_HOP_HEADERS, Problem, connection_options};
 use bytes::Bytes;
 use hyper::{HeaderMap, StatusCode};
 use wire::proto::Header;
@@ -23,7 +23,7 @@
 
 /// Headers of a caller's request that are forwarded to the target.
 pub(super) fn forwarded(headers: &HeaderMap) -> Vec<Header> {
-    let connection_headers = named_by_connection(headers);
+    let connection_headers = connection_options(headers);
     let forwarded = headers.iter().filter(|(name, _)| {
         is_forwarded(name.as_str())
             && !connection_headers
@@ -43,7 +43,7 @@
 }
 
 fn is_forwarded(name: &str) -> bool {
-    !HOP_HEADERS.contains(&name) && !RESERVED.contains(&name)
+    !HOP_BY_HOP_HEADERS.contains(&name) && !RESERVED.contains(&name)
 }
 
 /// Computes the deadline from the `x-request-timeout-ms` header, or from `default`
@@ -74,7 +74,7 @@
 pub(super) fn traceparent(headers: &HeaderMap) -> String {
     let value = headers.get("traceparent").and_then(|v| v.to_str().ok());
     value
-        .filter(|text| trace::is_valid(text))
+        .filter(|text| trace::is_valid_traceparent(text))
         .unwrap_or_default()
         .to_owned()
 }
--- a/crates/entry/src/links/manager.rs
+++ b/crates/entry/src/links/manager.rs
@@ -138,7 +138,7 @@
 impl LinkManagerState {
     fn tick(&mut self, myself: &ActorRef<LinkEvent>) {
         let now = Instant::now();
-        let idle_timeout = self.args.link.beat * IDLE_HEARTBEATS;
+        let idle_timeout = self.args.link.heartbeat_interval * IDLE_HEARTBEATS;
         for known in self.agents.values().filter(|known| !known.selected) {
             known.agent.release_if_idle(now, idle_timeout);
         }
@@ -197,7 +197,7 @@
         now: Instant,
         announced_targets: &[AnnouncedTarget],
     ) -> BTreeMap<String, u32> {
-        let grace = self.args.link.beat;
+        let grace = self.args.link.heartbeat_interval;
         for announced in announced_targets {
             if let Some(known) = self.agents.get_mut(&announced.target) {
                 known.update_unavailable_since(now, announced);
--- a/crates/entry/src/placement/pool_state.rs
+++ b/crates/entry/src/placement/pool_state.rs
@@ -236,8 +236,8 @@
             .values()
             .find(|target| target.key == choice.target)?;
         let group = match &target.announced.offer {
-            note::Offer::Group(group) => group.clone(),
-            note::Offer::Service(_) => String::new(),
+            note::Assignment::Group(group) => group.clone(),
+            note::Assignment::Service(_) => String::new(),
         };
         Some(Assignment {
             agent: Arc::clone(&target.agent),
--- a/crates/entry/src/work/attempt.rs
+++ b/crates/entry/src/work/attempt.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 use wire::proto::frame::Body;
 use wire::proto::{Attach, AttemptState, Bar, BarReply, Cancel, Progress, Refusal, Start};
-use wire::{Assembly, Link, Piece};
+use wire::{AnswerAssembler, AnswerPart, Link};
 
 use crate::Timing;
 use crate::links::{Agent, SubscriptionId};
@@ -38,8 +38,8 @@
     subscription: SubscriptionId,
     frames: mpsc::UnboundedReceiver<Body>,
     link: watch::Receiver<Option<Link>>,
-    assembly: Assembly,
-    pieces: VecDeque<Piece>,
+    assembly: AnswerAssembler,
+    pieces: VecDeque<AnswerPart>,
     acknowledged_offset: u64,
     abandon_policy: AbandonPolicy,
     ended: bool,
@@ -76,7 +76,7 @@
 #[derive(Debug)]
 pub(crate) enum AttemptEvent {
     /// A part of the answer.
-    Piece(Piece),
+    Piece(AnswerPart),
     /// The incarnation of the agent has ended, or the agent is unreachable.
     Lost,
     /// No byte arrived within the stall timeout.
@@ -187,7 +187,7 @@
         Attempt {
             subscription,
             frames,
-            assembly: Assembly::new(id.clone(), window),
+            assembly: AnswerAssembler::new(id.clone(), window),
             agent: Arc::clone(agent),
             id,
             link,
@@ -227,8 +227,9 @@
     pub(crate) async fn next(&mut self, deadline: Instant) -> AttemptEvent {
         loop {
             if let Some(piece) = self.pieces.pop_front() {
-                self.ended |= matches!(piece, Piece::Whole(_) | Piece::Broken(_));
-                if matches!(piece, Piece::Whole(_)) && self.abandon_policy == AbandonPolicy::Cancel
+                self.ended |= matches!(piece, AnswerPart::Complete(_) | AnswerPart::Failed(_));
+                if matches!(piece, AnswerPart::Complete(_))
+                    && self.abandon_policy == AbandonPolicy::Cancel
                 {
                     // The answer is not needed again, and the agent visits all kept
                     // answers at each tick.
@@ -237,14 +238,14 @@
                 return AttemptEvent::Piece(piece);
             }
             if let Ok(frame) = self.frames.try_recv() {
-                self.pieces.extend(self.assembly.take(frame));
+                self.pieces.extend(self.assembly.push(frame));
                 continue;
             }
             let left = deadline.saturating_duration_since(Instant::now());
             let timeout = self.next_timeout(left);
             tokio::select! {
                 frame = self.frames.recv() => match frame {
-                    Some(frame) => self.pieces.extend(self.assembly.take(frame)),
+                    Some(frame) => self.pieces.extend(self.assembly.push(frame)),
                     None => return AttemptEvent::Lost,
                 },
                 changed = self.link.changed() => {
--- a/crates/entry/src/work/buffered.rs
+++ b/crates/entry/src/work/buffered.rs
@@ -5,7 +5,7 @@
 use admin::Problem;
 use bytes::BytesMut;
 use route::AttemptResult;
-use wire::Piece;
+use wire::AnswerPart;
 use wire::proto::{AnswerEnd, AnswerHead};
 
 use super::answer::Answer;
@@ -76,18 +76,18 @@
             return Err(failure);
         }
         match event {
-            AttemptEvent::Piece(Piece::Head(received)) => {
+            AttemptEvent::Piece(AnswerPart::Head(received)) => {
                 on_first_byte();
                 head = Some(received);
             }
-            AttemptEvent::Piece(Piece::Data(data)) if body.len() + data.len() > max => {
+            AttemptEvent::Piece(AnswerPart::Data(data)) if body.len() + data.len() > max => {
                 return Err(Failure::TooLarge);
             }
-            AttemptEvent::Piece(Piece::Data(data)) => {
+            AttemptEvent::Piece(AnswerPart::Data(data)) => {
                 body.extend_from_slice(&data);
                 attempt.acknowledge().await;
             }
-            AttemptEvent::Piece(Piece::Whole(end)) => {
+            AttemptEvent::Piece(AnswerPart::Complete(end)) => {
                 let head = head.ok_or(Failure::Lost)?;
                 let answer = Answer {
                     status: head.status,
--- a/crates/entry/src/work/failure.rs
+++ b/crates/entry/src/work/failure.rs
@@ -3,7 +3,7 @@
 use admin::Ran;
 use route::AttemptResult;
 use wire::proto::{AnswerEnd, End};
-use wire::{Broken, Piece};
+use wire::{AnswerFailure, AnswerPart};
 
 use super::attempt::AttemptEvent;
 
@@ -62,10 +62,11 @@
     /// Returns the failure that an event of an attempt represents, if any.
     pub(crate) fn from_event(event: &AttemptEvent) -> Option<Failure> {
         match event {
-            AttemptEvent::Piece(Piece::Broken(Broken::Ended(end))) => Some(Failure::from_end(end)),
-            AttemptEvent::Piece(Piece::Broken(Broken::Damaged(_))) | AttemptEvent::Lost => {
-                Some(Failure::Lost)
+            AttemptEvent::Piece(AnswerPart::Failed(AnswerFailure::Aborted(end))) => {
+                Some(Failure::from_end(end))
             }
+            AttemptEvent::Piece(AnswerPart::Failed(AnswerFailure::Corrupted(_)))
+            | AttemptEvent::Lost => Some(Failure::Lost),
             AttemptEvent::Piece(_) => None,
             AttemptEvent::Stalled => Some(Failure::Stalled),
             AttemptEvent::DeadlinePassed => Some(Failure::DeadlinePassed),
--- a/crates/entry/src/work/stream.rs
+++ b/crates/entry/src/work/stream.rs
@@ -8,7 +8,7 @@
 use route::AttemptResult;
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
-use wire::Piece;
+use wire::AnswerPart;
 use wire::proto::AnswerHead;
 
 use super::answer::{EventBody, StreamAnswer};
@@ -58,7 +58,7 @@
         return Err(failure);
     }
     match event {
-        AttemptEvent::Piece(Piece::Head(head)) => Ok(head),
+        AttemptEvent::Piece(AnswerPart::Head(head)) => Ok(head),
         // The assembly always yields the head first.
         _ => Err(Failure::Lost),
     }
@@ -163,7 +163,7 @@
                 return ForwardOutcome::Failed(failure);
             }
             match event {
-                AttemptEvent::Piece(Piece::Data(data)) => {
+                AttemptEvent::Piece(AnswerPart::Data(data)) => {
                     running.placed.record_first_byte();
                     self.splitter.push(&data);
                     if let Some(outcome) = self.send_events().await {
@@ -172,12 +172,12 @@
                     running.attempt.acknowledge().await;
                 }
                 // The target reports completion; the events must be complete as well.
-                AttemptEvent::Piece(Piece::Whole(end)) if self.splitter.is_complete() => {
+                AttemptEvent::Piece(AnswerPart::Complete(end)) if self.splitter.is_complete() => {
                     self.execution.permit.set_used(used_tokens(&end));
                     return ForwardOutcome::Complete;
                 }
                 // A resumed attempt sends its own head.
-                AttemptEvent::Piece(Piece::Head(head)) if is_event_stream(&head) => {}
+                AttemptEvent::Piece(AnswerPart::Head(head)) if is_event_stream(&head) => {}
                 _ => return ForwardOutcome::Failed(Failure::Lost),
             }
         }
--- a/crates/node/src/follower.rs
+++ b/crates/node/src/follower.rs
@@ -20,7 +20,7 @@
     AccountUse, Announcement, Command, MemberView, NodeInfo, Outcome, Propose, Quarantine, Query,
     QueryReply, Sightings, Unavailable, command, outcome, query,
 };
-use wire::{Error, Identity, Incoming, Link, Result, redial, target_speed_message};
+use wire::{Error, Identity, Incoming, Link, Result, redial, target_speed_to_proto};
 
 /// When callers should retry after control could not be reached.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
@@ -206,7 +206,7 @@
     /// it to the entries. Returns whether a replica confirmed it.
     pub async fn report_speed(&self, speed: TargetSpeed, within: Duration) -> bool {
         let report = Body::Sightings(Sightings {
-            speeds: vec![target_speed_message(&speed)],
+            speeds: vec![target_speed_to_proto(&speed)],
             ..Sightings::default()
         });
         notify_any_replica(&self.shared, &report, within).await
--- a/crates/node/src/renewer.rs
+++ b/crates/node/src/renewer.rs
@@ -94,7 +94,7 @@
     if let Some(renewed) = &renewed {
         let next = Duration::from_millis(u64::from(renewed.next_ms));
         shared.set_next_delay((!next.is_zero()).then_some(next));
-        let min_idle = shared.cfg.link.beat * IDLE_LINK_HEARTBEATS;
+        let min_idle = shared.cfg.link.heartbeat_interval * IDLE_LINK_HEARTBEATS;
         shared.control_links.close_if_idle(sent, min_idle);
     } else {
         sent = Instant::now();
--- a/crates/node/src/watcher.rs
+++ b/crates/node/src/watcher.rs
@@ -13,7 +13,7 @@
 use tokio_util::task::AbortOnDropHandle;
 use wire::proto::frame::Body;
 use wire::proto::{Report, SightingsTaken};
-use wire::{ClusterKey, Identity, Incoming, Link, LinkSettings, entrance_message, redial};
+use wire::{ClusterKey, Identity, Incoming, Link, LinkSettings, entrance_to_proto, redial};
 
 /// Decodes a route table from the document that the operator submitted.
 pub type DecodeRouteTable = fn(&[u8]) -> Result<Table, cfg::Findings>;
@@ -154,7 +154,7 @@
 async fn send_reports(link: Link, state: Arc<WatcherState>, interval: Duration) {
     let mut own_report = state.own_report();
     loop {
-        let entrance = entrance_message(&state.next_report());
+        let entrance = entrance_to_proto(&state.next_report());
         own_report.mark_unchanged();
         let report = Body::Report(Report {
             entrance: Some(entrance),
--- a/crates/node/src/watcher_state.rs
+++ b/crates/node/src/watcher_state.rs
@@ -9,7 +9,7 @@
 use table::Table;
 use tokio::sync::watch;
 use wire::proto::{RouteTable, Sightings};
-use wire::{sighting, target_speed};
+use wire::{sighting_from_proto, target_speed_from_proto};
 
 /// How long the report of a silent target is kept. Such a target gets no work by then,
 /// and no other node needs its last report from here.
@@ -107,7 +107,11 @@
     pub(crate) fn apply_sightings(&self, sightings: Sightings, now: Instant) {
         let mut changed = false;
         let mut reports = lock(&self.reports);
-        for report in sightings.targets.into_iter().filter_map(sighting) {
+        for report in sightings
+            .targets
+            .into_iter()
+            .filter_map(sighting_from_proto)
+        {
             let (id, presence) = (report.id.clone(), report.presence);
             let effect = reports.record_target(report, now);
             if effect == ReportEffect::Changed {
@@ -115,7 +119,7 @@
             }
             changed |= effect != ReportEffect::Stale;
         }
-        for speed in sightings.speeds.iter().filter_map(target_speed) {
+        for speed in sightings.speeds.iter().filter_map(target_speed_from_proto) {
             changed |= apply_speed(&mut reports, speed, now);
         }
         reports.remove_silent(SILENT_TARGET_RETENTION, now);
--- a/crates/note/src/item.rs
+++ b/crates/note/src/item.rs
@@ -1,11 +1,11 @@
-//! One thing on offer, of whichever kind.
+//! An item of the catalogue, of any kind.
 
 use cfg::Reader;
 use serde_json::Value;
 
-use crate::{Account, Group, Kind, Model, Offer, Service, Target};
+use crate::{Account, Assignment, Group, Kind, Model, Service, Target};
 
-/// One thing on offer.
+/// An item of the catalogue.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Item {
     /// A client account.
@@ -21,7 +21,7 @@
 }
 
 impl Item {
-    /// The item's kind.
+    /// Returns the item's kind.
     ///
     /// ```
     /// let model = note::Model { name: "m".into(), versions: vec![], adapters: vec![] };
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The item's name, unique among its kind.
+    /// Returns the item's name, which is unique within its kind.
     ///
     /// ```
     /// let model = note::Model { name: "m".into(), versions: vec![], adapters: vec![] };
@@ -55,13 +55,13 @@
         }
     }
 
-    /// The kind and name of what this item refers to.
+    /// Returns the kind and name of the item that this one refers to, if any.
     pub(crate) fn reference(&self) -> Option<(Kind, &str)> {
         match self {
             Item::Group(group) => Some((Kind::Model, &group.model)),
-            Item::Target(target) => Some(match &target.offer {
-                Offer::Group(name) => (Kind::Group, name),
-                Offer::Service(name) => (Kind::Service, name),
+            Item::Target(target) => Some(match &target.assignment {
+                Assignment::Group(name) => (Kind::Group, name),
+                Assignment::Service(name) => (Kind::Service, name),
             }),
             Item::Account(_) | Item::Model(_) | Item::Service(_) => None,
         }
--- a/crates/note/src/lib.rs
+++ b/crates/note/src/lib.rs
@@ -1,10 +1,10 @@
-//! Release notes and the catalogue they make.
+//! Release notes and the catalogue that results from them.
 //!
-//! A release note lists what is added, changed and withdrawn. A note is first
-//! checked whole against the [`Catalogue`] in force, with all findings at
-//! once, and then applied whole or not at all. [`History`] numbers the notes
-//! and settles what a resent or competing note means; every replica that takes
-//! the same submissions in the same order holds the same history.
+//! A release note lists the items that it adds, changes and withdraws. A note is
+//! first validated against the current [`Catalogue`], reporting all findings at
+//! once, and then applied atomically. [`History`] accepts notes in order of their
+//! number and resolves resubmitted and conflicting ones; replicas that process the
+//! same submissions in the same order hold equal histories.
 //!
 //! ```
 //! let json = br#"{"number": 1, "added": [
@@ -26,11 +26,12 @@
 //! );
 //! ```
 
-mod accepted;
+mod accepted_note;
 mod account;
+mod assignment;
 mod catalogue;
 mod check;
-mod checked;
+mod checked_note;
 mod digest;
 mod group;
 mod history;
@@ -39,18 +40,18 @@
 mod model;
 mod name;
 mod note;
-mod offer;
 mod service;
 mod submission;
 mod target;
 mod weights;
 mod withdrawal;
 
-pub use accepted::Accepted;
+pub use accepted_note::AcceptedNote;
 pub use account::Account;
+pub use assignment::Assignment;
 pub use catalogue::Catalogue;
 pub use cfg::{Finding, Findings};
-pub use checked::Checked;
+pub use checked_note::CheckedNote;
 pub use digest::Digest;
 pub use group::Group;
 pub use history::History;
@@ -58,7 +59,6 @@
 pub use kind::Kind;
 pub use model::Model;
 pub use note::Note;
-pub use offer::Offer;
 pub use service::Service;
 pub use submission::Submission;
 pub use target::Target;
--- /dev/null
+++ b/crates/wire/src/convert.rs
@@ -0,0 +1,101 @@
+//! Conversion between discovery types and their protobuf messages.
+
+use crate::proto;
+use member::{EntryReport, Presence, TargetReport, TargetSpeed};
+
+/// Converts the announcement of a target to its message.
+#[must_use]
+pub fn sighting_to_proto(sighting: &TargetReport) -> proto::Sighting {
+    let presence = match sighting.presence {
+        Presence::Ready => proto::Presence::Ready,
+        Presence::Draining => proto::Presence::Draining,
+        Presence::Gone => proto::Presence::Gone,
+    };
+    proto::Sighting {
+        id: sighting.id.clone(),
+        service: sighting.service.clone(),
+        address: sighting.address.to_string(),
+        zone: sighting.zone.clone(),
+        slots: sighting.slots,
+        presence: presence.into(),
+        born: sighting.started_ms,
+        sequence: sighting.sequence,
+    }
+}
+
+/// Converts a message to the announcement of a target. Returns `None` if the message is
+/// invalid.
+#[must_use]
+pub fn sighting_from_proto(message: proto::Sighting) -> Option<TargetReport> {
+    let presence = match message.presence() {
+        proto::Presence::Ready => Presence::Ready,
+        proto::Presence::Draining => Presence::Draining,
+        proto::Presence::Gone => Presence::Gone,
+        proto::Presence::Unspecified => return None,
+    };
+    Some(TargetReport {
+        address: message.address.parse().ok()?,
+        id: message.id,
+        service: message.service,
+        zone: message.zone,
+        slots: message.slots,
+        presence,
+        started_ms: message.born,
+        sequence: message.sequence,
+    })
+}
+
+/// Converts the reported speed of a target to its message.
+#[must_use]
+#[allow(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "the cast saturates, and larger slowdowns need not be distinguished"
+)]
+pub fn target_speed_to_proto(speed: &TargetSpeed) -> proto::TargetSpeed {
+    proto::TargetSpeed {
+        address: speed.address.to_string(),
+        slowdown_permille: (speed.slowdown * 1e3) as u32,
+    }
+}
+
+/// Converts a message to the reported speed of a target. Returns `None` if the message is
+/// invalid.
+#[must_use]
+pub fn target_speed_from_proto(message: &proto::TargetSpeed) -> Option<TargetSpeed> {
+    Some(TargetSpeed {
+        address: message.address.parse().ok()?,
+        slowdown: f64::from(message.slowdown_permille) / 1e3,
+    })
+}
+
+/// Converts the announcement of an entry to its message.
+#[must_use]
+pub fn entrance_to_proto(entrance: &EntryReport) -> proto::Entrance {
+    proto::Entrance {
+        name: entrance.name.clone(),
+        incarnation: entrance.incarnation,
+        sequence: entrance.sequence,
+        zone: entrance.zone.clone(),
+        region: entrance.region.clone(),
+        address: entrance.address.to_string(),
+        open: entrance.open,
+        table: entrance.table,
+    }
+}
+
+/// Converts a message to the announcement of an entry. Returns `None` if the message is
+/// invalid.
+#[must_use]
+pub fn entrance_from_proto(message: proto::Entrance) -> Option<EntryReport> {
+    Some(EntryReport {
+        address: message.address.parse().ok()?,
+        name: message.name,
+        incarnation: message.incarnation,
+        sequence: message.sequence,
+        zone: message.zone,
+        region: message.region,
+        open: message.open,
+        table: message.table,
+    })
+}
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,9 @@
-//! Messages, framing and links between lovageramp's own processes.
+//! Messages, framing and links between the processes of lovageramp.
 //!
-//! A [`Link`] is one authenticated TCP connection that carries [`proto::Frame`]s both
-//! ways: one-way messages, and calls with their replies. Both sides beat; a connection
-//! that stays silent for three beats is closed, so that its owner dials a fresh one.
+//! A [`Link`] is an authenticated TCP connection that carries [`proto::Frame`]s in both
+//! directions: one-way messages, and calls with their replies. Both sides send heartbeats; a
+//! connection without any traffic for three heartbeat intervals is closed, so that its owner
+//! can reconnect.
 //!
 //! ```
 //! use std::net::Ipv4Addr;
@@ -36,9 +37,9 @@
 //!
 //! let me = Identity::new(Role::Entry, "entry-1", 2);
 //! let (link, _rx) = wire::dial(address, &me, &key, &cfg).await?;
-//! let ask = Body::FetchNotes(FetchNotes { after: 6 });
-//! let answer = link.call(ask, Duration::from_secs(5)).await?;
-//! assert!(matches!(answer, Body::Notes(notes) if notes.number == 7));
+//! let request = Body::FetchNotes(FetchNotes { after: 6 });
+//! let reply = link.call(request, Duration::from_secs(5)).await?;
+//! assert!(matches!(reply, Body::Notes(notes) if notes.number == 7));
 //! link.close();
 //! # server.await.map_err(std::io::Error::other)??;
 //! # Ok(())
@@ -46,18 +47,18 @@
 //! # }
 //! ```
 
-mod assembly;
+mod answer_assembler;
+mod answer_part;
 mod codec;
 mod connect;
+mod convert;
 mod error;
 mod handshake;
 mod identity;
 mod key;
 mod link;
-mod piece;
 mod redial;
 mod settings;
-mod told;
 
 /// The generated message types; see `proto/lovageramp.proto`.
 #[allow(
@@ -69,17 +70,18 @@
 #[path = "gen/lovageramp.rs"]
 pub mod proto;
 
-pub use crate::assembly::Assembly;
+pub use crate::answer_assembler::AnswerAssembler;
+pub use crate::answer_part::{AnswerFailure, AnswerPart};
 pub use crate::codec::FrameCodec;
 pub use crate::connect::{accept, dial};
+pub use crate::convert::{
+    entrance_from_proto, entrance_to_proto, sighting_from_proto, sighting_to_proto,
+    target_speed_from_proto, target_speed_to_proto,
+};
 pub use crate::error::{Error, Result};
 pub use crate::identity::Identity;
 pub use crate::key::ClusterKey;
 pub use crate::link::{Incoming, Link};
-pub use crate::piece::{Broken, Piece};
 pub use crate::proto::Role;
 pub use crate::redial::redial;
 pub use crate::settings::LinkSettings;
-pub use crate::told::{
-    entrance, entrance_message, sighting, sighting_message, target_speed, target_speed_message,
-};
