--- a/crates/agent/benches/streams.rs
+++ b/crates/agent/benches/streams.rs
@@ -128,8 +128,8 @@
 async fn peer() {
     let control = FakeControl::start().await;
     let cfg = EngineSettings {
-        step: Duration::ZERO,
-        limit: 10_000,
+        step_time: Duration::ZERO,
+        max_running: 10_000,
         ..EngineSettings::default()
     };
     let engine = Engine::start(cfg).await.unwrap();
@@ -144,7 +144,7 @@
     while let Some(Ok(line)) = lines.next() {
         match line.split_once(' ') {
             Some(("open", count)) => {
-                engine.fault(Fault::Stall);
+                engine.inject_fault(Fault::Stall);
                 let count: u128 = count.parse().unwrap();
                 for attempt in opened..count {
                     entry
@@ -165,8 +165,8 @@
                     entry.cancel(&id(attempt)).await;
                 }
                 wait_until("all ended", async || all_ended(&entry, opened)).await;
-                engine.clear();
-                wait_until("none runs", async || engine.running() == 0).await;
+                engine.clear_faults();
+                wait_until("none runs", async || engine.running_requests() == 0).await;
                 println!("closed");
             }
             None if line == "stream" => println!("{}", stream(&entry, incarnation).await),
@@ -176,7 +176,10 @@
 }
 
 async fn wait_running(engine: &Engine, count: u128) {
-    wait_until("all run", async || u128::from(engine.running()) == count).await;
+    wait_until("all run", async || {
+        u128::from(engine.running_requests()) == count
+    })
+    .await;
 }
 
 fn all_ended(entry: &TestEntry, opened: u128) -> bool {
--- a/crates/agent/tests/answers.rs
+++ b/crates/agent/tests/answers.rs
@@ -30,7 +30,10 @@
     start.traceparent = traceparent.into();
     entry.start_accepted(start).await;
     let body = entry.wait_complete(&id(1)).await;
-    assert_eq!(engine.seen()[0].header("traceparent"), Some(traceparent));
+    assert_eq!(
+        engine.requests()[0].header("traceparent"),
+        Some(traceparent)
+    );
     assert!(body.ends_with(b"data: [DONE]\n\n"));
     let end = entry.wait_ended(&id(1)).await.1.unwrap();
     assert_eq!(end.usage.unwrap().completion_tokens, 20);
@@ -60,7 +63,7 @@
     again.body = fixture.chat(1, 400).body;
     fresh.start_accepted(again).await;
     assert_eq!(fresh.wait_complete(&id(2)).await, resumed);
-    assert_eq!(engine.seen().len(), 2);
+    assert_eq!(engine.requests().len(), 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -90,7 +93,7 @@
 async fn streams_200_at_once() {
     // Two hundred answers share one link. None may contain a byte of another.
     let cfg = EngineSettings {
-        limit: 512,
+        max_running: 512,
         ..EngineSettings::default()
     };
     let engine = Engine::start(cfg).await.unwrap();
@@ -123,8 +126,8 @@
     let engine = engine().await;
     let fixture = Fixture::engine(&engine, json!({})).await;
     let entry = fixture.connect_entry().await;
-    for (attempt, fault) in [(1, Fault::EndEarly(5)), (2, Fault::Cut(5))] {
-        engine.fault(fault);
+    for (attempt, fault) in [(1, Fault::EndEarly(5)), (2, Fault::CloseAfter(5))] {
+        engine.inject_fault(fault);
         entry.start_accepted(fixture.chat(attempt, 20)).await;
         let (body, end) = entry.wait_ended(&id(attempt)).await;
         assert!(!body.is_empty());
@@ -132,7 +135,7 @@
             panic!("truncated answer passed for complete: {end:?}");
         };
         assert_eq!(end.end(), End::Lost);
-        engine.clear();
+        engine.clear_faults();
     }
     assert!(fixture.control.crashes().is_empty());
 }
@@ -147,7 +150,7 @@
     let entry = fixture.connect_entry().await;
     entry.start_accepted(fixture.chat(1, 100_000)).await;
     wait_until("some of it came", async || entry.received_len(&id(1)) > 100).await;
-    engine.fault(Fault::Silent);
+    engine.inject_fault(Fault::Unresponsive);
     let (_, end) = entry.wait_ended(&id(1)).await;
     assert!(matches!(end, Err(Broken::Ended(end)) if end.end() == End::Lost));
     assert!(fixture.control.crashes().is_empty());
@@ -158,7 +161,7 @@
     // The caller stops reading. No more than the window is sent, the engine waits,
     // and memory stays bounded. Once the caller reads again, the rest arrives.
     let cfg = EngineSettings {
-        step: Duration::ZERO,
+        step_time: Duration::ZERO,
         ..EngineSettings::default()
     };
     let engine = Engine::start(cfg).await.unwrap();
@@ -218,5 +221,5 @@
         second.attach(&id(1), 0).await == AttemptState::Forgotten
     })
     .await;
-    assert_eq!(service.count("lot-4711", "/lots"), 1);
+    assert_eq!(service.request_count("lot-4711", "/lots"), 1);
 }
--- a/crates/agent/tests/crashes.rs
+++ b/crates/agent/tests/crashes.rs
@@ -24,13 +24,13 @@
     // crashed and be reported together, once. If an unrelated request were reported
     // again on its own, it would be taken for the cause.
     let engine = engine().await;
-    engine.fault(Fault::CrashOn("poison".into()));
+    engine.inject_fault(Fault::CrashOn("poison".into()));
     let fixture = Fixture::engine(&engine, json!({})).await;
     let entry = fixture.connect_entry().await;
     for attempt in 1..=5 {
         entry.start_accepted(fixture.chat(attempt, 100_000)).await;
     }
-    wait_until("they run", async || engine.running() == 5).await;
+    wait_until("they run", async || engine.running_requests() == 5).await;
     let body = r#"{"model":"burl-notes","stream":true,"max_tokens":50,"user":"poison"}"#;
     let poison = Start {
         body: body.into(),
@@ -63,7 +63,7 @@
     let fixture = Fixture::engine_via_proxy(&proxy).await;
     let entry = fixture.connect_entry().await;
     entry.start_accepted(fixture.chat(1, 100_000)).await;
-    wait_until("it runs", async || engine.running() == 1).await;
+    wait_until("it runs", async || engine.running_requests() == 1).await;
     engine.restart().await.unwrap();
     let (_, end) = entry.wait_ended(&id(1)).await;
     assert_eq!(ending(end), End::Crashed);
@@ -77,7 +77,7 @@
         .start_until_accepted(|attempt| fixture.chat(attempt, 100_000))
         .await;
     wait_until("some of it came", async || entry.received_len(&next) > 0).await;
-    engine.fault(Fault::Cut(1));
+    engine.inject_fault(Fault::CloseAfter(1));
     let (_, end) = entry.wait_ended(&next).await;
     assert_eq!(ending(end), End::Lost);
     assert_eq!(fixture.control.crashes().len(), 1);
@@ -93,7 +93,7 @@
     let entry = fixture.connect_entry().await;
     entry.start_accepted(fixture.chat(1, 100_000)).await;
     entry.start_accepted(fixture.chat(2, 100_000)).await;
-    wait_until("they run", async || engine.running() == 2).await;
+    wait_until("they run", async || engine.running_requests() == 2).await;
     engine.restart().await.unwrap();
     let _ = entry.wait_ended(&id(1)).await;
     let _ = entry.wait_ended(&id(2)).await;
@@ -132,12 +132,12 @@
         entry.start(start).await.refusal() == Refusal::Suspect
     })
     .await;
-    let seen = engine.seen().len();
+    let seen = engine.requests().len();
     assert_eq!(
         entry.start_refused(fixture.chat(1, 4)).await,
         Refusal::Suspect
     );
-    assert_eq!(engine.seen().len(), seen);
+    assert_eq!(engine.requests().len(), seen);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -151,10 +151,10 @@
     let entry = fixture.connect_entry().await;
     proxy.set_hold_open(true);
     entry.start_accepted(fixture.chat(1, 100_000)).await;
-    wait_until("it runs", async || engine.running() == 1).await;
+    wait_until("it runs", async || engine.running_requests() == 1).await;
     proxy.set_hold_open(false);
     entry.start_accepted(fixture.chat(2, 100_000)).await;
-    wait_until("they run", async || engine.running() == 2).await;
+    wait_until("they run", async || engine.running_requests() == 2).await;
     engine.restart().await.unwrap();
     for attempt in 1..=2 {
         let (_, end) = entry.wait_ended(&id(attempt)).await;
--- a/crates/agent/tests/kept.rs
+++ b/crates/agent/tests/kept.rs
@@ -371,7 +371,7 @@
     let entry = fixture.connect_entry().await;
     entry.start_accepted(fixture.chat(1, 4)).await;
     entry.wait_complete(&id(1)).await;
-    engine.fault(Fault::CrashOn("poison".into()));
+    engine.inject_fault(Fault::CrashOn("poison".into()));
     let body = r#"{"model":"burl-notes","stream":true,"max_tokens":50,"user":"poison"}"#;
     let poison = Start {
         body: body.into(),
@@ -398,12 +398,12 @@
     let entry = fixture.connect_entry().await;
     entry.start_accepted(fixture.chat(1, 4)).await;
     entry.wait_complete(&id(1)).await;
-    engine.fault(Fault::Cut(1));
+    engine.inject_fault(Fault::CloseAfter(1));
     entry.start_accepted(fixture.chat(2, 100_000)).await;
     let (_, end) = entry.wait_ended(&id(2)).await;
     assert_eq!(ending(end), End::Lost);
     assert!(fixture.control.crashes().is_empty());
-    engine.clear();
+    engine.clear_faults();
     wait_until("the next one runs", async || {
         let next = entry
             .start_until_accepted(|attempt| fixture.chat(attempt, 4))
--- a/crates/agent/tests/leaving.rs
+++ b/crates/agent/tests/leaving.rs
@@ -41,12 +41,12 @@
     })
     .await;
     let second = shut_down(&fixture);
-    let seen = engine.seen().len();
+    let seen = engine.requests().len();
     assert_eq!(
         entry.start_refused(fixture.chat(99, 4)).await,
         Refusal::Leaving
     );
-    assert_eq!(engine.seen().len(), seen);
+    assert_eq!(engine.requests().len(), seen);
     for attempt in 0..10 {
         assert!(
             entry
@@ -147,9 +147,9 @@
     let fixture = Fixture::engine(&engine, grace.clone()).await;
     let entry = fixture.connect_entry().await;
     entry.start_accepted(fixture.chat(1, 1_000_000)).await;
-    wait_until("it runs", async || engine.running() == 1).await;
+    wait_until("it runs", async || engine.running_requests() == 1).await;
     entry.link.close();
-    wait_until("it was stopped", async || engine.running() == 0).await;
+    wait_until("it was stopped", async || engine.running_requests() == 0).await;
 
     let cfg = ServiceSettings {
         delay: Duration::from_millis(800),
--- a/crates/agent/tests/maps.rs
+++ b/crates/agent/tests/maps.rs
@@ -34,8 +34,8 @@
                 ranks: vec![rank],
                 popularity: vec![300, 10, 10, 10, 10, 10],
                 collective: Some(collective.address()),
-                fencing,
-                waits: true,
+                fencing_check: fencing,
+                waits_for_map: true,
                 ..EngineSettings::default()
             };
             engines.push(Engine::start(cfg).await.unwrap());
@@ -59,7 +59,7 @@
     }
 
     fn step(&self, rank: usize) -> u64 {
-        self.engines[rank].map()["step"].as_u64().unwrap()
+        self.engines[rank].map_state()["step"].as_u64().unwrap()
     }
 
     /// Asserts that all ranks used the same map versions from the same steps on, up
@@ -83,7 +83,7 @@
         wait_until("all ranks use a new map", async || {
             self.engines
                 .iter()
-                .all(|engine| engine.map()["version"].as_u64() > Some(0))
+                .all(|engine| engine.map_state()["version"].as_u64() > Some(0))
         })
         .await;
     }
@@ -141,7 +141,7 @@
         group.control.commits_dropped() > 0
     })
     .await;
-    let held = |engine: &Engine| !engine.map()["held"].is_null();
+    let held = |engine: &Engine| !engine.map_state()["held"].is_null();
     assert!(group.engines.iter().all(held));
     let fencing = group.control.standing().fencing;
 
--- a/crates/agent/tests/nonsense.rs
+++ b/crates/agent/tests/nonsense.rs
@@ -173,5 +173,5 @@
         .start_until_accepted(|attempt| fixture.chat(attempt, 20))
         .await;
     entry.wait_complete(&attempt).await;
-    wait_until("nothing runs", async || engine.running() == 0).await;
+    wait_until("nothing runs", async || engine.running_requests() == 0).await;
 }
--- a/crates/agent/tests/orders.rs
+++ b/crates/agent/tests/orders.rs
@@ -9,7 +9,7 @@
 
 async fn engine(fencing: FencingCheck) -> Engine {
     let cfg = EngineSettings {
-        fencing,
+        fencing_check: fencing,
         ..EngineSettings::default()
     };
     Engine::start(cfg).await.unwrap()
@@ -33,7 +33,7 @@
     commands.send(6, stage(2)).await.unwrap();
     let refused = commands.send(5, stage(3)).await;
     assert_eq!(refused, Err(CommandFailure::Fenced { highest: 6 }));
-    assert_eq!(engine.map()["staged"], 2);
+    assert_eq!(engine.map_state()["staged"], 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -45,7 +45,7 @@
     fixture.control.set_fencing(9);
     let refused = fixture.agent.commands().send(8, stage(2)).await;
     assert_eq!(refused, Err(CommandFailure::Fenced { highest: 9 }));
-    assert!(engine.seen().is_empty());
+    assert!(engine.requests().is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -60,7 +60,7 @@
         refused,
         Err(CommandFailure::Failed(Failure::NotRun(_)))
     ));
-    assert!(engine.seen().is_empty());
+    assert!(engine.requests().is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -82,26 +82,26 @@
     let engine = engine(FencingCheck::Ignore).await;
     let fixture = Fixture::engine(&engine, json!({})).await;
     let commands = fixture.agent.commands();
-    engine.fault(Fault::LoseAnswer);
+    engine.inject_fault(Fault::DropResponse);
     let staged = commands.send(1, stage(2)).await.unwrap();
     assert!(staged.ready);
-    let step = engine.map()["step"].as_u64().unwrap() + 1_000_000;
+    let step = engine.map_state()["step"].as_u64().unwrap() + 1_000_000;
     let held = commands
         .send(1, MapCommand::Hold { version: 2, step })
         .await;
     assert!(held.unwrap().held);
     let commit = MapCommand::Commit { version: 2, step };
     assert!(commands.send(1, commit.clone()).await.unwrap().known);
-    assert_eq!(engine.map()["next"], 2);
+    assert_eq!(engine.map_state()["next"], 2);
     // Sent again by a coordinator that lost the answer.
     assert!(commands.send(1, commit).await.unwrap().known);
     let abort = MapCommand::Abort { version: 3, step };
     commands.send(1, stage(3)).await.unwrap();
     assert!(commands.send(1, abort).await.unwrap().known);
-    assert_eq!(engine.map()["staged"], json!(null));
-    assert_eq!(engine.map()["next"], 2);
-    assert_eq!(engine.seen().len(), 6);
-    engine.clear();
+    assert_eq!(engine.map_state()["staged"], json!(null));
+    assert_eq!(engine.map_state()["next"], 2);
+    assert_eq!(engine.requests().len(), 6);
+    engine.clear_faults();
     let again = MapCommand::Commit { version: 2, step };
     assert!(commands.send(1, again).await.unwrap().known);
 }
@@ -111,7 +111,7 @@
     // The engine is down. The command must fail in bounded time.
     let engine = engine(FencingCheck::Ignore).await;
     let fixture = Fixture::engine(&engine, json!({})).await;
-    engine.fault(Fault::Die);
+    engine.inject_fault(Fault::Crash);
     let failed = fixture.agent.commands().send(1, stage(2)).await;
     assert!(matches!(failed, Err(CommandFailure::Failed(_))));
 }
--- a/crates/agent/tests/refusals.rs
+++ b/crates/agent/tests/refusals.rs
@@ -63,16 +63,16 @@
     assert_eq!(entry.start_refused(nameless).await, Refusal::NotOffered);
     assert_eq!(entry.bar(&id(7)).await, AttemptState::Barred);
     assert_eq!(entry.start_refused(chat()).await, Refusal::Barred);
-    assert!(engine.seen().is_empty());
+    assert!(engine.requests().is_empty());
 
     entry.start_accepted(fixture.chat(8, 100_000)).await;
     assert_eq!(entry.start_refused(fixture.chat(9, 4)).await, Refusal::Full);
     entry.cancel(&id(8)).await;
     let (_, end) = entry.wait_ended(&id(8)).await;
     assert!(end.is_err());
-    engine.fault(Fault::Die);
+    engine.inject_fault(Fault::Crash);
     wait_refused(&fixture, &entry, Refusal::Unhealthy).await;
-    let refused = engine.seen().into_iter().filter(|seen| {
+    let refused = engine.requests().into_iter().filter(|seen| {
         let request = seen.header("x-request-id").unwrap_or_default();
         request.starts_with("request-7-") || request.starts_with("request-9-")
     });
@@ -122,7 +122,7 @@
     let entry = cut_off.connect_entry().await;
     cut_off.control.resign();
     wait_refused(&cut_off, &entry, Refusal::Lease).await;
-    let seen = engine.seen().len();
+    let seen = engine.requests().len();
     assert_eq!(
         entry.start_refused(cut_off.chat(2, 4)).await,
         Refusal::Lease
@@ -133,7 +133,7 @@
     };
     entry.start_accepted(leased).await;
     entry.wait_complete(&id(3)).await;
-    assert_eq!(engine.seen().len(), seen + 1);
+    assert_eq!(engine.requests().len(), seen + 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -149,7 +149,7 @@
     assert_eq!(refusal, Refusal::Barred);
     other.start_accepted(fixture.reservation(2, "lot-1")).await;
     other.wait_complete(&id(2)).await;
-    assert_eq!(service.count("lot-1", "/lots"), 1);
+    assert_eq!(service.request_count("lot-1", "/lots"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -179,7 +179,7 @@
     other.start_accepted(fixture.reservation(1, "lot-1")).await;
     let (_, end) = other.wait_ended(&id(1)).await;
     assert!(matches!(end, Err(wire::Broken::Ended(end)) if end.end() == End::Lost));
-    assert_eq!(service.count("lot-1", "/lots"), 1);
+    assert_eq!(service.request_count("lot-1", "/lots"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -192,7 +192,7 @@
     first.start_accepted(fixture.reservation(1, "lot-1")).await;
     second.start_accepted(fixture.reservation(1, "lot-1")).await;
     second.wait_complete(&id(1)).await;
-    assert_eq!(service.count("lot-1", "/lots"), 1);
+    assert_eq!(service.request_count("lot-1", "/lots"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -203,7 +203,7 @@
     let slow = json!({"timing": {"poll_ms": 60_000}});
     let fixture = Fixture::service(&service, slow).await;
     let entry = fixture.connect_entry().await;
-    service.fault(Fault::Die);
+    service.inject_fault(Fault::Crash);
     wait_until("its socket is closed", async || {
         tokio::net::TcpStream::connect(service.address())
             .await
@@ -213,7 +213,7 @@
     entry.start_accepted(fixture.reservation(1, "lot-1")).await;
     let (_, end) = entry.wait_ended(&id(1)).await;
     assert!(matches!(end, Err(wire::Broken::Ended(end)) if end.end() == End::NotRun));
-    assert_eq!(service.count("lot-1", "/lots"), 0);
+    assert_eq!(service.request_count("lot-1", "/lots"), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -223,11 +223,11 @@
     let service = Service::start(ServiceSettings::default()).await.unwrap();
     let fixture = Fixture::service(&service, json!({})).await;
     let entry = fixture.connect_entry().await;
-    service.fault(Fault::LoseAnswer);
+    service.inject_fault(Fault::DropResponse);
     entry.start_accepted(fixture.reservation(1, "lot-1")).await;
     let (_, end) = entry.wait_ended(&id(1)).await;
     assert!(matches!(end, Err(wire::Broken::Ended(end)) if end.end() == End::Lost));
-    assert_eq!(service.count("lot-1", "/lots"), 1);
+    assert_eq!(service.request_count("lot-1", "/lots"), 1);
     sleep(Duration::from_millis(50)).await;
     assert!(fixture.control.crashes().is_empty());
 }
@@ -271,5 +271,5 @@
         assert!(refused);
         sleep(Duration::from_millis(300)).await;
     });
-    assert_eq!(target.count("lot-1", "/lots"), 0);
+    assert_eq!(target.request_count("lot-1", "/lots"), 0);
 }
--- a/crates/entry/tests/entry/calls.rs
+++ b/crates/entry/tests/entry/calls.rs
@@ -181,13 +181,13 @@
         tokio::spawn(async move { caller.reserve("lot-17", "{}").await })
     };
     eventually("it runs", async || {
-        (service.count("lot-17", "/reservations") == 1).then_some(())
+        (service.request_count("lot-17", "/reservations") == 1).then_some(())
     })
     .await;
     call.abort();
     let again = caller.reserve("lot-17", "{}").await;
     assert_eq!(again.status, 200, "{}", again.text());
-    assert_eq!(service.count("lot-17", "/reservations"), 1);
+    assert_eq!(service.request_count("lot-17", "/reservations"), 1);
 }
 
 /// An entry and the agent's host died together while a call ran. The agent
--- a/crates/entry/tests/entry/path.rs
+++ b/crates/entry/tests/entry/path.rs
@@ -15,7 +15,7 @@
     assert!(streamed.whole);
     assert!(streamed.text().ends_with("data: [DONE]\n\n"));
     assert_eq!(streamed.text().matches("data: ").count(), 7);
-    let seen = engine.seen();
+    let seen = engine.requests();
     let last = seen
         .iter()
         .rfind(|seen| seen.path == "/v1/chat/completions");
@@ -31,10 +31,10 @@
     assert_eq!(first.status, 200, "{}", first.text());
     let again = caller.reserve("lot-17", "{\"lot\":17}").await;
     assert_eq!((again.status, &again.body), (200, &first.body));
-    assert_eq!(service.count("lot-17", "/reservations"), 1);
+    assert_eq!(service.request_count("lot-17", "/reservations"), 1);
     let other = caller.reserve("lot-17", "{\"lot\":18}").await;
     assert_eq!((other.status, other.ran()), (422, "no".to_owned()));
-    assert_eq!(service.count("lot-17", "/reservations"), 1);
+    assert_eq!(service.request_count("lot-17", "/reservations"), 1);
 }
 
 /// The same reservation reaches several entries at once, from a caller that
@@ -53,7 +53,7 @@
             assert_eq!(reply.status, 200, "{}", reply.text());
             assert_eq!(reply.body, a.body);
         }
-        assert_eq!(service.count(&key, "/reservations"), 1);
+        assert_eq!(service.request_count(&key, "/reservations"), 1);
     }
 }
 
--- a/crates/entry/tests/entry/standing.rs
+++ b/crates/entry/tests/entry/standing.rs
@@ -16,20 +16,21 @@
         (caller.get("/readyz").await.status == 503).then_some(())
     })
     .await;
-    let (chats, calls) = (engine.seen().len(), service.seen().len());
+    let (chats, calls) = (engine.requests().len(), service.requests().len());
     let reply = caller.chat("late", 1, Form::Whole).await;
     assert_eq!((reply.status, reply.ran().as_str()), (503, "no"));
     assert!(reply.headers.contains_key("retry-after"));
     let reply = caller.reserve("lot-17", "{}").await;
     assert_eq!((reply.status, reply.ran().as_str()), (503, "unknown"));
-    let prompts = |seen: Vec<fake::Seen>| seen.iter().filter(|s| s.method == "POST").count();
+    let prompts =
+        |seen: Vec<fake::RecordedRequest>| seen.iter().filter(|s| s.method == "POST").count();
     assert_eq!(
-        prompts(engine.seen()[..chats].to_vec()),
-        prompts(engine.seen())
+        prompts(engine.requests()[..chats].to_vec()),
+        prompts(engine.requests())
     );
     assert_eq!(
-        prompts(service.seen()[..calls].to_vec()),
-        prompts(service.seen())
+        prompts(service.requests()[..calls].to_vec()),
+        prompts(service.requests())
     );
 }
 
@@ -46,12 +47,18 @@
     let caller = Caller::new(entry.http_address(), KEY);
     caller.until_ready().await;
     caller.until_served().await;
-    relay.go_silent();
+    relay.black_hole();
     eventually("the lease runs out", async || {
         (caller.get("/readyz").await.status == 503).then_some(())
     })
     .await;
-    let prompts = || engine.seen().iter().filter(|s| s.method == "POST").count();
+    let prompts = || {
+        engine
+            .requests()
+            .iter()
+            .filter(|s| s.method == "POST")
+            .count()
+    };
     let before = prompts();
     let reply = caller.chat("late", 1, Form::Whole).await;
     assert_eq!((reply.status, reply.ran().as_str()), (503, "no"));
@@ -66,7 +73,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn admit_convicted() {
     let (cluster, engine, _service, _entry, caller) = serving().await;
-    engine.fault(fake::Fault::CrashOn("poison".to_owned()));
+    engine.inject_fault(fake::Fault::CrashOn("poison".to_owned()));
     let poison = chat("poison", 3, Form::Whole);
     let path = "/v1/chat/completions";
     eventually("it is convicted", async || {
@@ -76,7 +83,7 @@
         }
         if caller.chat("ok", 1, Form::Whole).await.status != 200 {
             engine.restart().await.unwrap();
-            engine.fault(fake::Fault::CrashOn("poison".to_owned()));
+            engine.inject_fault(fake::Fault::CrashOn("poison".to_owned()));
         }
         None
     })
@@ -128,11 +135,19 @@
         (reply.status == 503).then_some(())
     })
     .await;
-    let before = service.seen().iter().filter(|s| s.path == "/stock").count();
+    let before = service
+        .requests()
+        .iter()
+        .filter(|s| s.path == "/stock")
+        .count();
     for _ in 0..10 {
         let reply = caller.get("/s/order-desk/stock").await;
         assert_eq!((reply.status, reply.ran().as_str()), (503, "no"));
     }
-    let after = service.seen().iter().filter(|s| s.path == "/stock").count();
+    let after = service
+        .requests()
+        .iter()
+        .filter(|s| s.path == "/stock")
+        .count();
     assert_eq!(before, after);
 }
--- a/crates/entry/tests/entry/streams.rs
+++ b/crates/entry/tests/entry/streams.rs
@@ -189,7 +189,7 @@
             let relay = script_relay.clone();
             tokio::spawn(async move {
                 tokio::time::sleep(std::time::Duration::from_millis(300)).await;
-                relay.swallow();
+                relay.discard_both_ways();
             });
         }
         Body::Attach(attach) => {
--- a/crates/entry/tests/entry/subsets.rs
+++ b/crates/entry/tests/entry/subsets.rs
@@ -135,7 +135,7 @@
     caller.until_desk().await;
     for (desk, relay) in &desks {
         if own.contains(desk.name.as_str()) {
-            relay.go_silent();
+            relay.black_hole();
         }
     }
     // Once the silence is noticed; until then attempts may be under way.
--- a/crates/fake/src/collective.rs
+++ b/crates/fake/src/collective.rs
@@ -11,14 +11,14 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio_util::sync::CancellationToken;
 
-use crate::RanStep;
+use crate::CompletedStep;
 
 /// The collective that the engines of one group step in: no engine runs a step
 /// before all have ended the last one, and none runs a step at all unless it
 /// is in the present formation.
 ///
 /// An engine that dies leaves the others waiting until it is back or is
-/// declared [lost](Collective::lose). Either makes a new formation, which an
+/// declared [lost](Collective::remove_rank). Either makes a new formation, which an
 /// engine is told of only once all of them have left the former one.
 #[derive(Debug)]
 pub struct Collective {
@@ -38,7 +38,7 @@
     is_formed: bool,
     /// The step that runs or ran last.
     step: u64,
-    history: Vec<RanStep>,
+    history: Vec<CompletedStep>,
 }
 
 #[derive(Debug)]
@@ -89,7 +89,7 @@
 
     /// The group goes on without this rank; an engine that runs it is thrown
     /// out and may join again.
-    pub fn lose(&self, rank: u32) {
+    pub fn remove_rank(&self, rank: u32) {
         let mut group = self.group();
         group.needed.remove(&rank);
         group
@@ -100,13 +100,13 @@
 
     /// Each step as each engine ran it, in the order in which they ended it.
     #[must_use]
-    pub fn history(&self) -> Vec<RanStep> {
+    pub fn history(&self) -> Vec<CompletedStep> {
         self.group().history.clone()
     }
 
     /// The last step that all engines have ended.
     #[must_use]
-    pub fn ended(&self) -> u64 {
+    pub fn completed_step(&self) -> u64 {
         let group = self.group();
         let ended = group.members.values().map(|member| member.ended);
         ended.min().unwrap_or_default()
@@ -203,7 +203,7 @@
         }
         if let Some(step) = message["ended"].as_u64() {
             member.ended = step;
-            self.history.push(RanStep {
+            self.history.push(CompletedStep {
                 step,
                 ranks: member.ranks.clone(),
                 version: message["version"].as_u64().unwrap_or_default(),
--- a/crates/fake/src/ran_step.rs
+++ b/crates/fake/src/completed_step.rs
@@ -2,7 +2,7 @@
 
 /// One step as one engine ran it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RanStep {
+pub struct CompletedStep {
     /// Number of the step.
     pub step: u64,
     /// Ranks of the engine.
--- a/crates/fake/src/engine.rs
+++ b/crates/fake/src/engine.rs
@@ -20,7 +20,7 @@
 use crate::faults::Faults;
 use crate::http::{self, Reply};
 use crate::seen_log::SeenLog;
-use crate::{EngineSettings, Fault, Seen, life, orders};
+use crate::{EngineSettings, Fault, RecordedRequest, life, orders};
 
 /// Steps that a request which crashes the engine runs before it does.
 const STEPS_TO_CRASH: u64 = 2;
@@ -112,13 +112,13 @@
 
     /// The latest completions and orders that reached it, oldest first.
     #[must_use]
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn requests(&self) -> Vec<RecordedRequest> {
         self.shared.log.list()
     }
 
     /// Requests that run now.
     #[must_use]
-    pub fn running(&self) -> u64 {
+    pub fn running_requests(&self) -> u64 {
         let life = self.life();
         let load = life.batch.load(&[], Duration::ZERO);
         load["running"].as_u64().unwrap_or_default()
@@ -132,17 +132,17 @@
 
     /// The state that `GET /map` gives.
     #[must_use]
-    pub fn map(&self) -> Value {
+    pub fn map_state(&self) -> Value {
         self.life().experts.borrow().to_json()
     }
 
     /// Switches a fault on.
-    pub fn fault(&self, fault: Fault) {
-        self.life().fault(fault);
+    pub fn inject_fault(&self, fault: Fault) {
+        self.life().inject_fault(fault);
     }
 
     /// Switches all faults off; a dead engine stays dead.
-    pub fn clear(&self) {
+    pub fn clear_faults(&self) {
         self.shared.faults.clear();
     }
 
@@ -163,7 +163,7 @@
         address: SocketAddr,
     ) -> io::Result<(Arc<Life>, SocketAddr)> {
         let life = Arc::new(Life {
-            batch: Batch::new(shared.cfg.limit),
+            batch: Batch::new(shared.cfg.max_running),
             experts: watch::Sender::new(ExpertState::new(&shared.cfg)),
             dead: CancellationToken::new(),
             instance: instance(),
@@ -175,8 +175,8 @@
         Ok((life, address))
     }
 
-    pub fn fault(&self, fault: Fault) {
-        if fault == Fault::Die {
+    pub fn inject_fault(&self, fault: Fault) {
+        if fault == Fault::Crash {
             self.dead.cancel();
         } else {
             self.shared.faults.add(fault);
@@ -184,7 +184,7 @@
     }
 
     pub fn step_time(&self) -> Duration {
-        self.shared.faults.slowed(self.shared.cfg.step)
+        self.shared.faults.slowed(self.shared.cfg.step_time)
     }
 
     /// Waits for the next step, or goes on at once without a step time.
@@ -192,7 +192,7 @@
         if self.dead.is_cancelled() {
             std::future::pending::<()>().await;
         }
-        if self.shared.cfg.step.is_zero() {
+        if self.shared.cfg.step_time.is_zero() {
             self.shared.faults.wait_out(&Fault::Stall).await;
             return;
         }
@@ -240,21 +240,21 @@
     if let Some(name) = path.strip_prefix("/fault/") {
         return Ok(orders::switch(&life, name, &seen));
     }
-    life.shared.faults.wait_out(&Fault::Silent).await;
+    life.shared.faults.wait_out(&Fault::Unresponsive).await;
     if path == "/v1/chat/completions" {
         return complete(life, seen).await;
     }
     orders::handle(&life, seen)
 }
 
-async fn complete(life: Arc<Life>, seen: Seen) -> Reply {
+async fn complete(life: Arc<Life>, seen: RecordedRequest) -> Reply {
     if life.shared.faults.has(&Fault::Refuse) {
         return Ok(http::problem(
             StatusCode::SERVICE_UNAVAILABLE,
             "refused by fault",
         ));
     }
-    let completion = match Completion::parse(&seen.body, life.shared.cfg.tokens) {
+    let completion = match Completion::parse(&seen.body, life.shared.cfg.default_max_tokens) {
         Ok(completion) => completion,
         Err(e) => return Ok(http::problem(StatusCode::BAD_REQUEST, &e.to_string())),
     };
@@ -285,7 +285,7 @@
     completion: Completion,
 }
 
-fn number(seen: &Seen, header: &str) -> u64 {
+fn number(seen: &RecordedRequest, header: &str) -> u64 {
     let value = seen.header(header).and_then(|value| value.parse().ok());
     value.unwrap_or_default()
 }
@@ -299,10 +299,10 @@
     }
     drop(slot);
     life.batch.store(run.completion.prefix());
-    if life.shared.faults.has(&Fault::LoseAnswer) {
+    if life.shared.faults.has(&Fault::DropResponse) {
         return Err(http::lost());
     }
-    life.shared.faults.wait_out(&Fault::Silent).await;
+    life.shared.faults.wait_out(&Fault::Unresponsive).await;
     Ok(http::ok(&run.completion.document()))
 }
 
@@ -333,7 +333,7 @@
             crash(life, run, at - run.skip);
             life.next_step(&mut steps).await;
         }
-        faults.wait_out(&Fault::Silent).await;
+        faults.wait_out(&Fault::Unresponsive).await;
         match faults.find(|fault| early_end(fault, at)) {
             Some(Fault::EndEarly(_)) => return,
             Some(_) => return tx.abort(http::lost()),
@@ -349,15 +349,15 @@
 
 fn early_end(fault: &Fault, at: u64) -> Option<Fault> {
     match fault {
-        Fault::EndEarly(events) | Fault::Cut(events) if at >= *events => Some(fault.clone()),
-        Fault::LoseAnswer => Some(fault.clone()),
+        Fault::EndEarly(events) | Fault::CloseAfter(events) if at >= *events => Some(fault.clone()),
+        Fault::DropResponse => Some(fault.clone()),
         _ => None,
     }
 }
 
 fn crash(life: &Life, run: &Run, step: u64) {
     if run.crashes && step >= STEPS_TO_CRASH {
-        life.fault(Fault::Die);
+        life.inject_fault(Fault::Crash);
     }
 }
 
@@ -376,9 +376,9 @@
         "resume": true,
         "cancel": true,
         "priority": true,
-        "checks_fencing": cfg.fencing == crate::FencingCheck::Refuse,
+        "checks_fencing": cfg.fencing_check == crate::FencingCheck::Refuse,
         "exports_kv": false,
-        "waits_for_map": cfg.waits,
+        "waits_for_map": cfg.waits_for_map,
         "instance": life.instance,
     })
 }
--- a/crates/fake/src/engine_settings.rs
+++ b/crates/fake/src/engine_settings.rs
@@ -18,17 +18,17 @@
     pub versions: Vec<String>,
     /// Time of one step; each running request gets one token a step. Zero
     /// gives tokens as fast as they are read.
-    pub step: Duration,
+    pub step_time: Duration,
     /// Requests that run at once; more wait in its queue.
-    pub limit: u32,
+    pub max_running: u32,
     /// Tokens of an answer whose request doesn't say `max_tokens`.
-    pub tokens: u64,
+    pub default_max_tokens: u64,
     /// Whether orders with an old fencing number are refused.
-    pub fencing: FencingCheck,
+    pub fencing_check: FencingCheck,
     /// Time that staging an expert map takes.
-    pub stage: Duration,
+    pub staging_time: Duration,
     /// The weight store that it loads experts from.
-    pub weights: Option<SocketAddr>,
+    pub weight_store: Option<SocketAddr>,
     /// Layers with experts.
     pub layers: usize,
     /// Tokens that each step adds to each expert of a layer, by expert.
@@ -39,7 +39,7 @@
     pub collective: Option<SocketAddr>,
     /// Whether it runs no step after a start until it is told which maps are
     /// in force.
-    pub waits: bool,
+    pub waits_for_map: bool,
 }
 
 /// What an engine does with an old fencing number.
@@ -59,17 +59,17 @@
             models: vec!["burl-notes".into()],
             adapters: vec!["spalted".into()],
             versions: vec!["2026-11".into()],
-            step: Duration::from_millis(2),
-            limit: 64,
-            tokens: 16,
-            fencing: FencingCheck::Ignore,
-            stage: Duration::ZERO,
-            weights: None,
+            step_time: Duration::from_millis(2),
+            max_running: 64,
+            default_max_tokens: 16,
+            fencing_check: FencingCheck::Ignore,
+            staging_time: Duration::ZERO,
+            weight_store: None,
             layers: 2,
             popularity: vec![4, 3, 2, 1],
             drift_steps: 0,
             collective: None,
-            waits: false,
+            waits_for_map: false,
         }
     }
 }
--- a/crates/fake/src/expert_state.rs
+++ b/crates/fake/src/expert_state.rs
@@ -63,8 +63,8 @@
     /// An engine that was just started, in a collective or on its own.
     pub fn new(cfg: &EngineSettings) -> Self {
         ExpertState {
-            waits: cfg.waits,
-            waiting: cfg.waits,
+            waits: cfg.waits_for_map,
+            waiting: cfg.waits_for_map,
             formation: cfg.collective.map(|_| (0, Vec::new())),
             tokens: vec![0; cfg.popularity.len()],
             ..ExpertState::default()
--- a/crates/fake/src/fault.rs
+++ b/crates/fake/src/fault.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// Closes the socket and all connections.
-    Die,
+    Crash,
     /// Dies soon after it began to run a request whose body holds this text.
     CrashOn(String),
     /// Makes no steps: whatever runs gets nothing more, load still answers.
@@ -14,14 +14,14 @@
     /// Ends an answer properly after this many events, before its end.
     EndEarly(u64),
     /// Closes the connection after this many events.
-    Cut(u64),
+    CloseAfter(u64),
     /// Answers 503 to each request.
     Refuse,
     /// Does what a request or order asks and closes the connection instead of
     /// answering.
-    LoseAnswer,
+    DropResponse,
     /// Accepts connections and reads, but writes nothing any more.
-    Silent,
+    Unresponsive,
     /// Obeys orders with an old fencing number, whatever its settings say.
     IgnoreFencing,
 }
@@ -38,15 +38,15 @@
     #[must_use]
     pub fn parse(name: &str, value: &str) -> Option<Self> {
         Some(match name {
-            "die" => Fault::Die,
+            "die" => Fault::Crash,
             "crash-on" if !value.is_empty() => Fault::CrashOn(value.to_owned()),
             "stall" => Fault::Stall,
             "slow" => Fault::Slow(value.trim().parse().ok()?),
             "end-early" => Fault::EndEarly(value.trim().parse().ok()?),
-            "cut" => Fault::Cut(value.trim().parse().ok()?),
+            "cut" => Fault::CloseAfter(value.trim().parse().ok()?),
             "refuse" => Fault::Refuse,
-            "lose-answer" => Fault::LoseAnswer,
-            "silent" => Fault::Silent,
+            "lose-answer" => Fault::DropResponse,
+            "silent" => Fault::Unresponsive,
             "ignore-fencing" => Fault::IgnoreFencing,
             _ => return None,
         })
--- a/crates/fake/src/http.rs
+++ b/crates/fake/src/http.rs
@@ -11,7 +11,7 @@
 use hyper::{Request, Response, StatusCode};
 use serde_json::{Value, json};
 
-use crate::Seen;
+use crate::RecordedRequest;
 
 pub(crate) type Body = BoxBody<Bytes, io::Error>;
 
@@ -24,7 +24,7 @@
 const MAX_BODY: usize = 64 << 20;
 
 /// Reads a request whole.
-pub(crate) async fn read(req: Request<Incoming>) -> io::Result<Seen> {
+pub(crate) async fn read(req: Request<Incoming>) -> io::Result<RecordedRequest> {
     let (head, body) = req.into_parts();
     let body = Limited::new(body, MAX_BODY).collect().await;
     let body = body.map_err(io::Error::other)?.to_bytes();
@@ -32,7 +32,7 @@
         let value = value.to_str().ok()?;
         Some((name.as_str().to_owned(), value.to_owned()))
     });
-    Ok(Seen {
+    Ok(RecordedRequest {
         method: head.method.as_str().to_owned(),
         path: head
             .uri
--- a/crates/fake/src/lib.rs
+++ b/crates/fake/src/lib.rs
@@ -4,14 +4,14 @@
 //!
 //! Each is an HTTP server on loopback. It remembers what reached it, so that
 //! a test can tell what ran, and its faults are switched on by call, from
-//! Rust ([`Engine::fault`]) or over HTTP (`POST /fault/{name}` with the value
+//! Rust ([`Engine::inject_fault`]) or over HTTP (`POST /fault/{name}` with the value
 //! as body, `POST /fault/clear`).
 //!
 //! ```
 //! # tokio::runtime::Runtime::new().unwrap().block_on(async {
 //! let engine = fake::Engine::start(fake::EngineSettings::default()).await?;
-//! engine.fault(fake::Fault::EndEarly(3));
-//! assert!(engine.seen().is_empty());
+//! engine.inject_fault(fake::Fault::EndEarly(3));
+//! assert!(engine.requests().is_empty());
 //! # std::io::Result::Ok(())
 //! # }).unwrap();
 //! ```
@@ -19,6 +19,7 @@
 mod batch;
 mod collective;
 mod collective_member;
+mod completed_step;
 mod completion;
 mod engine;
 mod engine_settings;
@@ -29,23 +30,22 @@
 mod life;
 mod loading;
 mod orders;
-mod ran_step;
+mod recorded_request;
 mod relay;
 mod relay_carry;
 mod relay_state;
-mod seen;
 mod seen_log;
 mod service;
 mod service_settings;
 mod weight_store;
 
 pub use collective::Collective;
+pub use completed_step::CompletedStep;
 pub use engine::Engine;
 pub use engine_settings::{EngineSettings, FencingCheck};
 pub use fault::Fault;
-pub use ran_step::RanStep;
+pub use recorded_request::RecordedRequest;
 pub use relay::Relay;
-pub use seen::Seen;
 pub use service::Service;
 pub use service_settings::ServiceSettings;
 pub use weight_store::{WeightSettings, WeightStore};
--- a/crates/fake/src/loading.rs
+++ b/crates/fake/src/loading.rs
@@ -19,8 +19,8 @@
 /// stages it.
 pub(crate) async fn load(life: Arc<Life>, map: Loaded) {
     let cfg = &life.shared.cfg;
-    tokio::time::sleep(life.shared.faults.slowed(cfg.stage)).await;
-    if let Some(store) = cfg.weights {
+    tokio::time::sleep(life.shared.faults.slowed(cfg.staging_time)).await;
+    if let Some(store) = cfg.weight_store {
         let used = life.experts.borrow().map.clone();
         for (layer, expert) in missing(&cfg.ranks, &used, &map.map) {
             fetch(store, layer, expert).await;
--- a/crates/fake/src/orders.rs
+++ b/crates/fake/src/orders.rs
@@ -10,7 +10,7 @@
 use crate::expert_state::{ExpertState, Loaded, MapEnd};
 use crate::http::{self, Answer, Reply};
 use crate::loading;
-use crate::{Fault, FencingCheck, Seen};
+use crate::{Fault, FencingCheck, RecordedRequest};
 
 #[derive(Deserialize)]
 struct Order {
@@ -42,7 +42,7 @@
     request: String,
 }
 
-pub(crate) fn switch(life: &Life, name: &str, seen: &Seen) -> Answer {
+pub(crate) fn switch(life: &Life, name: &str, seen: &RecordedRequest) -> Answer {
     if name == "clear" {
         life.shared.faults.clear();
         return http::ok(&json!({}));
@@ -51,11 +51,11 @@
     let Some(fault) = Fault::parse(name, &value) else {
         return http::problem(StatusCode::NOT_FOUND, "no such fault");
     };
-    life.fault(fault);
+    life.inject_fault(fault);
     http::ok(&json!({}))
 }
 
-pub(crate) fn handle(life: &Arc<Life>, seen: Seen) -> Reply {
+pub(crate) fn handle(life: &Arc<Life>, seen: RecordedRequest) -> Reply {
     let (path, query) = seen.path.split_once('?').unwrap_or((&seen.path, ""));
     let answer = match (seen.method.as_str(), path) {
         ("GET", "/load") => {
@@ -80,7 +80,7 @@
     Ok(answer)
 }
 
-fn cancel(life: &Life, seen: &Seen) -> Answer {
+fn cancel(life: &Life, seen: &RecordedRequest) -> Answer {
     let Ok(Cancel { request }) = serde_json::from_slice(&seen.body) else {
         return http::problem(StatusCode::BAD_REQUEST, "no request named");
     };
@@ -91,17 +91,17 @@
     http::ok(&json!({}))
 }
 
-fn order(life: &Arc<Life>, seen: Seen) -> Reply {
+fn order(life: &Arc<Life>, seen: RecordedRequest) -> Reply {
     let order: Order = match serde_json::from_slice(&seen.body) {
         Ok(order) => order,
         Err(e) => return Ok(http::problem(StatusCode::BAD_REQUEST, &e.to_string())),
     };
     let path = seen.path.clone();
     life.shared.log.push(seen);
-    let checks = life.shared.cfg.fencing == FencingCheck::Refuse
+    let checks = life.shared.cfg.fencing_check == FencingCheck::Refuse
         && !life.shared.faults.has(&Fault::IgnoreFencing);
     let cfg = &life.shared.cfg;
-    let loads_at_once = cfg.stage.is_zero() && cfg.weights.is_none();
+    let loads_at_once = cfg.staging_time.is_zero() && cfg.weight_store.is_none();
     let (mut answer, mut load) = (None, None);
     life.experts.send_modify(|experts| {
         if checks && order.fencing < experts.fencing {
@@ -121,7 +121,7 @@
     if let Some(map) = load {
         tokio::spawn(loading::load(Arc::clone(life), map));
     }
-    if life.shared.faults.has(&Fault::LoseAnswer) {
+    if life.shared.faults.has(&Fault::DropResponse) {
         return Err(http::lost());
     }
     let Some(answer) = answer else {
--- a/crates/fake/src/seen.rs
+++ b/crates/fake/src/recorded_request.rs
@@ -4,7 +4,7 @@
 
 /// One request that reached a stand-in.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct RecordedRequest {
     /// HTTP method.
     pub method: String,
     /// Path with its query.
@@ -15,11 +15,11 @@
     pub body: Bytes,
 }
 
-impl Seen {
+impl RecordedRequest {
     /// The value of a header, by its name in lower case.
     ///
     /// ```
-    /// let seen = fake::Seen {
+    /// let seen = fake::RecordedRequest {
     ///     method: "POST".into(),
     ///     path: "/lots".into(),
     ///     headers: vec![("idempotency-key".into(), "lot-1".into())],
--- a/crates/fake/src/relay.rs
+++ b/crates/fake/src/relay.rs
@@ -68,7 +68,7 @@
     }
 
     /// What is sent arrives, but no answer comes back, on no connection.
-    pub fn mute(&self) {
+    pub fn discard_replies(&self) {
         self.state
             .muted_at
             .store(self.connections(), Ordering::Relaxed);
@@ -76,13 +76,13 @@
     }
 
     /// Cuts the relay once this many more bytes have gone towards the target.
-    pub fn cut_after(&self, bytes: u64) {
+    pub fn cut_after_bytes(&self, bytes: u64) {
         self.state.left.store(bytes, Ordering::Relaxed);
     }
 
-    /// Whether it was cut by [`Relay::cut_after`].
+    /// Whether it was cut by [`Relay::cut_after_bytes`].
     #[must_use]
-    pub fn is_used_up(&self) -> bool {
+    pub fn is_byte_limit_reached(&self) -> bool {
         self.state.left.load(Ordering::Relaxed) == 0
     }
 
@@ -93,48 +93,48 @@
     }
 
     /// Cuts the links of the processes with these names, and of no others.
-    pub fn bar(&self, names: BTreeSet<String>) {
+    pub fn block_nodes(&self, names: BTreeSet<String>) {
         self.state.barred.send_replace(names);
     }
 
     /// From now on the answers to requests that begin with `start` are lost;
     /// none if it is empty.
-    pub fn lose_answers(&self, start: &'static str) {
+    pub fn discard_replies_to(&self, start: &'static str) {
         *lock(&self.state.lose_answers) = start;
     }
 
     /// From now on the open connections swallow what goes towards the target.
-    pub fn swallow_there(&self) {
+    pub fn discard_to_target(&self) {
         let count = self.connections();
         self.state.swallow.send_modify(|limits| limits.0 = count);
     }
 
     /// From now on the open connections swallow what comes back from the target.
-    pub fn swallow_back(&self) {
+    pub fn discard_from_target(&self) {
         let count = self.connections();
         self.state.swallow.send_modify(|limits| limits.1 = count);
     }
 
     /// From now on the open connections swallow what goes either way.
-    pub fn swallow(&self) {
-        self.swallow_there();
-        self.swallow_back();
+    pub fn discard_both_ways(&self) {
+        self.discard_to_target();
+        self.discard_from_target();
     }
 
     /// The same, and new connections lead nowhere.
-    pub fn go_silent(&self) {
+    pub fn black_hole(&self) {
         *lock(&self.state.target) = None;
-        self.swallow();
+        self.discard_both_ways();
     }
 
     /// A connection that carries these bytes towards the target holds them and all
     /// that follows, until released.
-    pub fn hold_there(&self, from: &str) {
+    pub fn hold_to_target(&self, from: &str) {
         self.hold(Direction::There, from);
     }
 
     /// The same with bytes that come back from the target.
-    pub fn hold_back(&self, from: &str) {
+    pub fn hold_from_target(&self, from: &str) {
         self.hold(Direction::Back, from);
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// No further connection begins to hold.
-    pub fn hold_no_other(&self) {
+    pub fn stop_new_holds(&self) {
         self.state.hold.send_modify(|hold| {
             if let Some(hold) = hold {
                 hold.from = None;
@@ -171,7 +171,7 @@
 
     /// How many connections were made since the relay was muted.
     #[must_use]
-    pub fn muted_connections(&self) -> u64 {
+    pub fn connections_since_discard(&self) -> u64 {
         self.connections() - self.state.muted_at.load(Ordering::Relaxed)
     }
 
--- a/crates/fake/src/seen_log.rs
+++ b/crates/fake/src/seen_log.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use crate::Seen;
+use crate::RecordedRequest;
 
 /// Requests that are kept whole; counts are kept for all.
 const MAX_SEEN: usize = 4096;
@@ -15,13 +15,13 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    last: VecDeque<Seen>,
+    last: VecDeque<RecordedRequest>,
     counts: BTreeMap<(String, String), u64>,
 }
 
 impl SeenLog {
     /// Remembers a request and returns how often its key and path came.
-    pub fn push(&self, seen: Seen) -> u64 {
+    pub fn push(&self, seen: RecordedRequest) -> u64 {
         let mut inner = self.lock();
         let key = seen.header("idempotency-key").unwrap_or_default();
         let id = (key.to_owned(), seen.path.clone());
@@ -35,7 +35,7 @@
         count
     }
 
-    pub fn list(&self) -> Vec<Seen> {
+    pub fn list(&self) -> Vec<RecordedRequest> {
         self.lock().last.iter().cloned().collect()
     }
 
--- a/crates/fake/src/service.rs
+++ b/crates/fake/src/service.rs
@@ -13,7 +13,7 @@
 use crate::faults::Faults;
 use crate::http::{self, Answer, Reply};
 use crate::seen_log::SeenLog;
-use crate::{Fault, Seen, ServiceSettings, life};
+use crate::{Fault, RecordedRequest, ServiceSettings, life};
 
 /// A plain service on loopback.
 ///
@@ -83,29 +83,29 @@
 
     /// The latest requests that reached it, oldest first.
     #[must_use]
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn requests(&self) -> Vec<RecordedRequest> {
         self.state.log.list()
     }
 
     /// How often an idempotency key reached a path.
     #[must_use]
-    pub fn count(&self, key: &str, path: &str) -> u64 {
+    pub fn request_count(&self, key: &str, path: &str) -> u64 {
         self.state.log.count(key, path)
     }
 
     /// Idempotency key, path and count of all that reached it.
     #[must_use]
-    pub fn counts(&self) -> Vec<(String, String, u64)> {
+    pub fn request_counts(&self) -> Vec<(String, String, u64)> {
         self.state.log.counts()
     }
 
     /// Switches a fault on.
-    pub fn fault(&self, fault: Fault) {
-        self.state.fault(fault);
+    pub fn inject_fault(&self, fault: Fault) {
+        self.state.inject_fault(fault);
     }
 
     /// Switches all faults off; a dead service stays dead.
-    pub fn clear(&self) {
+    pub fn clear_faults(&self) {
         self.state.faults.clear();
     }
 }
@@ -121,8 +121,8 @@
         self.dead.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn fault(&self, fault: Fault) {
-        if fault == Fault::Die {
+    fn inject_fault(&self, fault: Fault) {
+        if fault == Fault::Crash {
             self.dead().cancel();
         } else {
             self.faults.add(fault);
@@ -134,7 +134,7 @@
             "ranks": [],
             "running": self.running.load(Ordering::Relaxed),
             "queued": 0,
-            "limit": self.cfg.limit,
+            "limit": self.cfg.reported_limit,
         })
     }
 
@@ -145,7 +145,7 @@
             .collect()
     }
 
-    fn switch(&self, name: &str, seen: &Seen) -> Answer {
+    fn switch(&self, name: &str, seen: &RecordedRequest) -> Answer {
         if name == "clear" {
             self.faults.clear();
             return http::ok(&json!({}));
@@ -154,11 +154,11 @@
         let Some(fault) = Fault::parse(name, &value) else {
             return http::problem(StatusCode::NOT_FOUND, "no such fault");
         };
-        self.fault(fault);
+        self.inject_fault(fault);
         http::ok(&json!({}))
     }
 
-    async fn call(&self, seen: Seen) -> Reply {
+    async fn call(&self, seen: RecordedRequest) -> Reply {
         if self.faults.has(&Fault::Refuse) {
             return Ok(http::problem(
                 StatusCode::SERVICE_UNAVAILABLE,
@@ -181,7 +181,7 @@
             self.dead().cancel();
         }
         self.faults.wait_out(&Fault::Stall).await;
-        if self.faults.has(&Fault::LoseAnswer) {
+        if self.faults.has(&Fault::DropResponse) {
             return Err(http::lost());
         }
         let mut answer = answer;
@@ -196,7 +196,7 @@
         return Ok(state.switch(name, &seen));
     }
     let path = seen.path.clone();
-    state.faults.wait_out(&Fault::Silent).await;
+    state.faults.wait_out(&Fault::Unresponsive).await;
     match path.as_str() {
         "/load" => Ok(http::ok(&state.load())),
         "/seen" => Ok(http::ok(&state.counts())),
@@ -206,7 +206,7 @@
             let reply = state.call(seen).await;
             drop(running);
             // A service that goes silent while it runs a call doesn't answer.
-            state.faults.wait_out(&Fault::Silent).await;
+            state.faults.wait_out(&Fault::Unresponsive).await;
             reply
         }
     }
--- a/crates/fake/src/service_settings.rs
+++ b/crates/fake/src/service_settings.rs
@@ -11,7 +11,7 @@
     /// Time between a request and its answer.
     pub delay: Duration,
     /// Requests at once, as told by its load.
-    pub limit: u32,
+    pub reported_limit: u32,
 }
 
 impl Default for ServiceSettings {
@@ -19,7 +19,7 @@
         ServiceSettings {
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
             delay: Duration::ZERO,
-            limit: 64,
+            reported_limit: 64,
         }
     }
 }
--- a/crates/fake/src/weight_store.rs
+++ b/crates/fake/src/weight_store.rs
@@ -112,7 +112,7 @@
 
     /// Reads refused because of the rate so far.
     #[must_use]
-    pub fn refused(&self) -> u64 {
+    pub fn refused_reads(&self) -> u64 {
         self.state.bucket().refused
     }
 }
--- a/crates/fake/tests/engine.rs
+++ b/crates/fake/tests/engine.rs
@@ -63,7 +63,7 @@
     assert_eq!(resumed, events[4..].concat());
     let other = chat(&engine, 0, &BODY.replace("burl-notes", "kiln-notes")).await;
     assert_ne!(whole, other);
-    assert_eq!(engine.seen().len(), 3);
+    assert_eq!(engine.requests().len(), 3);
 }
 
 #[tokio::test]
@@ -80,7 +80,7 @@
 async fn fault_end_early() {
     // An engine ends its stream as if it were whole, without its last event.
     let engine = Engine::start(EngineSettings::default()).await.unwrap();
-    engine.fault(Fault::EndEarly(2));
+    engine.inject_fault(Fault::EndEarly(2));
     let text = chat(&engine, 0, BODY).await;
     assert!(!text.is_empty() && !text.ends_with(b"[DONE]\n\n"));
 }
@@ -90,7 +90,7 @@
     // One request crashes the engine, whoever sends it; after its restart
     // others work.
     let engine = Engine::start(EngineSettings::default()).await.unwrap();
-    engine.fault(Fault::CrashOn("poison".into()));
+    engine.inject_fault(Fault::CrashOn("poison".into()));
     let poison = BODY.replace("burl-notes", "poison");
     let path = "/v1/chat/completions";
     let lost = send(engine.address(), "POST", path, 0, &poison).await;
@@ -106,7 +106,7 @@
     // A former coordinator orders with an old number. An engine that checks
     // refuses it and names the number it knows.
     let cfg = EngineSettings {
-        fencing: FencingCheck::Refuse,
+        fencing_check: FencingCheck::Refuse,
         ..EngineSettings::default()
     };
     let engine = Engine::start(cfg).await.unwrap();
@@ -114,7 +114,7 @@
     assert_eq!(order(&engine, "/map/stage", stage(5)).await.0, 200);
     let (status, stands) = order(&engine, "/map/stage", stage(4)).await;
     assert_eq!((status, &stands["fencing"]), (409, &json!(5)));
-    engine.fault(Fault::IgnoreFencing);
+    engine.inject_fault(Fault::IgnoreFencing);
     assert_eq!(order(&engine, "/map/stage", stage(4)).await.0, 200);
 }
 
@@ -142,11 +142,11 @@
         assert_eq!(held["held"], true);
     }
     order(&one, "/map/outcome", body.clone()).await;
-    while one.map()["step"].as_u64() < Some(barrier - 1) {
+    while one.map_state()["step"].as_u64() < Some(barrier - 1) {
         tokio::task::yield_now().await;
     }
     order(&two, "/map/outcome", body).await;
-    while two.map()["version"] != 7 || one.map()["version"] != 7 {
+    while two.map_state()["version"] != 7 || one.map_state()["version"] != 7 {
         tokio::task::yield_now().await;
     }
     assert_eq!(one.map_history(), [(1, 0), (barrier, 7)]);
@@ -161,7 +161,7 @@
     let cfg = |rank| EngineSettings {
         ranks: vec![rank],
         collective: Some(collective.address()),
-        waits: true,
+        waits_for_map: true,
         ..EngineSettings::default()
     };
     let one = Engine::start(cfg(0)).await.unwrap();
@@ -169,19 +169,19 @@
     let none = json!({"fencing": 1, "formation": 2, "maps": []});
     for engine in [&one, &two] {
         until_formed(engine, 2).await;
-        assert_eq!(engine.map()["waiting"], true);
+        assert_eq!(engine.map_state()["waiting"], true);
         order(engine, "/map/join", none.clone()).await;
     }
     until_step(&collective, 10).await;
     two.restart().await.unwrap();
     until_formed(&two, 3).await;
-    let stopped = collective.ended();
-    assert_eq!(one.map()["formation"], 3);
-    assert_eq!(two.map()["waiting"], true);
+    let stopped = collective.completed_step();
+    assert_eq!(one.map_state()["formation"], 3);
+    assert_eq!(two.map_state()["waiting"], true);
     let map = json!({"version": 7, "step": 1, "map": {}});
     let join = |formation| json!({"fencing": 1, "formation": formation, "maps": [map]});
     order(&two, "/map/join", join(2)).await;
-    assert_eq!(two.map()["waiting"], true);
+    assert_eq!(two.map_state()["waiting"], true);
     order(&two, "/map/join", join(3)).await;
     until_step(&collective, stopped + 10).await;
     let mut last = collective.history().into_iter().rev();
@@ -202,24 +202,24 @@
     let one = Engine::start(cfg(0)).await.unwrap();
     let two = Engine::start(cfg(1)).await.unwrap();
     until_step(&collective, 10).await;
-    two.fault(Fault::Stall);
-    collective.lose(1);
+    two.inject_fault(Fault::Stall);
+    collective.remove_rank(1);
     until_formed(&one, 3).await;
-    assert_eq!(one.map()["ranks"], json!([0]));
-    until_step(&collective, collective.ended() + 10).await;
+    assert_eq!(one.map_state()["ranks"], json!([0]));
+    until_step(&collective, collective.completed_step() + 10).await;
     while tokio::net::TcpStream::connect(two.address()).await.is_ok() {
         tokio::task::yield_now().await;
     }
 }
 
 async fn until_formed(engine: &Engine, formation: u64) {
-    while engine.map()["formation"] != formation {
+    while engine.map_state()["formation"] != formation {
         tokio::task::yield_now().await;
     }
 }
 
 async fn until_step(collective: &Collective, step: u64) {
-    while collective.ended() < step {
+    while collective.completed_step() < step {
         tokio::task::yield_now().await;
     }
 }
--- a/crates/lovageramp/src/fakes.rs
+++ b/crates/lovageramp/src/fakes.rs
@@ -83,16 +83,16 @@
             ranks: or(self.rank, defaults.ranks),
             models: vec![self.model],
             versions: vec![self.version_name],
-            step: Duration::from_millis(self.step_ms),
-            limit: self.limit,
-            fencing,
-            stage: Duration::from_millis(self.stage_ms),
-            weights: self.weights,
+            step_time: Duration::from_millis(self.step_ms),
+            max_running: self.limit,
+            fencing_check: fencing,
+            staging_time: Duration::from_millis(self.stage_ms),
+            weight_store: self.weights,
             layers: self.layers,
             popularity: or(self.popularity, defaults.popularity),
             drift_steps: self.drift_steps,
             collective: self.collective,
-            waits: self.waits,
+            waits_for_map: self.waits,
             ..EngineSettings::default()
         }
     }
--- a/crates/lovageramp/src/standalone/deployment.rs
+++ b/crates/lovageramp/src/standalone/deployment.rs
@@ -104,14 +104,17 @@
 
     /// What reached the stand-ins of the engines.
     #[must_use]
-    pub fn engine_requests(&self) -> Vec<fake::Seen> {
-        self.engines.iter().flat_map(Engine::seen).collect()
+    pub fn engine_requests(&self) -> Vec<fake::RecordedRequest> {
+        self.engines.iter().flat_map(Engine::requests).collect()
     }
 
     /// How often the services ran a call, by its key.
     #[must_use]
     pub fn reservations_run(&self, key: &str, path: &str) -> u64 {
-        let ran = self.services.iter().map(|service| service.count(key, path));
+        let ran = self
+            .services
+            .iter()
+            .map(|service| service.request_count(key, path));
         ran.sum()
     }
 
@@ -133,7 +136,7 @@
     ) -> eyre::Result<()> {
         let engine = Engine::start(EngineSettings {
             ranks: vec![rank],
-            step,
+            step_time: step,
             ..EngineSettings::default()
         })
         .await?;
--- a/crates/lovageramp/tests/processes/at_most_once.rs
+++ b/crates/lovageramp/tests/processes/at_most_once.rs
@@ -202,10 +202,10 @@
         let agent = runs_at(&cluster, "lot-1").await;
         let relay = &cluster.relays[&agent];
         if direction != 0 {
-            relay.swallow_there();
+            relay.discard_to_target();
         }
         if direction != 1 {
-            relay.swallow_back();
+            relay.discard_from_target();
         }
         stall(&cluster, "clear").await;
         let first = first.await.unwrap().unwrap();
--- a/crates/lovageramp/tests/processes/claim_history.rs
+++ b/crates/lovageramp/tests/processes/claim_history.rs
@@ -214,7 +214,7 @@
             for relay in &cut {
                 cluster.relays[relay].cut();
             }
-            cluster.relays[&agent].swallow_back();
+            cluster.relays[&agent].discard_from_target();
             sleep(span * 2).await;
             for relay in &cut {
                 cluster.relays[relay].heal();
--- a/crates/lovageramp/tests/processes/durable_lag.rs
+++ b/crates/lovageramp/tests/processes/durable_lag.rs
@@ -68,17 +68,16 @@
     for _ in 0..4 {
         for (name, relay) in &cluster.relays {
             if name.ends_with(&format!(">{behind}")) {
-                relay.cut_after(PART_BYTES);
+                relay.cut_after_bytes(PART_BYTES);
             }
         }
         cluster.start_control(number_of(&behind)).await;
         // By log it gets on; a snapshot counts only as a whole.
         let enough = if snapshot_entries < NOTES { 0 } else { had + 1 };
         had = until("a part has come", || async {
-            let cut = cluster
-                .relays
-                .iter()
-                .any(|(name, relay)| name.ends_with(&format!(">{behind}")) && relay.is_used_up());
+            let cut = cluster.relays.iter().any(|(name, relay)| {
+                name.ends_with(&format!(">{behind}")) && relay.is_byte_limit_reached()
+            });
             let note = note_at(&cluster, &behind).await?;
             (cut && note >= enough).then_some(note)
         })
--- a/crates/lovageramp/tests/processes/ledger.rs
+++ b/crates/lovageramp/tests/processes/ledger.rs
@@ -67,7 +67,7 @@
         .map(|agent| format!("fake-{agent}"))
         .collect();
     for relay in &relays {
-        cluster.relays[relay].hold_there("lot-1");
+        cluster.relays[relay].hold_to_target("lot-1");
     }
     let entry = cluster.http("entry-1");
     let first = tokio::spawn(async move { reserve(entry, "huber", "lot-1", "burl").await });
--- a/crates/lovageramp/tests/processes/maps.rs
+++ b/crates/lovageramp/tests/processes/maps.rs
@@ -51,7 +51,7 @@
     // The last promise takes as long as an order whose answer is lost.
     let last = &group.cluster.relays["fake-advisor-03"];
     group.until_staged().await;
-    last.lose_answers("POST /map/hold");
+    last.discard_replies_to("POST /map/hold");
     until("the other engines have promised", || async {
         let maps = group.maps().await;
         let held = |map: &Value| map["held"].is_u64();
@@ -73,7 +73,7 @@
         undecided.then_some(false)
     })
     .await;
-    last.lose_answers("");
+    last.discard_replies_to("");
     decided
 }
 
@@ -113,14 +113,14 @@
         // The last promise takes as long as an order whose answer is lost.
         let last = &group.cluster.relays["fake-advisor-02"];
         group.until_staged().await;
-        last.lose_answers("POST /map/hold");
+        last.discard_replies_to("POST /map/hold");
         until("all engines have promised", || async {
             let maps = group.maps().await;
             let held = |map: &Value| map["held"].is_u64();
             maps.iter().all(held).then_some(())
         })
         .await;
-        last.lose_answers("");
+        last.discard_replies_to("");
         group.cut_off(deaf);
         let told = until("the others are told, or all are", || async {
             let maps = group.maps().await;
@@ -203,9 +203,9 @@
     // leave its engine on another map than the others, or waiting for ever.
     let group = MapGroup::start(&[]).await;
     let to_engine = &group.cluster.relays["fake-advisor-02"];
-    to_engine.lose_answers("POST /map");
+    to_engine.discard_replies_to("POST /map");
     group.until_switches(2).await;
-    to_engine.lose_answers("");
+    to_engine.discard_replies_to("");
     group.until_switches(1).await;
     group.assert_one_map();
 }
--- a/crates/lovageramp/tests/processes/moments.rs
+++ b/crates/lovageramp/tests/processes/moments.rs
@@ -52,7 +52,7 @@
     for relay in relays.iter().filter(|relay| **relay != held) {
         cluster.relays[relay].release();
     }
-    cluster.relays[&held].hold_no_other();
+    cluster.relays[&held].stop_new_holds();
     cluster.kill("entry-1").await;
     assert!(first.await.unwrap().is_err(), "entry-1 had answered before");
     held
@@ -87,7 +87,7 @@
 async fn entry_killed_before_claim() {
     let mut cluster = cluster().await;
     let relays = before_controls(&cluster);
-    let held = kill_when_held(&mut cluster, &relays, |relay| relay.hold_there(KEY)).await;
+    let held = kill_when_held(&mut cluster, &relays, |relay| relay.hold_to_target(KEY)).await;
     assert_eq!(cluster.ran(KEY).await, 0);
     let answer = until_answered(&cluster).await;
     assert_once_after_release(&cluster, &held, &answer).await;
@@ -99,7 +99,7 @@
 async fn entry_killed_after_claim() {
     let mut cluster = cluster().await;
     let relays = cluster.agents();
-    let held = kill_when_held(&mut cluster, &relays, |relay| relay.hold_there(KEY)).await;
+    let held = kill_when_held(&mut cluster, &relays, |relay| relay.hold_to_target(KEY)).await;
     assert_eq!(cluster.ran(KEY).await, 0);
     let answer = until_answered(&cluster).await;
     assert_once_after_release(&cluster, &held, &answer).await;
@@ -111,7 +111,7 @@
 async fn entry_killed_after_start() {
     let mut cluster = cluster().await;
     let relays = before_services(&cluster);
-    let held = kill_when_held(&mut cluster, &relays, |relay| relay.hold_there(KEY)).await;
+    let held = kill_when_held(&mut cluster, &relays, |relay| relay.hold_to_target(KEY)).await;
     assert_eq!(cluster.ran(KEY).await, 0);
     let entry = cluster.http("entry-2");
     let again = tokio::spawn(async move { reserve(entry, "huber", KEY, BODY).await });
@@ -132,7 +132,10 @@
 async fn entry_killed_before_answer_comes() {
     let mut cluster = cluster().await;
     let relays = cluster.agents();
-    let held = kill_when_held(&mut cluster, &relays, |relay| relay.hold_back(ANSWER)).await;
+    let held = kill_when_held(&mut cluster, &relays, |relay| {
+        relay.hold_from_target(ANSWER)
+    })
+    .await;
     assert_eq!(cluster.ran(KEY).await, 1);
     let answer = until_answered(&cluster).await;
     assert_once_after_release(&cluster, &held, &answer).await;
@@ -144,7 +147,7 @@
 async fn entry_killed_before_finish() {
     let mut cluster = cluster().await;
     let relays = before_controls(&cluster);
-    let held = kill_when_held(&mut cluster, &relays, |relay| relay.hold_there(ANSWER)).await;
+    let held = kill_when_held(&mut cluster, &relays, |relay| relay.hold_to_target(ANSWER)).await;
     assert_eq!(cluster.ran(KEY).await, 1);
     let answer = until_answered(&cluster).await;
     assert_once_after_release(&cluster, &held, &answer).await;
@@ -156,7 +159,10 @@
 async fn entry_killed_before_caller_is_answered() {
     let mut cluster = cluster().await;
     let relays = before_controls(&cluster);
-    let held = kill_when_held(&mut cluster, &relays, |relay| relay.hold_back(ANSWER)).await;
+    let held = kill_when_held(&mut cluster, &relays, |relay| {
+        relay.hold_from_target(ANSWER)
+    })
+    .await;
     assert_eq!(cluster.ran(KEY).await, 1);
     let answer = until_answered(&cluster).await;
     assert_once_after_release(&cluster, &held, &answer).await;
@@ -183,7 +189,7 @@
     cluster.offer().await;
     let relays = before_controls(&cluster);
     for relay in &relays {
-        cluster.relays[relay].hold_there(KEY);
+        cluster.relays[relay].hold_to_target(KEY);
     }
     let entry = cluster.http("entry-1");
     let first = tokio::spawn(async move { reserve(entry, "huber", KEY, BODY).await });
--- a/crates/lovageramp/tests/processes/not_run.rs
+++ b/crates/lovageramp/tests/processes/not_run.rs
@@ -119,7 +119,7 @@
     callers.answered(40).await;
     cluster.fault("desk-03", "clear", "").await;
 
-    cluster.relays["desk-02"].swallow_there();
+    cluster.relays["desk-02"].discard_to_target();
     callers.answered(30).await;
     cluster.signal("desk-03", "STOP").await;
     callers.answered(20).await;
--- a/crates/lovageramp/tests/processes/release_notes.rs
+++ b/crates/lovageramp/tests/processes/release_notes.rs
@@ -299,7 +299,7 @@
         (relay.connections() == 1).then_some(())
     })
     .await;
-    relay.swallow_back();
+    relay.discard_from_target();
     let (token, body) = (crate::support::TOKEN, note.to_string());
     let head = format!(
         "POST /v1/operator/notes HTTP/1.1\r\nhost: control\r\nx-operator: anna\r\n\
@@ -357,7 +357,7 @@
     cluster.offer().await;
     for number in 2..=4 {
         let leader = cluster.leader().await;
-        cluster.relays[&format!("entry-1>{leader}")].swallow_back();
+        cluster.relays[&format!("entry-1>{leader}")].discard_from_target();
         let note = add_account(number, &format!("account-{number}"));
         let answer = cluster
             .operator("entry-1", "POST", "/v1/operator/notes", &note)
--- a/crates/lovageramp/tests/processes/silent.rs
+++ b/crates/lovageramp/tests/processes/silent.rs
@@ -17,10 +17,10 @@
 
 fn swallow(relay: &Relay, lost: Lost) {
     if matches!(lost, Lost::There | Lost::Both) {
-        relay.swallow_there();
+        relay.discard_to_target();
     }
     if matches!(lost, Lost::Back | Lost::Both) {
-        relay.swallow_back();
+        relay.discard_from_target();
     }
 }
 
--- a/crates/lovageramp/tests/processes/support/map_group.rs
+++ b/crates/lovageramp/tests/processes/support/map_group.rs
@@ -106,7 +106,7 @@
 
     /// Versions that have run in a step which all have ended.
     fn versions(&self) -> BTreeSet<u64> {
-        let ended = self.collective.ended();
+        let ended = self.collective.completed_step();
         let history = self.collective.history().into_iter();
         history
             .filter(|ran| ran.step <= ended)
@@ -125,9 +125,9 @@
 
     /// Waits until the group has run so many more steps.
     pub async fn until_steps(&self, count: u64) {
-        let before = self.collective.ended();
+        let before = self.collective.completed_step();
         until(&format!("{count} steps"), || async {
-            (self.collective.ended() >= before + count).then_some(())
+            (self.collective.completed_step() >= before + count).then_some(())
         })
         .await;
     }
@@ -168,7 +168,7 @@
     pub fn lose_ranks(&self, agent: &str) {
         let number = AGENTS.iter().position(|name| *name == agent).unwrap();
         let first = u32::try_from(number).unwrap() * RANKS_EACH;
-        (first..first + RANKS_EACH).for_each(|rank| self.collective.lose(rank));
+        (first..first + RANKS_EACH).for_each(|rank| self.collective.remove_rank(rank));
     }
 
     /// Cuts an agent off all controls.
@@ -178,13 +178,17 @@
 
     /// From now on an agent hears nothing of any control, but is heard.
     pub fn mute_control(&self, agent: &str) {
-        self.to_control(agent).iter().for_each(|relay| relay.mute());
+        self.to_control(agent)
+            .iter()
+            .for_each(|relay| relay.discard_replies());
     }
 
     /// Whether an agent has dialled a control anew since it was last muted.
     pub fn is_redialled(&self, agent: &str) -> bool {
         let relays = self.to_control(agent);
-        relays.iter().any(|relay| relay.muted_connections() > 0)
+        relays
+            .iter()
+            .any(|relay| relay.connections_since_discard() > 0)
     }
 
     /// Lets an agent reach all controls again.
--- a/crates/lovageramp/tests/processes/support/zones.rs
+++ b/crates/lovageramp/tests/processes/support/zones.rs
@@ -57,8 +57,8 @@
         for (name, relay) in &self.relays {
             match name.split_once('>') {
                 Some((from, to)) if side.contains(from) != side.contains(to) => relay.cut(),
-                None if side.contains(name) => relay.bar(others.clone()),
-                None if others.contains(name) => relay.bar(side.clone()),
+                None if side.contains(name) => relay.block_nodes(others.clone()),
+                None if others.contains(name) => relay.block_nodes(side.clone()),
                 // Within one side, or before a fake, which stands beside its agent.
                 Some(_) | None => {}
             }
@@ -69,7 +69,7 @@
     pub fn heal_all(&self) {
         for relay in self.relays.values() {
             relay.heal();
-            relay.bar(BTreeSet::new());
+            relay.block_nodes(BTreeSet::new());
         }
     }
 }
