--- a/crates/lovageramp/src/bench/call.rs
+++ b/crates/lovageramp/src/bench/call.rs
@@ -36,7 +36,7 @@
     /// Only when it gets no final answer.
     Never,
     /// After the answer, as if that had been lost.
-    Afterwards,
+    AfterAnswer,
     /// Twice at the same time, through two entries.
-    AtOnce,
+    Concurrent,
 }
--- a/crates/lovageramp/src/bench/caller.rs
+++ b/crates/lovageramp/src/bench/caller.rs
@@ -15,7 +15,7 @@
 use super::http::{Client, PATIENCE, Sent, Whole};
 use super::outcome::{Ending, Kind, Outcome};
 use super::stream::Stream;
-use super::{Call, Planned, Resend};
+use super::{Call, PlannedRequest, Resend};
 
 /// Addresses that a caller tries before it gives up on a connection.
 const ADDRESSES: usize = 8;
@@ -51,11 +51,11 @@
 
 impl Callers {
     /// Sends a planned request; `turn` says with which address to begin.
-    pub(super) async fn send(self, planned: Planned, turn: usize) -> Outcome {
+    pub(super) async fn send(self, planned: PlannedRequest, turn: usize) -> Outcome {
         self.directory.refresh(&self.client, Instant::now()).await;
         let key = self.accounts.get(planned.account);
         let bearer = format!("Bearer {}", key.map_or("", |account| &account.key));
-        let at = planned.at;
+        let at = planned.send_after;
         match planned.call {
             Call::Chat { body, tokens } => self.chat(at, turn, &bearer, body, tokens).await,
             Call::Read { path } => self.read(at, turn, &bearer, &path).await,
@@ -187,23 +187,23 @@
 impl Write<'_> {
     async fn run(&self, planned: Duration, turn: usize, resend: Resend) -> Outcome {
         let kind = match resend {
-            Resend::AtOnce => Kind::Raced,
-            Resend::Never | Resend::Afterwards => Kind::Write,
+            Resend::Concurrent => Kind::Raced,
+            Resend::Never | Resend::AfterAnswer => Kind::Write,
         };
         let mut outcome = Outcome::new(kind, planned);
         outcome.key = Some(self.key.to_owned());
         let first = match resend {
-            Resend::AtOnce => {
+            Resend::Concurrent => {
                 let (one, other) = tokio::join!(self.settle(turn), self.settle(turn + 1));
                 outcome.differing += u64::from(differ(&one, &other));
                 one
             }
-            Resend::Never | Resend::Afterwards => self.settle(turn).await,
+            Resend::Never | Resend::AfterAnswer => self.settle(turn).await,
         };
         if matches!(first, Answer::Final(_)) {
             outcome.first = Some(self.callers.since(planned));
         }
-        if resend == Resend::Afterwards {
+        if resend == Resend::AfterAnswer {
             let again = self.settle(turn + 1).await;
             outcome.differing += u64::from(differ(&first, &again));
         }
--- a/crates/lovageramp/src/bench/load.rs
+++ b/crates/lovageramp/src/bench/load.rs
@@ -55,8 +55,8 @@
     let plan = Plan::new(mix, &weights, options.rate, options.seed);
     let length = options.duration();
     let mut sent = 0;
-    for planned in plan.take_while(|planned| planned.at < length) {
-        sleep_until((callers.began + planned.at).into()).await;
+    for planned in plan.take_while(|planned| planned.send_after < length) {
+        sleep_until((callers.began + planned.send_after).into()).await;
         let (callers, tx) = (callers.clone(), tx.clone());
         let turn = usize::try_from(sent).unwrap_or_default();
         sent += 1;
--- a/crates/lovageramp/src/bench/mix.rs
+++ b/crates/lovageramp/src/bench/mix.rs
@@ -15,18 +15,18 @@
     /// Plain service of the other calls.
     pub service: String,
     /// Of a thousand requests, how many are streamed model requests.
-    pub chats: u32,
+    pub chat_per_mille: u32,
     /// Of a thousand requests, how many are reads; the rest isn't repeatable.
-    pub reads: u32,
+    pub read_per_mille: u32,
     /// Tokens of an answer.
-    pub tokens: RangeInclusive<u32>,
+    pub answer_tokens: RangeInclusive<u32>,
     /// Words of a prompt.
-    pub words: RangeInclusive<u32>,
+    pub prompt_words: RangeInclusive<u32>,
     /// Of a thousand non-repeatable calls, how many are sent again after
     /// their answer, as if it had been lost.
-    pub resent: u32,
+    pub resend_per_mille: u32,
     /// Of a thousand non-repeatable calls, how many are sent twice at once.
-    pub raced: u32,
+    pub race_per_mille: u32,
     /// Path of the reads, before a number.
     pub read_path: &'static str,
     /// Path of the non-repeatable calls.
@@ -46,12 +46,12 @@
             name: "association",
             model: "burl-notes".to_owned(),
             service: "order-desk".to_owned(),
-            chats: 500,
-            reads: 350,
-            tokens: 24..=96,
-            words: 40..=400,
-            resent: 150,
-            raced: 50,
+            chat_per_mille: 500,
+            read_per_mille: 350,
+            answer_tokens: 24..=96,
+            prompt_words: 40..=400,
+            resend_per_mille: 150,
+            race_per_mille: 50,
             read_path: "/lots/",
             write_path: "/reservations",
         }
@@ -69,12 +69,12 @@
             name: "hotline",
             model: "povzetki-klicev".to_owned(),
             service: "dezurna-aplikacija".to_owned(),
-            chats: 600,
-            reads: 250,
-            tokens: 16..=48,
-            words: 80..=250,
-            resent: 250,
-            raced: 100,
+            chat_per_mille: 600,
+            read_per_mille: 250,
+            answer_tokens: 16..=48,
+            prompt_words: 80..=250,
+            resend_per_mille: 250,
+            race_per_mille: 100,
             read_path: "/addresses/",
             write_path: "/dispatches",
         }
--- a/crates/lovageramp/src/bench/mod.rs
+++ b/crates/lovageramp/src/bench/mod.rs
@@ -19,7 +19,7 @@
 mod progress;
 mod report;
 mod seen;
-mod sse;
+mod sse_parser;
 mod stream;
 mod tally;
 mod verdict;
@@ -27,17 +27,17 @@
 pub use self::call::{Call, Resend};
 pub use self::mix::Mix;
 pub use self::options::{BenchOptions, options};
-pub use self::plan::{Plan, Planned};
-pub use self::sse::Events;
+pub use self::plan::{Plan, PlannedRequest};
+pub use self::sse_parser::SseParser;
 
 use std::time::Duration;
 
 use eyre::ensure;
 
-use crate::standalone::{Deployment, Size};
+use crate::standalone::{Deployment, DeploymentSize};
 
 /// Both users' size: 16 engines and 3 services.
-const SIZE: Size = Size {
+const SIZE: DeploymentSize = DeploymentSize {
     engines: 16,
     services: 3,
     step: Duration::from_millis(20),
--- a/crates/lovageramp/src/bench/plan.rs
+++ b/crates/lovageramp/src/bench/plan.rs
@@ -28,9 +28,9 @@
 
 /// One request of the plan.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Planned {
+pub struct PlannedRequest {
     /// When it is sent, from the begin of the load.
-    pub at: Duration,
+    pub send_after: Duration,
     /// Position of its client account.
     pub account: usize,
     /// What it asks for.
@@ -91,9 +91,9 @@
 
     fn call(&mut self) -> Call {
         let drawn = self.rng.random_range(0..THOUSAND);
-        if drawn < self.mix.chats {
+        if drawn < self.mix.chat_per_mille {
             self.chat()
-        } else if drawn < self.mix.chats + self.mix.reads {
+        } else if drawn < self.mix.chat_per_mille + self.mix.read_per_mille {
             let number = self.rng.random_range(0..READ_NUMBERS);
             let (service, path) = (&self.mix.service, self.mix.read_path);
             Call::Read {
@@ -105,8 +105,8 @@
     }
 
     fn chat(&mut self) -> Call {
-        let tokens = self.rng.random_range(self.mix.tokens.clone());
-        let words = self.rng.random_range(self.mix.words.clone());
+        let tokens = self.rng.random_range(self.mix.answer_tokens.clone());
+        let words = self.rng.random_range(self.mix.prompt_words.clone());
         // Each prompt is its own, so that each answer can be told apart.
         let mut prompt = format!("request {} of run {}:", self.number, self.seed);
         for _ in 0..words {
@@ -129,10 +129,10 @@
     fn write(&mut self) -> Call {
         let (service, path) = (&self.mix.service, self.mix.write_path);
         let drawn = self.rng.random_range(0..THOUSAND);
-        let resend = if drawn < self.mix.resent {
-            Resend::Afterwards
-        } else if drawn < self.mix.resent + self.mix.raced {
-            Resend::AtOnce
+        let resend = if drawn < self.mix.resend_per_mille {
+            Resend::AfterAnswer
+        } else if drawn < self.mix.resend_per_mille + self.mix.race_per_mille {
+            Resend::Concurrent
         } else {
             Resend::Never
         };
@@ -147,16 +147,16 @@
 }
 
 impl Iterator for Plan {
-    type Item = Planned;
+    type Item = PlannedRequest;
 
-    fn next(&mut self) -> Option<Planned> {
+    fn next(&mut self) -> Option<PlannedRequest> {
         // Gaps of a Poisson process: many callers who know nothing of each
         // other.
         let uniform: f64 = self.rng.random();
         let gap = -(1.0 - uniform).ln() / self.rate;
         self.at += Duration::from_secs_f64(gap);
-        let planned = Planned {
-            at: self.at,
+        let planned = PlannedRequest {
+            send_after: self.at,
             account: self.account(),
             call: self.call(),
         };
--- a/crates/lovageramp/src/bench/sse.rs
+++ b/crates/lovageramp/src/bench/sse_parser.rs
@@ -8,26 +8,26 @@
 /// Cuts server-sent events out of bytes as they arrive.
 ///
 /// ```
-/// let mut events = lovageramp::bench::Events::default();
-/// events.push(b"data: a\n\nda");
-/// events.push(b"ta: b\n\n");
-/// assert_eq!(events.next().as_deref(), Some("a"));
-/// assert_eq!(events.next().as_deref(), Some("b"));
-/// assert_eq!(events.next(), None);
+/// let mut parser = lovageramp::bench::SseParser::default();
+/// parser.push(b"data: a\n\nda");
+/// parser.push(b"ta: b\n\n");
+/// assert_eq!(parser.next().as_deref(), Some("a"));
+/// assert_eq!(parser.next().as_deref(), Some("b"));
+/// assert_eq!(parser.next(), None);
 /// ```
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct SseParser {
     buf: BytesMut,
 }
 
-impl Events {
+impl SseParser {
     /// Takes in bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
 }
 
-impl Iterator for Events {
+impl Iterator for SseParser {
     type Item = String;
 
     /// The data of the next whole event.
--- a/crates/lovageramp/src/bench/stream.rs
+++ b/crates/lovageramp/src/bench/stream.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 use super::outcome::{Ending, Outcome};
-use super::sse::Events;
+use super::sse_parser::SseParser;
 
 /// Data of the event that ends a whole stream.
 const DONE: &str = "[DONE]";
@@ -30,7 +30,7 @@
     /// Reads to the end; the outcome then says whether the answer was whole.
     pub(super) async fn read(mut self, mut body: Incoming) {
         self.outcome.ending = Ending::Broken;
-        let mut events = Events::default();
+        let mut events = SseParser::default();
         let (mut tokens, mut last) = (0, Instant::now());
         let mut how = "ended without [DONE]";
         while let Some(frame) = body.frame().await {
--- a/crates/lovageramp/src/standalone/deployment.rs
+++ b/crates/lovageramp/src/standalone/deployment.rs
@@ -22,7 +22,7 @@
 
 /// How many of each to start.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
+pub struct DeploymentSize {
     /// Targets of the model group.
     pub engines: u32,
     /// Targets of the plain service.
@@ -31,9 +31,9 @@
     pub step: Duration,
 }
 
-impl Default for Size {
+impl Default for DeploymentSize {
     fn default() -> Self {
-        Size {
+        DeploymentSize {
             engines: 2,
             services: 2,
             step: Duration::from_millis(20),
@@ -57,7 +57,7 @@
     /// # Errors
     ///
     /// Fails when a daemon can't start or the system does not serve in time.
-    pub async fn start(data: Option<PathBuf>, size: Size) -> eyre::Result<Deployment> {
+    pub async fn start(data: Option<PathBuf>, size: DeploymentSize) -> eyre::Result<Deployment> {
         let temporary = match data {
             Some(_) => None,
             None => Some(tempfile::tempdir()?),
@@ -110,7 +110,7 @@
 
     /// How often the services ran a call, by its key.
     #[must_use]
-    pub fn reservations_run(&self, key: &str, path: &str) -> u64 {
+    pub fn service_call_count(&self, key: &str, path: &str) -> u64 {
         let ran = self
             .services
             .iter()
@@ -170,7 +170,7 @@
     }
 
     /// Sends the note until it is accepted, then waits for an answer of each target.
-    async fn offer(&self, size: Size) -> eyre::Result<()> {
+    async fn offer(&self, size: DeploymentSize) -> eyre::Result<()> {
         let bearer = format!("Bearer {DEMO_TOKEN}");
         let operator = [("authorization", bearer.as_str())];
         let note = first_note(size).to_string();
@@ -222,7 +222,7 @@
     format!("desk-{:02}", number + 1)
 }
 
-fn first_note(size: Size) -> Value {
+fn first_note(size: DeploymentSize) -> Value {
     let digest = note::Digest::of(DEMO_KEY.as_bytes()).to_string();
     let mut added = vec![
         json!({"kind": "model", "name": "burl-notes", "versions": ["2026-11"], "adapters": ["spalted"]}),
--- a/crates/lovageramp/src/standalone/mod.rs
+++ b/crates/lovageramp/src/standalone/mod.rs
@@ -8,7 +8,7 @@
 use bpaf::{Bpaf, Parser};
 use std::path::PathBuf;
 
-pub use self::deployment::{Deployment, Size};
+pub use self::deployment::{Deployment, DeploymentSize};
 
 /// Key of the client account that standalone makes.
 pub const DEMO_KEY: &str = "demo-key-of-standalone";
@@ -39,7 +39,7 @@
 /// Fails when the system can't be started, and with `--once` when an answer or what
 /// ran at the targets differs from what it should be.
 pub async fn run(options: StandaloneOptions) -> eyre::Result<()> {
-    let deployment = Deployment::start(options.data, Size::default()).await?;
+    let deployment = Deployment::start(options.data, DeploymentSize::default()).await?;
     if options.once {
         trial::run(&deployment).await?;
     } else {
--- a/crates/lovageramp/src/standalone/trial.rs
+++ b/crates/lovageramp/src/standalone/trial.rs
@@ -26,7 +26,7 @@
     show("reservation", &first);
     let again = reserve(deployment).await?;
     show("the same reservation sent again", &again);
-    let ran = deployment.reservations_run(KEY, RESERVATION_AT_TARGET);
+    let ran = deployment.service_call_count(KEY, RESERVATION_AT_TARGET);
     println!("seen at the targets: the reservation ran {ran} time(s)");
 
     ensure!(chat.status == 200, "the model request got {}", chat.status);
--- a/crates/lovageramp/tests/processes/bench.rs
+++ b/crates/lovageramp/tests/processes/bench.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crate::support::{Cluster, ClusterPlan, Process};
-use lovageramp::bench::{Call, Events, Mix, Plan, Resend};
+use lovageramp::bench::{Call, Mix, Plan, Resend, SseParser};
 use quickcheck::{Gen, QuickCheck};
 use serde_json::{Value, json};
 
@@ -25,7 +25,7 @@
         .filter(|planned| matches!(planned.call, Call::Chat { .. }));
     let chats = chats.count();
     assert!((4_800..5_200).contains(&chats), "{chats}");
-    let length = plan[plan.len() - 1].at;
+    let length = plan[plan.len() - 1].send_after;
     let expected = Duration::from_secs(45)..Duration::from_secs(55);
     assert!(expected.contains(&length), "{length:?}");
 }
@@ -59,7 +59,7 @@
         let mut ends: Vec<usize> = cuts.iter().map(|cut| cut % stream.len()).collect();
         ends.push(stream.len());
         ends.sort_unstable();
-        let mut events = Events::default();
+        let mut events = SseParser::default();
         let mut found = Vec::new();
         let mut start = 0;
         for end in ends {
--- a/crates/lovageramp/tests/spans.rs
+++ b/crates/lovageramp/tests/spans.rs
@@ -3,7 +3,7 @@
 #[path = "processes/support/mod.rs"]
 mod support;
 
-use lovageramp::standalone::{DEMO_KEY, Deployment, Size};
+use lovageramp::standalone::{DEMO_KEY, Deployment, DeploymentSize};
 use opentelemetry::trace::TracerProvider;
 use opentelemetry_sdk::trace::{InMemorySpanExporter, SdkTracerProvider, SpanData};
 use std::collections::BTreeSet;
@@ -35,7 +35,9 @@
     let subscriber = tracing_subscriber::registry().with(layer);
     tracing::subscriber::set_global_default(subscriber).unwrap();
 
-    let deployment = Deployment::start(None, Size::default()).await.unwrap();
+    let deployment = Deployment::start(None, DeploymentSize::default())
+        .await
+        .unwrap();
     let traceparent = format!("00-{TRACE}-{CALLER}-01");
     let key = format!("Bearer {DEMO_KEY}");
     let headers = [
