--- a/crates/fake/src/relay.rs
+++ b/crates/fake/src/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay between two processes that can cut, hold and swallow.
+//! A TCP relay between two processes that can cut, delay and discard traffic.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -11,10 +11,11 @@
 use crate::relay_carry::serve;
 use crate::relay_state::{Direction, Hold, Mode, RelayState};
 
-/// A relay before one address; the address may change when a process is restarted.
+/// A TCP relay in front of one address, which may change when a process restarts.
 ///
-/// `swallow_*` hold for the connections that are open when they are called; new
-/// connections work, as when a middle box has lost track of the old ones.
+/// `discard_to_target`, `discard_from_target` and `discard_both_ways` apply to the
+/// connections that are open when they are called. New connections work, as when a
+/// middlebox has lost its state of the old ones.
 ///
 /// ```
 /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
@@ -29,26 +30,26 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Relay {
-    /// Where to connect to.
+    /// Listening address.
     pub address: SocketAddr,
     state: Arc<RelayState>,
 }
 
 impl Relay {
-    /// A relay on a port of the kernel's choice, before nothing yet.
+    /// Starts a relay on an ephemeral loopback port, without a target.
     ///
     /// # Errors
     ///
-    /// There is no port.
+    /// Fails when no port can be bound.
     pub async fn start() -> io::Result<Relay> {
         Relay::start_on(Ipv4Addr::LOCALHOST.into()).await
     }
 
-    /// The same on another address of this host.
+    /// Starts a relay on an ephemeral port of another address of this host.
     ///
     /// # Errors
     ///
-    /// There is no port.
+    /// Fails when no port can be bound.
     pub async fn start_on(host: IpAddr) -> io::Result<Relay> {
         let listener = TcpListener::bind((host, 0)).await?;
         let address = listener.local_addr()?;
@@ -57,133 +58,141 @@
         Ok(Relay { address, state })
     }
 
-    /// Sets what stands behind the relay.
+    /// Sets the address that connections are forwarded to.
     pub fn set_target(&self, target: SocketAddr) {
         *lock(&self.state.target) = Some(target);
     }
 
-    /// Cuts the relay: open connections are reset, new ones refused.
+    /// Closes open connections and all new ones until [`Relay::heal`].
     pub fn cut(&self) {
         self.state.mode.send_replace(Mode::Cut);
     }
 
-    /// What is sent arrives, but no answer comes back, on no connection.
+    /// Discards what the target sends, on all connections, also new ones.
     pub fn discard_replies(&self) {
         self.state
-            .muted_at
+            .connections_at_discard
             .store(self.connections(), Ordering::Relaxed);
-        self.state.mode.send_replace(Mode::Mute);
+        self.state.mode.send_replace(Mode::DiscardReplies);
     }
 
-    /// Cuts the relay once this many more bytes have gone towards the target.
+    /// Forwards this many more bytes to the target, over all connections; a
+    /// connection that exceeds the limit is cut off.
     pub fn cut_after_bytes(&self, bytes: u64) {
-        self.state.left.store(bytes, Ordering::Relaxed);
+        self.state.bytes_left.store(bytes, Ordering::Relaxed);
     }
 
-    /// Whether it was cut by [`Relay::cut_after_bytes`].
+    /// Whether the limit of [`Relay::cut_after_bytes`] was reached.
     #[must_use]
     pub fn is_byte_limit_reached(&self) -> bool {
-        self.state.left.load(Ordering::Relaxed) == 0
+        self.state.bytes_left.load(Ordering::Relaxed) == 0
     }
 
-    /// Lets new connections through again.
+    /// Forwards new connections again, without a byte limit.
     pub fn heal(&self) {
-        self.state.left.store(u64::MAX, Ordering::Relaxed);
+        self.state.bytes_left.store(u64::MAX, Ordering::Relaxed);
         self.state.mode.send_replace(Mode::Open);
     }
 
-    /// Cuts the links of the processes with these names, and of no others.
+    /// Closes the connections of the nodes with these names; replaces the former set.
     pub fn block_nodes(&self, names: BTreeSet<String>) {
-        self.state.barred.send_replace(names);
+        self.state.blocked_nodes.send_replace(names);
     }
 
-    /// From now on the answers to requests that begin with `start` are lost;
-    /// none if it is empty.
-    pub fn discard_replies_to(&self, start: &'static str) {
-        *lock(&self.state.lose_answers) = start;
+    /// Discards the replies on new connections whose first bytes are `prefix`; an
+    /// empty prefix turns this off.
+    pub fn discard_replies_to(&self, prefix: &'static str) {
+        *lock(&self.state.discard_reply_prefix) = prefix;
     }
 
-    /// From now on the open connections swallow what goes towards the target.
+    /// Discards what is sent to the target on the connections open now.
     pub fn discard_to_target(&self) {
         let count = self.connections();
-        self.state.swallow.send_modify(|limits| limits.0 = count);
+        self.state
+            .discard_below
+            .send_modify(|limits| limits.0 = count);
     }
 
-    /// From now on the open connections swallow what comes back from the target.
+    /// Discards what the target sends on the connections open now.
     pub fn discard_from_target(&self) {
         let count = self.connections();
-        self.state.swallow.send_modify(|limits| limits.1 = count);
+        self.state
+            .discard_below
+            .send_modify(|limits| limits.1 = count);
     }
 
-    /// From now on the open connections swallow what goes either way.
+    /// Discards traffic in both directions on the connections open now.
     pub fn discard_both_ways(&self) {
         self.discard_to_target();
         self.discard_from_target();
     }
 
-    /// The same, and new connections lead nowhere.
+    /// Discards traffic in both directions on the connections open now and closes new
+    /// ones, which have no target.
     pub fn black_hole(&self) {
         *lock(&self.state.target) = None;
         self.discard_both_ways();
     }
 
-    /// A connection that carries these bytes towards the target holds them and all
-    /// that follows, until released.
-    pub fn hold_to_target(&self, from: &str) {
-        self.hold(Direction::There, from);
+    /// Holds back, on any connection that sends `pattern` to the target, the pattern
+    /// and all later bytes in that direction, until [`Relay::release`].
+    pub fn hold_to_target(&self, pattern: &str) {
+        self.hold(Direction::ToTarget, pattern);
     }
 
-    /// The same with bytes that come back from the target.
-    pub fn hold_from_target(&self, from: &str) {
-        self.hold(Direction::Back, from);
+    /// Like [`Relay::hold_to_target`], for bytes that the target sends.
+    pub fn hold_from_target(&self, pattern: &str) {
+        self.hold(Direction::FromTarget, pattern);
     }
 
-    fn hold(&self, direction: Direction, from: &str) {
-        let from = Some(from.as_bytes().to_vec());
-        self.state.hold.send_replace(Some(Hold { direction, from }));
+    fn hold(&self, direction: Direction, pattern: &str) {
+        let pattern = Some(pattern.as_bytes().to_vec());
+        self.state
+            .hold
+            .send_replace(Some(Hold { direction, pattern }));
     }
 
-    /// No further connection begins to hold.
+    /// Lets no further connection start to hold; those that hold already continue.
     pub fn stop_new_holds(&self) {
         self.state.hold.send_modify(|hold| {
             if let Some(hold) = hold {
-                hold.from = None;
+                hold.pattern = None;
             }
         });
     }
 
-    /// Whether a connection holds something.
+    /// Whether any connection is holding data.
     #[must_use]
     pub fn is_holding(&self) -> bool {
-        self.state.holding.load(Ordering::Relaxed) > 0
+        self.state.holding_connections.load(Ordering::Relaxed) > 0
     }
 
-    /// Hands on what is held, and holds nothing any more.
+    /// Forwards held data and stops holding.
     pub fn release(&self) {
         self.state.hold.send_replace(None);
     }
 
-    /// Bytes that went through, both ways.
+    /// Number of bytes received in both directions.
     #[must_use]
     pub fn bytes(&self) -> u64 {
         self.state.bytes.load(Ordering::Relaxed)
     }
 
-    /// How many connections were made since the relay was muted.
+    /// Number of connections accepted since [`Relay::discard_replies`].
     #[must_use]
     pub fn connections_since_discard(&self) -> u64 {
-        self.connections() - self.state.muted_at.load(Ordering::Relaxed)
+        self.connections() - self.state.connections_at_discard.load(Ordering::Relaxed)
     }
 
-    /// How many connections were made through the relay.
+    /// Number of connections accepted so far.
     #[must_use]
     pub fn connections(&self) -> u64 {
-        self.state.count.load(Ordering::Relaxed)
+        self.state.accepted.load(Ordering::Relaxed)
     }
 
-    /// How many connections are open.
+    /// Number of open connections.
     #[must_use]
     pub fn open_connections(&self) -> u64 {
-        self.state.open.load(Ordering::Relaxed)
+        self.state.open_connections.load(Ordering::Relaxed)
     }
 }
--- a/crates/fake/src/relay_carry.rs
+++ b/crates/fake/src/relay_carry.rs
@@ -1,4 +1,4 @@
-//! Carries the connections of a relay.
+//! Forwards the connections of a relay.
 
 use std::collections::BTreeSet;
 use std::future::pending;
@@ -13,66 +13,87 @@
 use crate::batch::lock;
 use crate::relay_state::{Direction, Mode, RelayState};
 
-/// To connect to the target; one that is stopped takes no connection.
-const CONNECT_WITHIN: Duration = Duration::from_secs(5);
+/// Connect timeout; a stopped target process accepts no connections.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Takes connections and carries each to the target, until the runtime ends.
+const COPY_BUFFER_BYTES: usize = 64 << 10;
+
+/// Accepts connections and forwards each to the target until the runtime ends.
 pub(crate) async fn serve(listener: TcpListener, state: Arc<RelayState>) {
-    while let Ok((near, _)) = listener.accept().await {
+    while let Ok((client, _)) = listener.accept().await {
         if *state.mode.borrow() == Mode::Cut {
             continue;
         }
-        let number = state.count.fetch_add(1, Ordering::Relaxed);
-        state.open.fetch_add(1, Ordering::Relaxed);
+        let number = state.accepted.fetch_add(1, Ordering::Relaxed);
+        state.open_connections.fetch_add(1, Ordering::Relaxed);
         let state = Arc::clone(&state);
         tokio::spawn(async move {
-            // A connection that fails is one that its ends see fail.
-            let _ = carry(near, number, &state).await;
-            state.open.fetch_sub(1, Ordering::Relaxed);
+            // Both ends see the connection fail, so the error needs no handling.
+            let _ = forward(client, number, &state).await;
+            state.open_connections.fetch_sub(1, Ordering::Relaxed);
         });
     }
 }
 
-async fn carry(near: TcpStream, number: u64, state: &RelayState) -> io::Result<()> {
+async fn forward(client: TcpStream, number: u64, state: &RelayState) -> io::Result<()> {
     let Some(target) = *lock(&state.target) else {
         return Ok(());
     };
-    let far = timeout(CONNECT_WITHIN, TcpStream::connect(target)).await??;
-    near.set_nodelay(true)?;
-    far.set_nodelay(true)?;
-    let lost = state.loses_answer(&near).await;
-    let (near_rx, near_tx) = near.into_split();
-    let (far_rx, far_tx) = far.into_split();
+    let server = timeout(CONNECT_TIMEOUT, TcpStream::connect(target)).await??;
+    client.set_nodelay(true)?;
+    server.set_nodelay(true)?;
+    let discards_reply = state.discards_reply(&client).await;
+    let (client_rx, client_tx) = client.into_split();
+    let (server_rx, server_tx) = server.into_split();
     let mut mode = state.mode.subscribe();
-    let hello = OnceLock::new();
-    let is_barred = |names: &BTreeSet<String>| {
-        let hello = hello.get().map_or(&[][..], Vec::as_slice);
-        names.iter().any(|name| is_hello_of(hello, name))
+    let handshake = OnceLock::new();
+    let is_blocked = |names: &BTreeSet<String>| {
+        let handshake = handshake.get().map_or(&[][..], Vec::as_slice);
+        names.iter().any(|name| handshake_contains(handshake, name))
+    };
+    let mut blocked_nodes = state.blocked_nodes.subscribe();
+    let allows = |bytes: &[u8]| {
+        handshake.get_or_init(|| bytes.to_vec());
+        state.consume_bytes(bytes.len()) && !is_blocked(&state.blocked_nodes.borrow())
     };
-    let mut barred = state.barred.subscribe();
-    let passes = |bytes: &[u8]| {
-        hello.get_or_init(|| bytes.to_vec());
-        state.spend(bytes.len()) && !is_barred(&state.barred.borrow())
+    let discards_to_target = || number < state.discard_below.borrow().0;
+    let to_target = copy(
+        client_rx,
+        server_tx,
+        Direction::ToTarget,
+        state,
+        discards_to_target,
+        allows,
+    );
+    let discards_from_target = || {
+        discards_reply
+            || *state.mode.borrow() == Mode::DiscardReplies
+            || number < state.discard_below.borrow().1
     };
-    let swallows = || number < state.swallow.borrow().0;
-    let there = copy(near_rx, far_tx, Direction::There, state, swallows, passes);
-    let muted = || lost || *state.mode.borrow() == Mode::Mute || number < state.swallow.borrow().1;
-    let back = copy(far_rx, near_tx, Direction::Back, state, muted, |_| true);
+    let from_target = copy(
+        server_rx,
+        client_tx,
+        Direction::FromTarget,
+        state,
+        discards_from_target,
+        |_| true,
+    );
     tokio::select! {
-        ((), ()) = async { tokio::join!(there, back) } => {}
+        ((), ()) = async { tokio::join!(to_target, from_target) } => {}
         _ = mode.wait_for(|mode| *mode == Mode::Cut) => {}
-        _ = barred.wait_for(|names| is_barred(names)) => {}
+        _ = blocked_nodes.wait_for(|names| is_blocked(names)) => {}
     }
     Ok(())
 }
 
-/// Whether the first bytes of a connection hold this name, as a string of the codec.
-fn is_hello_of(hello: &[u8], name: &str) -> bool {
+/// Whether the first bytes of a connection contain this node name, encoded as a
+/// length-prefixed string as in the handshake message.
+fn handshake_contains(handshake: &[u8], name: &str) -> bool {
     let Ok(length) = u8::try_from(name.len()) else {
         return false;
     };
     let string = [&[length], name.as_bytes()].concat();
-    hello.windows(string.len()).any(|part| part == string)
+    handshake.windows(string.len()).any(|part| part == string)
 }
 
 async fn copy(
@@ -80,16 +101,16 @@
     mut to: impl AsyncWriteExt + Unpin,
     direction: Direction,
     state: &RelayState,
-    swallows: impl Fn() -> bool,
-    passes: impl Fn(&[u8]) -> bool,
+    discards: impl Fn() -> bool,
+    allows: impl Fn(&[u8]) -> bool,
 ) {
-    let mut buf = vec![0; 64 << 10];
+    let mut buf = vec![0; COPY_BUFFER_BYTES];
     while let Ok(n @ 1..) = from.read(&mut buf).await {
         state.bytes.fetch_add(n as u64, Ordering::Relaxed);
-        if swallows() {
+        if discards() {
             continue;
         }
-        if !passes(&buf[..n]) {
+        if !allows(&buf[..n]) {
             return;
         }
         wait_while_held(direction, &buf[..n], state).await;
@@ -97,23 +118,25 @@
             break;
         }
     }
-    if swallows() {
-        // A swallowed connection doesn't show its end either.
+    if discards() {
+        // The end of a connection is hidden as well when its data is discarded.
         pending::<()>().await;
     }
     let _ = to.shutdown().await;
 }
 
-/// A message goes into one write of its process, so that it lies in one chunk here.
+/// Waits while the chunk is to be held. The processes send each message in one write,
+/// so a pattern lies within one chunk.
 async fn wait_while_held(direction: Direction, chunk: &[u8], state: &RelayState) {
     let mut hold = state.hold.subscribe();
     let is_held = hold.borrow().as_ref().is_some_and(|hold| {
-        let has = |from: &Vec<u8>| chunk.windows(from.len()).any(|window| window == from);
-        hold.direction == direction && hold.from.as_ref().is_some_and(has)
+        let contains =
+            |pattern: &Vec<u8>| chunk.windows(pattern.len()).any(|window| window == pattern);
+        hold.direction == direction && hold.pattern.as_ref().is_some_and(contains)
     });
     if is_held {
-        state.holding.fetch_add(1, Ordering::Relaxed);
+        state.holding_connections.fetch_add(1, Ordering::Relaxed);
         let _ = hold.wait_for(Option::is_none).await;
-        state.holding.fetch_sub(1, Ordering::Relaxed);
+        state.holding_connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/crates/fake/src/relay_state.rs
+++ b/crates/fake/src/relay_state.rs
@@ -1,4 +1,4 @@
-//! What a relay does with what goes through it.
+//! Settings and counters of a relay.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,55 +9,57 @@
 
 use crate::batch::lock;
 
-/// What the relay does with all connections.
+/// How the relay treats all connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Mode {
-    /// Hands bytes on.
+    /// Forwards bytes.
     Open,
-    /// Refuses new connections and resets the open ones.
+    /// Closes new and open connections.
     Cut,
-    /// Swallows what comes back from the target on all connections, also new
-    /// ones, while `Open` is not set again; those are then lost.
-    Mute,
+    /// Discards what the target sends on all connections, also new ones, until the
+    /// mode changes; the discarded bytes are lost.
+    DiscardReplies,
 }
 
-/// From which bytes on connections hold what goes through them.
+/// Which data the relay holds back.
 #[derive(Clone, Debug)]
 pub(crate) struct Hold {
     pub(crate) direction: Direction,
-    /// A connection holds from the chunk on that has these bytes; without any, only
-    /// those hold on that do so already.
-    pub(crate) from: Option<Vec<u8>>,
+    /// A connection holds data from the chunk that contains these bytes onwards.
+    /// `None` only lets connections that hold already continue to hold.
+    pub(crate) pattern: Option<Vec<u8>>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Direction {
-    There,
-    Back,
+    ToTarget,
+    FromTarget,
 }
 
 #[derive(Debug)]
 pub(crate) struct RelayState {
     pub(crate) target: Mutex<Option<SocketAddr>>,
     pub(crate) mode: watch::Sender<Mode>,
-    /// Processes whose connections are cut, by the name in their hello.
-    pub(crate) barred: watch::Sender<BTreeSet<String>>,
-    /// Connections with a lower number swallow bytes towards the target, and back.
-    pub(crate) swallow: watch::Sender<(u64, u64)>,
-    /// Connections that were made.
-    pub(crate) count: AtomicU64,
-    /// Connections that are open.
-    pub(crate) open: AtomicU64,
+    /// Nodes whose connections are closed, by the name in their handshake.
+    pub(crate) blocked_nodes: watch::Sender<BTreeSet<String>>,
+    /// Connections with a lower number have their data to the target, and from it,
+    /// discarded.
+    pub(crate) discard_below: watch::Sender<(u64, u64)>,
+    /// Number of connections accepted so far; numbers the connections.
+    pub(crate) accepted: AtomicU64,
+    /// Number of open connections.
+    pub(crate) open_connections: AtomicU64,
+    /// Number of bytes received in both directions.
     pub(crate) bytes: AtomicU64,
     pub(crate) hold: watch::Sender<Option<Hold>>,
-    /// Connections that hold something now.
-    pub(crate) holding: AtomicU64,
-    /// Connections made before the relay was last muted.
-    pub(crate) muted_at: AtomicU64,
-    /// What requests whose answers are lost begin with.
-    pub(crate) lose_answers: Mutex<&'static str>,
-    /// Bytes that may still go towards the target.
-    pub(crate) left: AtomicU64,
+    /// Number of connections that hold data now.
+    pub(crate) holding_connections: AtomicU64,
+    /// Number of connections accepted before replies were last discarded.
+    pub(crate) connections_at_discard: AtomicU64,
+    /// First bytes of the connections whose replies are discarded; empty for none.
+    pub(crate) discard_reply_prefix: Mutex<&'static str>,
+    /// Bytes that may still be sent to the target; `u64::MAX` for no limit.
+    pub(crate) bytes_left: AtomicU64,
 }
 
 impl RelayState {
@@ -65,40 +67,40 @@
         RelayState {
             target: Mutex::new(None),
             mode: watch::Sender::new(Mode::Open),
-            barred: watch::Sender::default(),
-            swallow: watch::Sender::new((0, 0)),
-            count: AtomicU64::new(0),
-            open: AtomicU64::new(0),
+            blocked_nodes: watch::Sender::default(),
+            discard_below: watch::Sender::new((0, 0)),
+            accepted: AtomicU64::new(0),
+            open_connections: AtomicU64::new(0),
             bytes: AtomicU64::new(0),
             hold: watch::Sender::new(None),
-            holding: AtomicU64::new(0),
-            muted_at: AtomicU64::new(0),
-            lose_answers: Mutex::new(""),
-            left: AtomicU64::new(u64::MAX),
+            holding_connections: AtomicU64::new(0),
+            connections_at_discard: AtomicU64::new(0),
+            discard_reply_prefix: Mutex::new(""),
+            bytes_left: AtomicU64::new(u64::MAX),
         }
     }
 
-    /// Whether the answer to the request that comes first is to be lost.
-    pub(crate) async fn loses_answer(&self, near: &TcpStream) -> bool {
-        let start = *lock(&self.lose_answers);
-        let mut buf = vec![0; start.len()];
-        if start.is_empty() {
+    /// Whether the replies on this connection are to be discarded.
+    pub(crate) async fn discards_reply(&self, client: &TcpStream) -> bool {
+        let prefix = *lock(&self.discard_reply_prefix);
+        let mut buf = vec![0; prefix.len()];
+        if prefix.is_empty() {
             return false;
         }
-        near.peek(&mut buf).await.is_ok() && buf == start.as_bytes()
+        client.peek(&mut buf).await.is_ok() && buf == prefix.as_bytes()
     }
 
-    /// Takes bytes from what may still go through; false when it is not enough.
-    pub(crate) fn spend(&self, bytes: usize) -> bool {
+    /// Deducts bytes from the limit of bytes to the target; false if the limit is exceeded.
+    pub(crate) fn consume_bytes(&self, bytes: usize) -> bool {
         let take = |left: u64| match left {
             u64::MAX => Some(left),
             left => left.checked_sub(bytes as u64),
         };
         let order = Ordering::Relaxed;
-        let spent = self.left.fetch_update(order, order, take);
-        if spent.is_err() {
-            self.left.store(0, order);
+        let deducted = self.bytes_left.fetch_update(order, order, take);
+        if deducted.is_err() {
+            self.bytes_left.store(0, order);
         }
-        spent.is_ok()
+        deducted.is_ok()
     }
 }
