--- a/crates/fake/src/batch.rs
+++ b/crates/fake/src/batch.rs
@@ -1,4 +1,4 @@
-//! Continuous batching: the requests that run, and the steps they share.
+//! Continuous batching: the running requests and the steps that they share.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -8,30 +8,31 @@
 use serde_json::{Value, json};
 use tokio::sync::{Semaphore, SemaphorePermit, watch};
 
-/// Cached prompt prefixes at most.
-const MAX_CACHED: usize = 64;
+/// Most cached prompt prefixes.
+const MAX_CACHED_PREFIXES: usize = 64;
 
-/// Cache events that are kept for readers at most.
-const MAX_EVENTS: usize = 1024;
+/// Most cache events kept for readers.
+const MAX_CACHE_EVENTS: usize = 1024;
 
 #[derive(Debug)]
 pub(crate) struct Batch {
-    limit: u32,
+    max_running: u32,
     slots: Semaphore,
     queued: AtomicU32,
+    /// Running requests by rank.
     running: Mutex<BTreeMap<u32, u32>>,
-    /// The last step that ran.
+    /// The last completed step.
     pub step: watch::Sender<u64>,
-    /// Requests that were cancelled by order.
+    /// IDs of the requests cancelled through `POST /cancel`.
     pub cancelled: watch::Sender<BTreeSet<String>>,
     cache: Mutex<Cache>,
 }
 
-/// Cached prefixes, oldest first, and what changed.
+/// Cached prompt prefixes, oldest first, and the latest changes.
 #[derive(Debug, Default)]
 struct Cache {
     sequence: u64,
-    held: VecDeque<u64>,
+    prefixes: VecDeque<u64>,
     events: VecDeque<(u64, CacheEvent)>,
 }
 
@@ -42,10 +43,10 @@
 }
 
 impl Batch {
-    pub fn new(limit: u32) -> Self {
+    pub fn new(max_running: u32) -> Self {
         Batch {
-            limit,
-            slots: Semaphore::new(limit as usize),
+            max_running,
+            slots: Semaphore::new(max_running as usize),
             queued: AtomicU32::new(0),
             running: Mutex::new(BTreeMap::new()),
             step: watch::Sender::new(0),
@@ -54,11 +55,11 @@
         }
     }
 
-    /// Waits for a place in the batch.
-    pub async fn enter(&self, rank: u32) -> Option<Slot<'_>> {
-        let queued = Queued::new(&self.queued);
+    /// Waits for a free slot in the batch.
+    pub async fn acquire_slot(&self, rank: u32) -> Option<Slot<'_>> {
+        let guard = QueuedGuard::new(&self.queued);
         let permit = self.slots.acquire().await.ok()?;
-        drop(queued);
+        drop(guard);
         *lock(&self.running).entry(rank).or_default() += 1;
         Some(Slot {
             batch: self,
@@ -67,24 +68,28 @@
         })
     }
 
-    pub fn store(&self, prefix: u64) {
+    pub fn cache_prefix(&self, prefix: u64) {
         let mut cache = lock(&self.cache);
-        if cache.held.contains(&prefix) {
+        if cache.prefixes.contains(&prefix) {
             return;
         }
-        cache.held.push_back(prefix);
-        cache.note(CacheEvent::Stored(prefix));
-        if cache.held.len() > MAX_CACHED
-            && let Some(oldest) = cache.held.pop_front()
+        cache.prefixes.push_back(prefix);
+        cache.record(CacheEvent::Stored(prefix));
+        if cache.prefixes.len() > MAX_CACHED_PREFIXES
+            && let Some(oldest) = cache.prefixes.pop_front()
         {
-            cache.note(CacheEvent::Evicted(oldest));
+            cache.record(CacheEvent::Evicted(oldest));
         }
     }
 
     pub fn cache_events(&self, after: u64) -> Value {
         let cache = lock(&self.cache);
         let (mut stored, mut evicted) = (Vec::new(), Vec::new());
-        for (_, event) in cache.events.iter().filter(|(at, _)| *at > after) {
+        for (_, event) in cache
+            .events
+            .iter()
+            .filter(|(sequence, _)| *sequence > after)
+        {
             match event {
                 CacheEvent::Stored(prefix) => stored.push(prefix),
                 CacheEvent::Evicted(prefix) => evicted.push(prefix),
@@ -93,11 +98,11 @@
         json!({"sequence": cache.sequence, "stored": stored, "evicted": evicted})
     }
 
-    pub fn load(&self, ranks: &[u32], step: Duration) -> Value {
+    pub fn load_report(&self, ranks: &[u32], step_time: Duration) -> Value {
         let running = lock(&self.running).clone();
         let queued = self.queued.load(Ordering::Relaxed);
         let total: u32 = running.values().sum();
-        let step_us = u64::try_from(step.as_micros()).unwrap_or(u64::MAX);
+        let step_us = u64::try_from(step_time.as_micros()).unwrap_or(u64::MAX);
         let ranks: Vec<Value> = ranks
             .iter()
             .map(|rank| {
@@ -106,26 +111,26 @@
                     "rank": rank,
                     "running": running,
                     "queued_tokens": 0,
-                    "kv_used_permille": 1000 * running / self.limit.max(1),
+                    "kv_used_permille": 1000 * running / self.max_running.max(1),
                     "step_us": step_us,
                 })
             })
             .collect();
-        json!({"ranks": ranks, "running": total, "queued": queued, "limit": self.limit})
+        json!({"ranks": ranks, "running": total, "queued": queued, "limit": self.max_running})
     }
 }
 
 impl Cache {
-    fn note(&mut self, event: CacheEvent) {
+    fn record(&mut self, event: CacheEvent) {
         self.sequence += 1;
         self.events.push_back((self.sequence, event));
-        if self.events.len() > MAX_EVENTS {
+        if self.events.len() > MAX_CACHE_EVENTS {
             self.events.pop_front();
         }
     }
 }
 
-/// A place in the batch, free again when dropped.
+/// A slot in the batch, released when dropped.
 #[derive(Debug)]
 pub(crate) struct Slot<'a> {
     batch: &'a Batch,
@@ -142,16 +147,17 @@
     }
 }
 
-struct Queued<'a>(&'a AtomicU32);
+/// Counts a request as queued until dropped.
+struct QueuedGuard<'a>(&'a AtomicU32);
 
-impl<'a> Queued<'a> {
+impl<'a> QueuedGuard<'a> {
     fn new(queued: &'a AtomicU32) -> Self {
         queued.fetch_add(1, Ordering::Relaxed);
-        Queued(queued)
+        QueuedGuard(queued)
     }
 }
 
-impl Drop for Queued<'_> {
+impl Drop for QueuedGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/fake/src/collective.rs
+++ b/crates/fake/src/collective.rs
@@ -1,4 +1,4 @@
-//! The collective that the engines of one group step in.
+//! Synchronizes the steps of the engines of one group.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -13,30 +13,31 @@
 
 use crate::CompletedStep;
 
-/// The collective that the engines of one group step in: no engine runs a step
-/// before all have ended the last one, and none runs a step at all unless it
-/// is in the present formation.
+/// Synchronizes the steps of the engines of one group: no engine runs a step
+/// before all have completed the previous one, and only members of the current
+/// formation run steps.
 ///
-/// An engine that dies leaves the others waiting until it is back or is
-/// declared [lost](Collective::remove_rank). Either makes a new formation, which an
-/// engine is told of only once all of them have left the former one.
+/// When an engine crashes, the others wait until it rejoins or its ranks are
+/// [removed](Collective::remove_rank). Both start a new formation, which is
+/// announced once all members have left the previous one.
 #[derive(Debug)]
 pub struct Collective {
     address: SocketAddr,
     group: Arc<Mutex<Group>>,
-    dead: CancellationToken,
+    stop: CancellationToken,
 }
 
 #[derive(Debug, Default)]
 struct Group {
-    /// Ranks without which no step runs.
-    needed: BTreeSet<u32>,
+    /// Ranks that must be present for a step to run.
+    required_ranks: BTreeSet<u32>,
     members: BTreeMap<u64, Member>,
-    joined: u64,
+    /// ID of the member that joined last.
+    last_id: u64,
     formation: u64,
-    /// Whether the members were told of the formation.
-    is_formed: bool,
-    /// The step that runs or ran last.
+    /// Whether the formation was announced to the members.
+    is_announced: bool,
+    /// The newest step that was started.
     step: u64,
     history: Vec<CompletedStep>,
 }
@@ -44,15 +45,15 @@
 #[derive(Debug)]
 struct Member {
     ranks: Vec<u32>,
-    /// The newest formation for which it has left the one before.
+    /// The newest formation for which the member has left the previous one.
     left_for: u64,
-    /// The last step that it ended.
-    ended: u64,
+    /// The last step that the member completed.
+    completed: u64,
     tx: UnboundedSender<Value>,
 }
 
 impl Collective {
-    /// Starts the collective of these ranks, on loopback.
+    /// Starts a collective for these ranks on loopback.
     ///
     /// # Errors
     ///
@@ -73,43 +74,43 @@
         let collective = Collective {
             address: listener.local_addr()?,
             group: Arc::default(),
-            dead: CancellationToken::new(),
+            stop: CancellationToken::new(),
         };
-        collective.group().needed = ranks.into_iter().collect();
+        collective.group().required_ranks = ranks.into_iter().collect();
         let accept = accept(listener, Arc::clone(&collective.group));
-        tokio::spawn(collective.dead.clone().run_until_cancelled_owned(accept));
+        tokio::spawn(collective.stop.clone().run_until_cancelled_owned(accept));
         Ok(collective)
     }
 
-    /// Where engines join.
+    /// Address at which engines join.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The group goes on without this rank; an engine that runs it is thrown
-    /// out and may join again.
+    /// Removes a rank, without which the group continues. The engine that runs it
+    /// is disconnected and may join again.
     pub fn remove_rank(&self, rank: u32) {
         let mut group = self.group();
-        group.needed.remove(&rank);
+        group.required_ranks.remove(&rank);
         group
             .members
             .retain(|_, member| !member.ranks.contains(&rank));
-        group.form();
+        group.begin_formation();
     }
 
-    /// Each step as each engine ran it, in the order in which they ended it.
+    /// Steps completed by each engine, in order of completion.
     #[must_use]
     pub fn history(&self) -> Vec<CompletedStep> {
         self.group().history.clone()
     }
 
-    /// The last step that all engines have ended.
+    /// The last step that all engines have completed.
     #[must_use]
     pub fn completed_step(&self) -> u64 {
         let group = self.group();
-        let ended = group.members.values().map(|member| member.ended);
-        ended.min().unwrap_or_default()
+        let completed = group.members.values().map(|member| member.completed);
+        completed.min().unwrap_or_default()
     }
 
     fn group(&self) -> MutexGuard<'_, Group> {
@@ -119,82 +120,85 @@
 
 impl Drop for Collective {
     fn drop(&mut self) {
-        self.dead.cancel();
+        self.stop.cancel();
     }
 }
 
 impl Group {
     fn join(&mut self, ranks: Vec<u32>, tx: UnboundedSender<Value>) -> u64 {
-        let runs = self.members.values().any(|member| member.ended < self.step);
+        let is_stepping = self
+            .members
+            .values()
+            .any(|member| member.completed < self.step);
         let present = self.members.values().flat_map(|member| &member.ranks);
         let present: BTreeSet<u32> = present.copied().collect();
-        let is_whole = self.needed.is_subset(&present);
-        let ended = if runs || !is_whole {
+        let is_complete = self.required_ranks.is_subset(&present);
+        let completed = if is_stepping || !is_complete {
             self.step.saturating_sub(1)
         } else {
             self.step
         };
-        self.needed.extend(&ranks);
+        self.required_ranks.extend(&ranks);
         self.members
             .retain(|_, member| member.ranks.iter().all(|rank| !ranks.contains(rank)));
-        self.joined += 1;
+        self.last_id += 1;
         let member = Member {
             ranks,
             left_for: 0,
-            ended,
+            completed,
             tx,
         };
-        self.members.insert(self.joined, member);
-        self.form();
-        self.joined
+        self.members.insert(self.last_id, member);
+        self.begin_formation();
+        self.last_id
     }
 
-    /// Begins the next formation.
-    fn form(&mut self) {
+    /// Starts the next formation.
+    fn begin_formation(&mut self) {
         self.formation += 1;
-        self.is_formed = false;
-        self.tell(&json!({"leave_for": self.formation}));
-        self.settle();
+        self.is_announced = false;
+        self.broadcast(&json!({"leave_for": self.formation}));
+        self.advance();
     }
 
-    fn tell(&self, message: &Value) {
+    fn broadcast(&self, message: &Value) {
         for member in self.members.values() {
-            // One that is gone is taken out when its connection ends.
+            // A disconnected member is removed when its connection ends.
             let _ = member.tx.send(message.clone());
         }
     }
 
-    /// Ends what can be ended: a formation that all have left the former one
-    /// for, a step that all have run.
-    fn settle(&mut self) {
+    /// Announces the formation once all members have left the previous one, and
+    /// starts the next step once all have completed the current one.
+    fn advance(&mut self) {
         let members = self.members.values();
         let ranks: BTreeSet<u32> = members.flat_map(|member| member.ranks.clone()).collect();
-        if ranks.is_empty() || !self.needed.is_subset(&ranks) {
+        if ranks.is_empty() || !self.required_ranks.is_subset(&ranks) {
             return;
         }
-        if !self.is_formed {
+        if !self.is_announced {
             let mut members = self.members.values();
             if members.any(|member| member.left_for < self.formation) {
                 return;
             }
-            self.is_formed = true;
+            self.is_announced = true;
             for member in self.members.values() {
                 let _ = member.tx.send(json!({"formation": self.formation,
-                    "ranks": ranks, "ended": member.ended}));
+                    "ranks": ranks, "ended": member.completed}));
                 let _ = member.tx.send(json!({"run": self.step}));
             }
         }
         if self
             .members
             .values()
-            .all(|member| member.ended >= self.step)
+            .all(|member| member.completed >= self.step)
         {
             self.step += 1;
-            self.tell(&json!({"run": self.step}));
+            self.broadcast(&json!({"run": self.step}));
         }
     }
 
-    fn take(&mut self, id: u64, message: &Value) {
+    fn handle_message(&mut self, id: u64, message: &Value) {
         let Some(member) = self.members.get_mut(&id) else {
             return;
         };
@@ -202,7 +206,7 @@
             member.left_for = formation;
         }
         if let Some(step) = message["ended"].as_u64() {
-            member.ended = step;
+            member.completed = step;
             self.history.push(CompletedStep {
                 step,
                 ranks: member.ranks.clone(),
@@ -210,7 +214,7 @@
                 map: message["map"].as_str().unwrap_or_default().to_owned(),
             });
         }
-        self.settle();
+        self.advance();
     }
 }
 
@@ -227,30 +231,35 @@
     let Ok(Some(line)) = lines.next_line().await else {
         return;
     };
-    let Some(ranks) = joined(&line) else { return };
+    let Some(ranks) = parse_join(&line) else {
+        return;
+    };
     let (queue, outgoing) = unbounded_channel();
     let id = lock(&group).join(ranks, queue);
     let read = async {
         while let Ok(Some(line)) = lines.next_line().await {
             let message = serde_json::from_str(&line).unwrap_or_default();
-            lock(&group).take(id, &message);
+            lock(&group).handle_message(id, &message);
         }
     };
-    // The queue ends when the member is thrown out.
+    // The queue closes when the member is removed.
     tokio::select! {
         () = read => {}
-        () = write(tx, outgoing) => {}
+        () = write_messages(tx, outgoing) => {}
     }
     lock(&group).members.remove(&id);
 }
 
-fn joined(line: &str) -> Option<Vec<u32>> {
+fn parse_join(line: &str) -> Option<Vec<u32>> {
     let message: Value = serde_json::from_str(line).ok()?;
     serde_json::from_value(message["join"].clone()).ok()
 }
 
-/// Writes messages, one a line, until the queue ends or a write fails.
-pub(crate) async fn write(mut tx: impl AsyncWriteExt + Unpin, mut queue: UnboundedReceiver<Value>) {
+/// Writes messages, one per line, until the queue closes or a write fails.
+pub(crate) async fn write_messages(
+    mut tx: impl AsyncWriteExt + Unpin,
+    mut queue: UnboundedReceiver<Value>,
+) {
     while let Some(message) = queue.recv().await {
         if tx
             .write_all(format!("{message}\n").as_bytes())
--- a/crates/fake/src/collective_member.rs
+++ b/crates/fake/src/collective_member.rs
@@ -1,4 +1,4 @@
-//! An engine in the collective of its group.
+//! Membership of an engine in the collective of its group.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,26 +9,26 @@
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::sync::watch;
 
-use crate::collective::write;
-use crate::engine::Life;
+use crate::collective::write_messages;
+use crate::engine::RunningEngine;
 use crate::expert_state::ExpertState;
 
-/// An engine in the collective of its group.
+/// Membership of an engine in the collective of its group.
 #[derive(Debug)]
 pub(crate) struct CollectiveMember {
     tx: UnboundedSender<Value>,
     /// The newest step that may run.
-    run: watch::Receiver<u64>,
+    allowed_step: watch::Receiver<u64>,
 }
 
 impl CollectiveMember {
-    /// Joins; an engine that is thrown out dies.
-    pub fn join(address: SocketAddr, life: Arc<Life>) -> Self {
+    /// Joins the collective; the engine stops when it is disconnected.
+    pub fn join(address: SocketAddr, engine: Arc<RunningEngine>) -> Self {
         let (tx, queue) = unbounded_channel();
-        let (steps, run) = watch::channel(0);
-        let _ = tx.send(json!({"join": life.shared.cfg.ranks}));
-        let answers = tx.clone();
-        let dead = life.dead.clone();
+        let (steps, allowed_step) = watch::channel(0);
+        let _ = tx.send(json!({"join": engine.shared.cfg.ranks}));
+        let replies = tx.clone();
+        let stopped = engine.stopped.clone();
         tokio::spawn(async move {
             if let Ok(stream) = TcpStream::connect(address).await {
                 let _ = stream.set_nodelay(true);
@@ -37,49 +37,49 @@
                 let read = async {
                     while let Ok(Some(line)) = lines.next_line().await {
                         let message = serde_json::from_str(&line).unwrap_or_default();
-                        take(&life.experts, &steps, &answers, &message);
+                        handle_message(&engine.experts, &steps, &replies, &message);
                     }
                 };
                 tokio::select! {
                     () = read => {}
-                    () = write(tx, queue) => {}
-                    () = dead.cancelled() => {}
+                    () = write_messages(tx, queue) => {}
+                    () = stopped.cancelled() => {}
                 }
             }
-            dead.cancel();
+            stopped.cancel();
         });
-        CollectiveMember { tx, run }
+        CollectiveMember { tx, allowed_step }
     }
 
-    /// Waits until a step after `step` may run, and returns it.
-    pub async fn after(&mut self, step: u64) -> u64 {
-        let run = self.run.wait_for(|run| *run > step).await;
-        if let Ok(run) = run.map(|run| *run) {
-            return run;
+    /// Waits until a step after `step` may run and returns it.
+    pub async fn next_step(&mut self, step: u64) -> u64 {
+        let allowed = self.allowed_step.wait_for(|allowed| *allowed > step).await;
+        if let Ok(allowed) = allowed.map(|allowed| *allowed) {
+            return allowed;
         }
-        // Thrown out: there are no more steps.
+        // Disconnected from the collective: no further step may run.
         std::future::pending().await
     }
 
-    /// Tells that a step has been run.
-    pub fn end(&self, experts: &ExpertState) {
+    /// Reports the last step to the collective as completed.
+    pub fn report_completed(&self, experts: &ExpertState) {
         let _ = self.tx.send(json!({
             "ended": experts.step,
             "version": experts.version,
-            "map": experts.content,
+            "map": experts.digest,
         }));
     }
 }
 
-fn take(
+fn handle_message(
     experts: &watch::Sender<ExpertState>,
     steps: &watch::Sender<u64>,
-    answers: &UnboundedSender<Value>,
+    replies: &UnboundedSender<Value>,
     message: &Value,
 ) {
     if let Some(formation) = message["leave_for"].as_u64() {
         experts.send_modify(|experts| experts.formation = Some((0, Vec::new())));
-        let _ = answers.send(json!({"left_for": formation}));
+        let _ = replies.send(json!({"left_for": formation}));
     }
     if let Some(formation) = message["formation"].as_u64() {
         let ranks = serde_json::from_value(message["ranks"].clone()).unwrap_or_default();
--- a/crates/fake/src/completed_step.rs
+++ b/crates/fake/src/completed_step.rs
@@ -1,14 +1,14 @@
-//! One step as one engine ran it.
+//! A step completed by one engine.
 
-/// One step as one engine ran it.
+/// A step completed by one engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompletedStep {
-    /// Number of the step.
+    /// Step number.
     pub step: u64,
     /// Ranks of the engine.
     pub ranks: Vec<u32>,
     /// Version of the expert map.
     pub version: u64,
-    /// Digest of the map; empty for the one that the engine was started with.
+    /// Digest of the map; empty for the map in use at the start.
     pub map: String,
 }
--- a/crates/fake/src/completion.rs
+++ b/crates/fake/src/completion.rs
@@ -1,37 +1,37 @@
-//! Chat completions whose text follows from the request alone.
+//! Chat completions whose text is derived from the request body alone.
 
 use bytes::Bytes;
 use serde::Deserialize;
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
 
-/// Words of the answers.
+/// Words used in responses.
 const WORDS: [&str; 16] = [
     "burl", "maple", "spalted", "figure", "check", "moisture", "kiln", "bark", "blank", "ash",
     "oak", "dry", "grain", "knot", "turn", "lot",
 ];
 
-/// Tokens of an answer at most.
+/// Most tokens in a response.
 const MAX_TOKENS: u64 = 1 << 20;
 
-/// An answer, the same for each attempt at the same request body.
+/// A chat completion; identical request bodies get identical completions.
 #[derive(Clone, Debug)]
 pub(crate) struct Completion {
     digest: [u8; 32],
     model: String,
     pub tokens: u64,
-    pub form: Form,
+    pub format: ResponseFormat,
 }
 
-/// How the answer is sent.
+/// How the response is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Form {
-    Events,
-    Document,
+pub(crate) enum ResponseFormat {
+    EventStream,
+    Json,
 }
 
 #[derive(Deserialize)]
-struct Asked {
+struct ChatRequest {
     model: String,
     #[serde(default)]
     stream: bool,
@@ -39,41 +39,41 @@
 }
 
 impl Completion {
-    pub fn parse(body: &[u8], tokens: u64) -> Result<Self, serde_json::Error> {
-        let asked: Asked = serde_json::from_slice(body)?;
+    pub fn parse(body: &[u8], default_tokens: u64) -> Result<Self, serde_json::Error> {
+        let request: ChatRequest = serde_json::from_slice(body)?;
         Ok(Completion {
             digest: Sha256::digest(body).into(),
-            model: asked.model,
-            tokens: asked.max_tokens.unwrap_or(tokens).min(MAX_TOKENS),
-            form: if asked.stream {
-                Form::Events
+            model: request.model,
+            tokens: request.max_tokens.unwrap_or(default_tokens).min(MAX_TOKENS),
+            format: if request.stream {
+                ResponseFormat::EventStream
             } else {
-                Form::Document
+                ResponseFormat::Json
             },
         })
     }
 
-    /// Number of server-sent events: one a token, the end, and `[DONE]`.
-    pub fn events(&self) -> u64 {
+    /// Number of server-sent events: one per token, the finish event, and `[DONE]`.
+    pub fn event_count(&self) -> u64 {
         self.tokens + 2
     }
 
-    /// The server-sent event at a place.
-    pub fn event(&self, at: u64) -> Bytes {
-        if at > self.tokens {
+    /// Returns the server-sent event at this index.
+    pub fn event(&self, index: u64) -> Bytes {
+        if index > self.tokens {
             return Bytes::from_static(b"data: [DONE]\n\n");
         }
-        let value = if at < self.tokens {
-            self.chunk(&json!({"content": self.token(at)}), &Value::Null)
+        let value = if index < self.tokens {
+            self.chunk(&json!({"content": self.token(index)}), &Value::Null)
         } else {
             self.chunk(&json!({}), &json!("stop"))
         };
         format!("data: {value}\n\n").into()
     }
 
-    /// The whole answer as one JSON document.
+    /// Returns the whole completion as one JSON document.
     pub fn document(&self) -> Value {
-        let text: String = (0..self.tokens).map(|at| self.token(at)).collect();
+        let text: String = (0..self.tokens).map(|index| self.token(index)).collect();
         json!({
             "id": self.id(),
             "object": "chat.completion",
@@ -88,20 +88,20 @@
         })
     }
 
-    /// Hash by which the engine's cache names the prompt.
-    pub fn prefix(&self) -> u64 {
+    /// Hash that identifies the prompt in the engine's cache.
+    pub fn prefix_hash(&self) -> u64 {
         let mut first = [0; 8];
         first.copy_from_slice(&self.digest[..8]);
         u64::from_be_bytes(first)
     }
 
     fn id(&self) -> String {
-        format!("chatcmpl-{:016x}", self.prefix())
+        format!("chatcmpl-{:016x}", self.prefix_hash())
     }
 
-    fn token(&self, at: u64) -> String {
-        let place = usize::try_from(at % 32).unwrap_or_default();
-        let mixed = u64::from(self.digest[place]) + at / 32 * 7;
+    fn token(&self, index: u64) -> String {
+        let position = usize::try_from(index % 32).unwrap_or_default();
+        let mixed = u64::from(self.digest[position]) + index / 32 * 7;
         let word = usize::try_from(mixed).unwrap_or_default() % WORDS.len();
         format!("{} ", WORDS[word])
     }
--- a/crates/fake/src/engine.rs
+++ b/crates/fake/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine.
+//! A fake model engine.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,49 +15,50 @@
 
 use crate::batch::{Batch, lock};
 use crate::collective_member::CollectiveMember;
-use crate::completion::{Completion, Form};
+use crate::completion::{Completion, ResponseFormat};
 use crate::expert_state::ExpertState;
 use crate::faults::Faults;
-use crate::http::{self, Reply};
-use crate::seen_log::SeenLog;
-use crate::{EngineSettings, Fault, RecordedRequest, life, orders};
+use crate::http::{self, HandlerResult};
+use crate::request_log::RequestLog;
+use crate::{EngineSettings, Fault, RecordedRequest, control_routes, server};
 
-/// Steps that a request which crashes the engine runs before it does.
-const STEPS_TO_CRASH: u64 = 2;
+/// Steps that a request covered by [`Fault::CrashOn`] runs before the crash.
+const STEPS_BEFORE_CRASH: u64 = 2;
 
-/// An idle engine steps at this pace when its settings give no step time.
-const IDLE_STEP: Duration = Duration::from_millis(1);
+/// Shortest interval between steps. It paces an idle engine whose step time is zero;
+/// requests do not wait for steps then.
+const MIN_STEP_INTERVAL: Duration = Duration::from_millis(1);
 
-/// By then the connections of a dead engine are closed.
-const CLOSING: Duration = Duration::from_secs(1);
+/// Time within which the connections of a crashed engine are closed.
+const CONNECTION_CLOSE_TIME: Duration = Duration::from_secs(1);
 
-/// Events that wait for a slow reader.
-const EVENT_QUEUE: usize = 16;
+/// Most events buffered for a slow reader.
+const EVENT_BUFFER: usize = 16;
 
-/// A model engine on loopback.
+/// A fake model engine on loopback.
 #[derive(Debug)]
 pub struct Engine {
     shared: Arc<Shared>,
     address: SocketAddr,
-    life: Mutex<Arc<Life>>,
+    current: Mutex<Arc<RunningEngine>>,
 }
 
-/// What outlives the engine's deaths.
+/// State that is kept across restarts.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub cfg: EngineSettings,
     pub faults: Faults,
-    pub log: SeenLog,
+    pub requests: RequestLog,
 }
 
-/// What is lost when the engine dies.
+/// State between a start and the next crash.
 #[derive(Debug)]
-pub(crate) struct Life {
+pub(crate) struct RunningEngine {
     pub shared: Arc<Shared>,
     pub batch: Batch,
     pub experts: watch::Sender<ExpertState>,
-    pub dead: CancellationToken,
-    /// Differs after each restart.
+    pub stopped: CancellationToken,
+    /// Unique to each start.
     instance: String,
 }
 
@@ -80,294 +81,312 @@
         let shared = Arc::new(Shared {
             cfg,
             faults: Faults::new(),
-            log: SeenLog::default(),
+            requests: RequestLog::default(),
         });
-        let (life, address) = Life::start(Arc::clone(&shared), address).await?;
+        let (engine, address) = RunningEngine::start(Arc::clone(&shared), address).await?;
         Ok(Engine {
             shared,
             address,
-            life: Mutex::new(life),
+            current: Mutex::new(engine),
         })
     }
 
-    /// Starts again at the same address after a death; maps, cache and
-    /// fencing number are those of a fresh engine.
+    /// Restarts the engine at the same address, with cleared faults and without
+    /// the maps, cache and fencing number of the previous run.
     ///
     /// # Errors
     ///
     /// Fails when the address can't be bound.
     pub async fn restart(&self) -> io::Result<()> {
-        self.life().dead.cancel();
+        self.current().stopped.cancel();
         self.shared.faults.clear();
-        let (life, _) = Life::start(Arc::clone(&self.shared), self.address).await?;
-        *lock(&self.life) = life;
+        let (engine, _) = RunningEngine::start(Arc::clone(&self.shared), self.address).await?;
+        *lock(&self.current) = engine;
         Ok(())
     }
 
-    /// Where it listens.
+    /// Listening address.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The latest completions and orders that reached it, oldest first.
+    /// The latest completion requests and commands received, oldest first.
     #[must_use]
     pub fn requests(&self) -> Vec<RecordedRequest> {
-        self.shared.log.list()
+        self.shared.requests.list()
     }
 
-    /// Requests that run now.
+    /// Number of requests running now.
     #[must_use]
     pub fn running_requests(&self) -> u64 {
-        let life = self.life();
-        let load = life.batch.load(&[], Duration::ZERO);
-        load["running"].as_u64().unwrap_or_default()
+        let engine = self.current();
+        let report = engine.batch.load_report(&[], Duration::ZERO);
+        report["running"].as_u64().unwrap_or_default()
     }
 
-    /// Each map version that ran, with its first step.
+    /// First step and version of each map used so far.
     #[must_use]
     pub fn map_history(&self) -> Vec<(u64, u64)> {
-        self.life().experts.borrow().history.clone()
+        self.current().experts.borrow().history.clone()
     }
 
-    /// The state that `GET /map` gives.
+    /// The state returned by `GET /map`.
     #[must_use]
     pub fn map_state(&self) -> Value {
-        self.life().experts.borrow().to_json()
+        self.current().experts.borrow().to_json()
     }
 
-    /// Switches a fault on.
+    /// Injects a fault.
     pub fn inject_fault(&self, fault: Fault) {
-        self.life().inject_fault(fault);
+        self.current().inject_fault(fault);
     }
 
-    /// Switches all faults off; a dead engine stays dead.
+    /// Clears all faults; a crashed engine stays down until [`Engine::restart`].
     pub fn clear_faults(&self) {
         self.shared.faults.clear();
     }
 
-    fn life(&self) -> Arc<Life> {
-        Arc::clone(&lock(&self.life))
+    fn current(&self) -> Arc<RunningEngine> {
+        Arc::clone(&lock(&self.current))
     }
 }
 
 impl Drop for Engine {
     fn drop(&mut self) {
-        self.life().dead.cancel();
+        self.current().stopped.cancel();
     }
 }
 
-impl Life {
+impl RunningEngine {
     async fn start(
         shared: Arc<Shared>,
         address: SocketAddr,
-    ) -> io::Result<(Arc<Life>, SocketAddr)> {
-        let life = Arc::new(Life {
+    ) -> io::Result<(Arc<RunningEngine>, SocketAddr)> {
+        let engine = Arc::new(RunningEngine {
             batch: Batch::new(shared.cfg.max_running),
             experts: watch::Sender::new(ExpertState::new(&shared.cfg)),
-            dead: CancellationToken::new(),
-            instance: instance(),
+            stopped: CancellationToken::new(),
+            instance: new_instance_id(),
             shared,
         });
-        let dead = life.dead.clone();
-        let address = life::serve(address, Arc::clone(&life), dead, handle).await?;
-        tokio::spawn(run_steps(Arc::clone(&life)));
-        Ok((life, address))
+        let stopped = engine.stopped.clone();
+        let address = server::serve(address, Arc::clone(&engine), stopped, handle).await?;
+        tokio::spawn(run_steps(Arc::clone(&engine)));
+        Ok((engine, address))
     }
 
     pub fn inject_fault(&self, fault: Fault) {
         if fault == Fault::Crash {
-            self.dead.cancel();
+            self.stopped.cancel();
         } else {
             self.shared.faults.add(fault);
         }
     }
 
     pub fn step_time(&self) -> Duration {
-        self.shared.faults.slowed(self.shared.cfg.step_time)
+        self.shared.faults.scale_time(self.shared.cfg.step_time)
     }
 
-    /// Waits for the next step, or goes on at once without a step time.
+    /// Waits for the next step; returns at once if the step time is zero.
     async fn next_step(&self, steps: &mut watch::Receiver<u64>) {
-        if self.dead.is_cancelled() {
+        if self.stopped.is_cancelled() {
             std::future::pending::<()>().await;
         }
         if self.shared.cfg.step_time.is_zero() {
-            self.shared.faults.wait_out(&Fault::Stall).await;
+            self.shared.faults.wait_until_cleared(&Fault::Stall).await;
             return;
         }
         let _ = steps.changed().await;
     }
 }
 
-async fn run_steps(life: Arc<Life>) {
-    let dead = life.dead.clone();
+async fn run_steps(engine: Arc<RunningEngine>) {
+    let stopped = engine.stopped.clone();
     tokio::select! {
-        () = dead.cancelled() => {}
-        () = step_for_ever(&life) => {}
+        () = stopped.cancelled() => {}
+        () = step_loop(&engine) => {}
     }
 }
 
-async fn step_for_ever(life: &Arc<Life>) {
-    let cfg = &life.shared.cfg;
+async fn step_loop(engine: &Arc<RunningEngine>) {
+    let cfg = &engine.shared.cfg;
     let mut member = cfg
         .collective
-        .map(|address| CollectiveMember::join(address, Arc::clone(life)));
+        .map(|address| CollectiveMember::join(address, Arc::clone(engine)));
     let mut step = 0;
     loop {
-        tokio::time::sleep(life.step_time().max(IDLE_STEP)).await;
-        life.shared.faults.wait_out(&Fault::Stall).await;
+        tokio::time::sleep(engine.step_time().max(MIN_STEP_INTERVAL)).await;
+        engine.shared.faults.wait_until_cleared(&Fault::Stall).await;
         step = match &mut member {
-            Some(member) => member.after(step).await,
+            Some(member) => member.next_step(step).await,
             None => step + 1,
         };
-        let mut experts = life.experts.subscribe();
+        let mut experts = engine.experts.subscribe();
         let _ = experts.wait_for(|experts| experts.may_run(step)).await;
-        life.experts.send_modify(|experts| {
+        engine.experts.send_modify(|experts| {
             experts.run(step);
-            experts.count(&cfg.popularity, cfg.drift_steps);
+            experts.count_tokens(&cfg.popularity, cfg.drift_steps);
         });
         if let Some(member) = &member {
-            member.end(&life.experts.borrow());
+            member.report_completed(&engine.experts.borrow());
         }
-        life.batch.step.send_replace(step);
+        engine.batch.step.send_replace(step);
     }
 }
 
-async fn handle(life: Arc<Life>, req: Request<Incoming>) -> Reply {
-    let seen = http::read(req).await?;
-    let path = seen.path.clone();
+async fn handle(engine: Arc<RunningEngine>, req: Request<Incoming>) -> HandlerResult {
+    let request = http::read_request(req).await?;
+    let path = request.path.clone();
     if let Some(name) = path.strip_prefix("/fault/") {
-        return Ok(orders::switch(&life, name, &seen));
+        return Ok(control_routes::set_fault(&engine, name, &request));
     }
-    life.shared.faults.wait_out(&Fault::Unresponsive).await;
+    engine
+        .shared
+        .faults
+        .wait_until_cleared(&Fault::Unresponsive)
+        .await;
     if path == "/v1/chat/completions" {
-        return complete(life, seen).await;
+        return complete(engine, request).await;
     }
-    orders::handle(&life, seen)
+    control_routes::handle(&engine, request)
 }
 
-async fn complete(life: Arc<Life>, seen: RecordedRequest) -> Reply {
-    if life.shared.faults.has(&Fault::Refuse) {
-        return Ok(http::problem(
+async fn complete(engine: Arc<RunningEngine>, request: RecordedRequest) -> HandlerResult {
+    if engine.shared.faults.has(&Fault::Refuse) {
+        return Ok(http::error(
             StatusCode::SERVICE_UNAVAILABLE,
             "refused by fault",
         ));
     }
-    let completion = match Completion::parse(&seen.body, life.shared.cfg.default_max_tokens) {
+    let completion = match Completion::parse(&request.body, engine.shared.cfg.default_max_tokens) {
         Ok(completion) => completion,
-        Err(e) => return Ok(http::problem(StatusCode::BAD_REQUEST, &e.to_string())),
+        Err(e) => return Ok(http::error(StatusCode::BAD_REQUEST, &e.to_string())),
     };
-    let run = Run {
-        request: seen.header("x-request-id").unwrap_or_default().to_owned(),
-        skip: number(&seen, "x-resume-events"),
-        rank: u32::try_from(number(&seen, "x-rank")).unwrap_or_default(),
-        crashes: life.shared.faults.crashes(&seen.body),
+    let run = CompletionRun {
+        request_id: request
+            .header("x-request-id")
+            .unwrap_or_default()
+            .to_owned(),
+        skip: numeric_header(&request, "x-resume-events"),
+        rank: u32::try_from(numeric_header(&request, "x-rank")).unwrap_or_default(),
+        crashes: engine.shared.faults.crashes_on(&request.body),
         completion,
     };
-    life.shared.log.push(seen);
-    match run.completion.form {
-        Form::Document => document(&life, &run).await,
-        Form::Events => {
-            let (tx, body) = Channel::new(EVENT_QUEUE);
-            tokio::spawn(events(life, run, tx));
+    engine.shared.requests.push(request);
+    match run.completion.format {
+        ResponseFormat::Json => respond_json(&engine, &run).await,
+        ResponseFormat::EventStream => {
+            let (tx, body) = Channel::new(EVENT_BUFFER);
+            tokio::spawn(run_stream(engine, run, tx));
             Ok(http::stream(body))
         }
     }
 }
 
-/// One completion as it runs.
-struct Run {
-    request: String,
+/// A running completion.
+struct CompletionRun {
+    request_id: String,
+    /// Events left out at the start, which the caller has already received.
     skip: u64,
     rank: u32,
     crashes: bool,
     completion: Completion,
 }
 
-fn number(seen: &RecordedRequest, header: &str) -> u64 {
-    let value = seen.header(header).and_then(|value| value.parse().ok());
+fn numeric_header(request: &RecordedRequest, name: &str) -> u64 {
+    let value = request.header(name).and_then(|value| value.parse().ok());
     value.unwrap_or_default()
 }
 
-async fn document(life: &Life, run: &Run) -> Reply {
-    let slot = life.batch.enter(run.rank).await;
-    let mut steps = life.batch.step.subscribe();
-    for at in 0..run.completion.tokens {
-        crash(life, run, at);
-        life.next_step(&mut steps).await;
+async fn respond_json(engine: &RunningEngine, run: &CompletionRun) -> HandlerResult {
+    let slot = engine.batch.acquire_slot(run.rank).await;
+    let mut steps = engine.batch.step.subscribe();
+    for index in 0..run.completion.tokens {
+        crash_if_due(engine, run, index);
+        engine.next_step(&mut steps).await;
     }
     drop(slot);
-    life.batch.store(run.completion.prefix());
-    if life.shared.faults.has(&Fault::DropResponse) {
-        return Err(http::lost());
+    engine.batch.cache_prefix(run.completion.prefix_hash());
+    if engine.shared.faults.has(&Fault::DropResponse) {
+        return Err(http::dropped_by_fault());
     }
-    life.shared.faults.wait_out(&Fault::Unresponsive).await;
+    engine
+        .shared
+        .faults
+        .wait_until_cleared(&Fault::Unresponsive)
+        .await;
     Ok(http::ok(&run.completion.document()))
 }
 
-async fn events(life: Arc<Life>, run: Run, tx: Sender<Bytes, io::Error>) {
-    let dead = life.dead.clone();
-    let mut cancelled = life.batch.cancelled.subscribe();
-    let request = run.request.clone();
+async fn run_stream(engine: Arc<RunningEngine>, run: CompletionRun, tx: Sender<Bytes, io::Error>) {
+    let stopped = engine.stopped.clone();
+    let mut cancelled = engine.batch.cancelled.subscribe();
+    let id = run.request_id.clone();
     tokio::select! {
-        () = closed_after(&dead) => {}
-        _ = cancelled.wait_for(|all| !request.is_empty() && all.contains(&request)) => {}
-        () = send_events(&life, &run, tx) => {}
+        () = wait_for_closed_connections(&stopped) => {}
+        _ = cancelled.wait_for(|ids| !id.is_empty() && ids.contains(&id)) => {}
+        () = send_events(&engine, &run, tx) => {}
     }
 }
 
-/// The connection is closed first: an answer whose sender goes before it would
-/// seem to end properly.
-async fn closed_after(dead: &CancellationToken) {
-    dead.cancelled().await;
-    tokio::time::sleep(CLOSING).await;
+/// Waits until the connections of a crashed engine are closed: dropping the sender
+/// of a response earlier would look like a complete response.
+async fn wait_for_closed_connections(stopped: &CancellationToken) {
+    stopped.cancelled().await;
+    tokio::time::sleep(CONNECTION_CLOSE_TIME).await;
 }
 
-async fn send_events(life: &Life, run: &Run, mut tx: Sender<Bytes, io::Error>) {
-    let faults = &life.shared.faults;
-    let slot = life.batch.enter(run.rank).await;
-    let mut steps = life.batch.step.subscribe();
-    for at in run.skip..run.completion.events() {
-        if at < run.completion.tokens {
-            crash(life, run, at - run.skip);
-            life.next_step(&mut steps).await;
+async fn send_events(
+    engine: &RunningEngine,
+    run: &CompletionRun,
+    mut tx: Sender<Bytes, io::Error>,
+) {
+    let faults = &engine.shared.faults;
+    let slot = engine.batch.acquire_slot(run.rank).await;
+    let mut steps = engine.batch.step.subscribe();
+    for index in run.skip..run.completion.event_count() {
+        if index < run.completion.tokens {
+            crash_if_due(engine, run, index - run.skip);
+            engine.next_step(&mut steps).await;
         }
-        faults.wait_out(&Fault::Unresponsive).await;
-        match faults.find(|fault| early_end(fault, at)) {
+        faults.wait_until_cleared(&Fault::Unresponsive).await;
+        match faults.find(|fault| fault_at_event(fault, index)) {
             Some(Fault::EndEarly(_)) => return,
-            Some(_) => return tx.abort(http::lost()),
+            Some(_) => return tx.abort(http::dropped_by_fault()),
             None => {}
         }
-        if tx.send_data(run.completion.event(at)).await.is_err() {
+        if tx.send_data(run.completion.event(index)).await.is_err() {
             return;
         }
     }
     drop(slot);
-    life.batch.store(run.completion.prefix());
+    engine.batch.cache_prefix(run.completion.prefix_hash());
 }
 
-fn early_end(fault: &Fault, at: u64) -> Option<Fault> {
+fn fault_at_event(fault: &Fault, index: u64) -> Option<Fault> {
     match fault {
-        Fault::EndEarly(events) | Fault::CloseAfter(events) if at >= *events => Some(fault.clone()),
+        Fault::EndEarly(events) | Fault::CloseAfter(events) if index >= *events => {
+            Some(fault.clone())
+        }
         Fault::DropResponse => Some(fault.clone()),
         _ => None,
     }
 }
 
-fn crash(life: &Life, run: &Run, step: u64) {
-    if run.crashes && step >= STEPS_TO_CRASH {
-        life.inject_fault(Fault::Crash);
+fn crash_if_due(engine: &RunningEngine, run: &CompletionRun, step: u64) {
+    if run.crashes && step >= STEPS_BEFORE_CRASH {
+        engine.inject_fault(Fault::Crash);
     }
 }
 
-fn instance() -> String {
-    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-    format!("{:x}", since.unwrap_or_default().as_nanos())
+fn new_instance_id() -> String {
+    let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
+    format!("{:x}", since_epoch.unwrap_or_default().as_nanos())
 }
 
-pub(crate) fn info(life: &Life) -> Value {
-    let cfg = &life.shared.cfg;
+pub(crate) fn info(engine: &RunningEngine) -> Value {
+    let cfg = &engine.shared.cfg;
     json!({
         "models": cfg.models,
         "adapters": cfg.adapters,
@@ -379,6 +398,6 @@
         "checks_fencing": cfg.fencing_check == crate::FencingCheck::Refuse,
         "exports_kv": false,
         "waits_for_map": cfg.waits_for_map,
-        "instance": life.instance,
+        "instance": engine.instance,
     })
 }
--- a/crates/fake/src/engine_settings.rs
+++ b/crates/fake/src/engine_settings.rs
@@ -1,53 +1,54 @@
-//! Settings of the engine.
+//! Settings of the fake engine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How an engine behaves.
+/// Settings of a fake engine.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// Where it listens; port 0 lets the kernel choose.
+    /// Listening address; port 0 lets the kernel choose one.
     pub address: SocketAddr,
-    /// Ranks that it runs.
+    /// Ranks run by the engine.
     pub ranks: Vec<u32>,
-    /// Models that it serves.
+    /// Models served.
     pub models: Vec<String>,
-    /// Adapters that it serves.
+    /// Adapters served.
     pub adapters: Vec<String>,
-    /// Versions that it serves.
+    /// Model versions served.
     pub versions: Vec<String>,
-    /// Time of one step; each running request gets one token a step. Zero
-    /// gives tokens as fast as they are read.
+    /// Duration of a step, in which each running request produces one token.
+    /// With zero, tokens are produced as fast as they are read.
     pub step_time: Duration,
-    /// Requests that run at once; more wait in its queue.
+    /// Most requests running at the same time; others wait in a queue.
     pub max_running: u32,
-    /// Tokens of an answer whose request doesn't say `max_tokens`.
+    /// Tokens of a response whose request does not set `max_tokens`.
     pub default_max_tokens: u64,
-    /// Whether orders with an old fencing number are refused.
+    /// How commands with a stale fencing number are treated.
     pub fencing_check: FencingCheck,
-    /// Time that staging an expert map takes.
+    /// Time taken to stage an expert map.
     pub staging_time: Duration,
-    /// The weight store that it loads experts from.
+    /// Address of the weight store that experts are loaded from.
     pub weight_store: Option<SocketAddr>,
-    /// Layers with experts.
+    /// Number of layers with experts.
     pub layers: usize,
-    /// Tokens that each step adds to each expert of a layer, by expert.
+    /// Tokens that each step adds to the counters of a layer, by expert.
     pub popularity: Vec<u32>,
-    /// Steps after which the popularity moves on by one expert; 0 for never.
+    /// Steps after which `popularity` is rotated by one expert; 0 for never.
     pub drift_steps: u64,
-    /// The collective that it steps in with the other engines of its group.
+    /// Address of the [collective](crate::Collective) that synchronizes the steps
+    /// of the group.
     pub collective: Option<SocketAddr>,
-    /// Whether it runs no step after a start until it is told which maps are
-    /// in force.
+    /// Whether the engine runs no step after a start until it is told which
+    /// maps are in force.
     pub waits_for_map: bool,
 }
 
-/// What an engine does with an old fencing number.
+/// How an engine treats commands with a stale fencing number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FencingCheck {
-    /// Refuses the order.
+    /// Refuses the command.
     Refuse,
-    /// Obeys it.
+    /// Executes it.
     Ignore,
 }
 
--- a/crates/fake/src/expert_state.rs
+++ b/crates/fake/src/expert_state.rs
@@ -1,66 +1,66 @@
-//! Steps and expert maps of an engine.
+//! Step and expert map state of an engine.
 
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
 
 use crate::EngineSettings;
 
-/// What an engine knows of its steps and maps.
+/// Step and expert map state of an engine.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ExpertState {
-    /// The last step that ran.
+    /// The last completed step.
     pub step: u64,
-    /// Version of the map that it ran with.
+    /// Version of the map that this step used.
     pub version: u64,
-    /// Digest of that map; empty for the one that it was started with.
-    pub content: String,
-    /// The map itself; null for the one that it was started with.
+    /// Digest of that map; empty for the map in use at the start.
+    pub digest: String,
+    /// That map; null for the map in use at the start.
     pub map: Value,
     /// Version of the map that is being loaded.
     pub loading: Option<u64>,
-    /// The map that is loaded but not in use.
-    pub staged: Option<Loaded>,
-    /// The step that doesn't run until the outcome is known.
-    pub held: Option<u64>,
-    /// From which step on another map is in use.
-    next: Option<(u64, Loaded)>,
-    /// Whether it waits after each start.
+    /// The map that is loaded but not in use yet.
+    pub staged: Option<LoadedMap>,
+    /// The first step that is held back until the outcome of the switch is known.
+    pub barrier: Option<u64>,
+    /// The next map and the first step that uses it.
+    next: Option<(u64, LoadedMap)>,
+    /// Whether the engine waits for the maps in force after each start.
     pub waits: bool,
-    /// Whether no step runs until it is told which maps are in force.
+    /// Whether no step runs because the maps in force are not known yet.
     pub waiting: bool,
-    /// Number of the formation that it steps in, and the ranks of that; 0
-    /// between two, `None` for an engine on its own.
+    /// Number and ranks of the formation that the engine belongs to; number 0
+    /// between two formations, `None` for an engine without a collective.
     pub formation: Option<(u64, Vec<u32>)>,
     /// The highest fencing number seen.
     pub fencing: u64,
-    /// Each version that ran, and its first step.
+    /// Map versions used so far: the first step that used each, and the version.
     pub history: Vec<(u64, u64)>,
-    /// Tokens that each expert of a layer has computed.
+    /// Tokens processed by each expert of a layer.
     pub tokens: Vec<u64>,
 }
 
-/// A map that is loaded.
+/// A loaded map.
 #[derive(Clone, Debug)]
-pub(crate) struct Loaded {
+pub(crate) struct LoadedMap {
     pub version: u64,
-    pub content: String,
+    pub digest: String,
     pub map: Value,
 }
 
-impl Loaded {
+impl LoadedMap {
     pub fn new(version: u64, map: Value) -> Self {
         let digest = Sha256::digest(map.to_string());
-        let content = digest[..8].iter().map(|byte| format!("{byte:02x}"));
-        Loaded {
+        let digest = digest[..8].iter().map(|byte| format!("{byte:02x}"));
+        LoadedMap {
             version,
-            content: content.collect(),
+            digest: digest.collect(),
             map,
         }
     }
 }
 
 impl ExpertState {
-    /// An engine that was just started, in a collective or on its own.
+    /// State of an engine that was just started.
     pub fn new(cfg: &EngineSettings) -> Self {
         ExpertState {
             waits: cfg.waits_for_map,
@@ -72,38 +72,38 @@
     }
 
     pub fn may_run(&self, step: u64) -> bool {
-        !self.waiting && self.held.is_none_or(|held| step < held)
+        !self.waiting && self.barrier.is_none_or(|barrier| step < barrier)
     }
 
     pub fn run(&mut self, step: u64) {
         self.step = step;
         if let Some((_, next)) = self.next.take_if(|(from, _)| step >= *from) {
-            self.change(next);
+            self.activate(next);
         }
         if self.history.last().map(|(_, version)| *version) != Some(self.version) {
             self.history.push((step, self.version));
         }
     }
 
-    /// Counts a step's tokens; which expert is hot moves on every `drift`
-    /// steps.
-    pub fn count(&mut self, popularity: &[u32], drift: u64) {
+    /// Adds the tokens of a step to the counters; `popularity` is rotated by one
+    /// expert every `drift_steps` steps.
+    pub fn count_tokens(&mut self, popularity: &[u32], drift_steps: u64) {
         let experts = popularity.len();
-        let turn = self.step.checked_div(drift).unwrap_or_default();
-        let turn = usize::try_from(turn).unwrap_or_default();
+        let rotation = self.step.checked_div(drift_steps).unwrap_or_default();
+        let rotation = usize::try_from(rotation).unwrap_or_default();
         for (expert, tokens) in popularity.iter().enumerate() {
-            self.tokens[(expert + turn) % experts] += u64::from(*tokens);
+            self.tokens[(expert + rotation) % experts] += u64::from(*tokens);
         }
     }
 
-    fn change(&mut self, map: Loaded) {
+    fn activate(&mut self, map: LoadedMap) {
         self.version = map.version;
-        self.content = map.content;
+        self.digest = map.digest;
         self.map = map.map;
     }
 
-    /// Begins to load a map; false if it is loading or loaded already.
-    pub fn load(&mut self, version: u64) -> bool {
+    /// Starts to load a map; false if it is already loading or loaded.
+    pub fn begin_loading(&mut self, version: u64) -> bool {
         let is_new = self.loading != Some(version) && !self.is_staged(version);
         if is_new {
             self.loading = Some(version);
@@ -111,8 +111,8 @@
         is_new
     }
 
-    /// Ends loading, unless that was given up in the meantime.
-    pub fn loaded(&mut self, map: Loaded) {
+    /// Stages a map that was loaded, unless the switch was aborted in the meantime.
+    pub fn finish_loading(&mut self, map: LoadedMap) {
         if self
             .loading
             .take_if(|loading| *loading == map.version)
@@ -122,40 +122,40 @@
         }
     }
 
-    /// Answers an order to stage.
+    /// Returns the reply to a stage command.
     pub fn stage(&self, version: u64) -> Value {
         let ready = self.is_staged(version);
         json!({"version": version, "ready": ready, "step": self.step})
     }
 
     pub fn hold(&mut self, version: u64, step: u64) -> Value {
-        let held = self.is_staged(version) && self.step < step;
-        if held {
-            self.held = Some(step);
+        let can_hold = self.is_staged(version) && self.step < step;
+        if can_hold {
+            self.barrier = Some(step);
         }
-        json!({"version": version, "held": held, "step": self.step})
+        json!({"version": version, "held": can_hold, "step": self.step})
     }
 
-    pub fn outcome(&mut self, version: u64, step: u64, end: MapEnd) -> Value {
+    pub fn outcome(&mut self, version: u64, step: u64, outcome: MapOutcome) -> Value {
         let staged = self.staged.take_if(|staged| staged.version == version);
         let loading = self.loading.take_if(|loading| *loading == version);
         let known = staged.is_some() || loading.is_some();
         if let Some(staged) = staged {
-            self.held = None;
-            if end == MapEnd::Commit {
+            self.barrier = None;
+            if outcome == MapOutcome::Commit {
                 self.next = Some((step, staged));
             }
         }
         json!({"version": self.version, "known": known, "step": self.step})
     }
 
-    /// Takes over the maps in force, each with its first step, oldest first,
-    /// and goes on; does nothing unless it waits for them.
-    pub fn join(&mut self, maps: Vec<(u64, Loaded)>) -> Value {
+    /// Adopts the maps in force, given with their first steps, oldest first, and
+    /// resumes stepping. Does nothing unless the engine waits for them.
+    pub fn join(&mut self, maps: Vec<(u64, LoadedMap)>) -> Value {
         if std::mem::take(&mut self.waiting) {
             for (from, map) in maps {
                 if from <= self.step + 1 {
-                    self.change(map);
+                    self.activate(map);
                 } else {
                     self.next = Some((from, map));
                 }
@@ -164,13 +164,14 @@
         json!({"version": self.version, "step": self.step})
     }
 
-    /// Answers an order to join in another formation, which does nothing.
-    pub fn join_elsewhere(&self) -> Value {
+    /// Returns the reply to a join command for another formation, which has no effect.
+    pub fn ignore_join(&self) -> Value {
         json!({"version": self.version, "step": self.step})
     }
 
-    /// Whether it steps in this formation; an engine on its own is in 0.
-    pub fn is_in(&self, formation: u64) -> bool {
+    /// Whether the engine belongs to this formation; without a collective the
+    /// formation is 0.
+    pub fn is_in_formation(&self, formation: u64) -> bool {
         match self.formation {
             Some((number, _)) => number > 0 && number == formation,
             None => formation == 0,
@@ -189,7 +190,7 @@
             "loading": self.loading,
             "staged": self.staged.as_ref().map(|staged| staged.version),
             "next": self.next.as_ref().map(|(_, next)| next.version),
-            "held": self.held,
+            "held": self.barrier,
             "waits": self.waits,
             "waiting": self.waiting,
             "formation": formation.map(|(number, _)| *number),
@@ -199,9 +200,9 @@
     }
 }
 
-/// How a map switch ends.
+/// Outcome of a map switch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum MapEnd {
+pub(crate) enum MapOutcome {
     Commit,
     Abort,
 }
--- a/crates/fake/src/fault.rs
+++ b/crates/fake/src/fault.rs
@@ -1,33 +1,33 @@
-//! Faults that can be switched on.
+//! Faults that can be injected.
 
-/// One way for a stand-in to fail.
+/// One way for a fake to fail.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Closes the socket and all connections.
+    /// Closes the listening socket and all connections at once.
     Crash,
-    /// Dies soon after it began to run a request whose body holds this text.
+    /// Crashes shortly after it starts a request whose body contains this text.
     CrashOn(String),
-    /// Makes no steps: whatever runs gets nothing more, load still answers.
+    /// Runs no steps: requests make no progress, `/load` still responds.
     Stall,
-    /// Takes this many times as long.
+    /// Multiplies all processing times by this factor.
     Slow(u32),
-    /// Ends an answer properly after this many events, before its end.
+    /// Ends a response cleanly after this many events, before it is complete.
     EndEarly(u64),
-    /// Closes the connection after this many events.
+    /// Aborts the connection after this many events.
     CloseAfter(u64),
-    /// Answers 503 to each request.
+    /// Responds to each request with 503.
     Refuse,
-    /// Does what a request or order asks and closes the connection instead of
-    /// answering.
+    /// Executes the request or command, then closes the connection without a
+    /// response.
     DropResponse,
-    /// Accepts connections and reads, but writes nothing any more.
+    /// Accepts connections and reads from them, but never writes.
     Unresponsive,
-    /// Obeys orders with an old fencing number, whatever its settings say.
+    /// Executes commands with a stale fencing number, whatever the settings say.
     IgnoreFencing,
 }
 
 impl Fault {
-    /// Reads a fault from its name in `POST /fault/{name}` and the body.
+    /// Parses a fault from the name in `POST /fault/{name}` and the request body.
     ///
     /// ```
     /// use fake::Fault;
--- a/crates/fake/src/faults.rs
+++ b/crates/fake/src/faults.rs
@@ -1,4 +1,4 @@
-//! The faults that are switched on.
+//! The faults that are active in a fake.
 
 use std::time::Duration;
 
@@ -30,13 +30,14 @@
         self.active.borrow().contains(fault)
     }
 
-    /// The latest value that `pick` finds among the faults.
+    /// Returns the value that `pick` selects from the most recently injected
+    /// matching fault.
     pub fn find<T>(&self, pick: impl FnMut(&Fault) -> Option<T>) -> Option<T> {
         self.active.borrow().iter().rev().find_map(pick)
     }
 
-    /// A time, lengthened if the stand-in is slow.
-    pub fn slowed(&self, time: Duration) -> Duration {
+    /// Multiplies a duration by the factor of [`Fault::Slow`], if active.
+    pub fn scale_time(&self, time: Duration) -> Duration {
         let factor = self.find(|fault| match fault {
             Fault::Slow(factor) => Some(*factor),
             _ => None,
@@ -44,23 +45,23 @@
         time * factor.unwrap_or(1)
     }
 
-    /// Whether a body holds the text that crashes this stand-in.
-    pub fn crashes(&self, body: &[u8]) -> bool {
+    /// Whether a request with this body triggers [`Fault::CrashOn`].
+    pub fn crashes_on(&self, body: &[u8]) -> bool {
         self.find(|fault| match fault {
-            Fault::CrashOn(text) => contains(body, text.as_bytes()).then_some(()),
+            Fault::CrashOn(text) => contains_text(body, text.as_bytes()).then_some(()),
             _ => None,
         })
         .is_some()
     }
 
-    /// Waits while a fault is on.
-    pub async fn wait_out(&self, fault: &Fault) {
+    /// Waits until a fault is cleared.
+    pub async fn wait_until_cleared(&self, fault: &Fault) {
         let mut rx = self.active.subscribe();
         // The sender lives as long as `self`, so the wait can't fail.
         let _ = rx.wait_for(|active| !active.contains(fault)).await;
     }
 }
 
-fn contains(body: &[u8], text: &[u8]) -> bool {
+fn contains_text(body: &[u8], text: &[u8]) -> bool {
     !text.is_empty() && body.windows(text.len()).any(|window| window == text)
 }
--- a/crates/fake/src/http.rs
+++ b/crates/fake/src/http.rs
@@ -1,4 +1,4 @@
-//! Requests and responses of the stand-ins.
+//! HTTP requests and responses of the fakes.
 
 use std::io;
 
@@ -15,18 +15,18 @@
 
 pub(crate) type Body = BoxBody<Bytes, io::Error>;
 
-pub(crate) type Answer = Response<Body>;
+pub(crate) type HttpResponse = Response<Body>;
 
-/// What a handler gives back; an error closes the connection unanswered.
-pub(crate) type Reply = io::Result<Answer>;
+/// Result of a handler; an error closes the connection without a response.
+pub(crate) type HandlerResult = io::Result<HttpResponse>;
 
-/// Bytes of a request body that a stand-in reads.
-const MAX_BODY: usize = 64 << 20;
+/// Largest request body accepted.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Reads a request whole.
-pub(crate) async fn read(req: Request<Incoming>) -> io::Result<RecordedRequest> {
+/// Reads a request with its whole body.
+pub(crate) async fn read_request(req: Request<Incoming>) -> io::Result<RecordedRequest> {
     let (head, body) = req.into_parts();
-    let body = Limited::new(body, MAX_BODY).collect().await;
+    let body = Limited::new(body, MAX_BODY_BYTES).collect().await;
     let body = body.map_err(io::Error::other)?.to_bytes();
     let headers = head.headers.iter().filter_map(|(name, value)| {
         let value = value.to_str().ok()?;
@@ -43,35 +43,42 @@
     })
 }
 
-pub(crate) fn full(status: StatusCode, kind: &'static str, body: impl Into<Bytes>) -> Answer {
+pub(crate) fn with_body(
+    status: StatusCode,
+    content_type: &'static str,
+    body: impl Into<Bytes>,
+) -> HttpResponse {
     let body = Full::new(body.into()).map_err(|never| match never {});
     let mut response = Response::new(body.boxed());
     *response.status_mut() = status;
     let headers = response.headers_mut();
-    headers.insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+    headers.insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
 
-pub(crate) fn json(status: StatusCode, value: &Value) -> Answer {
-    full(status, "application/json", value.to_string())
+pub(crate) fn json(status: StatusCode, value: &Value) -> HttpResponse {
+    with_body(status, "application/json", value.to_string())
 }
 
-pub(crate) fn ok(value: &Value) -> Answer {
+pub(crate) fn ok(value: &Value) -> HttpResponse {
     json(StatusCode::OK, value)
 }
 
-pub(crate) fn problem(status: StatusCode, detail: &str) -> Answer {
+pub(crate) fn error(status: StatusCode, detail: &str) -> HttpResponse {
     json(status, &json!({"error": {"message": detail}}))
 }
 
-pub(crate) fn stream(body: Channel<Bytes, io::Error>) -> Answer {
+pub(crate) fn stream(body: Channel<Bytes, io::Error>) -> HttpResponse {
     let mut response = Response::new(body.boxed());
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
     response
 }
 
-/// Closes the connection without an answer.
-pub(crate) fn lost() -> io::Error {
-    io::Error::new(io::ErrorKind::ConnectionAborted, "answer lost by fault")
+/// Error that makes a handler close the connection without a response.
+pub(crate) fn dropped_by_fault() -> io::Error {
+    io::Error::new(
+        io::ErrorKind::ConnectionAborted,
+        "response dropped by fault",
+    )
 }
--- a/crates/fake/src/lib.rs
+++ b/crates/fake/src/lib.rs
@@ -1,10 +1,10 @@
-//! Small stand-ins for what lies outside lovageramp: model engines, plain
-//! services and the weight store; and a relay for what lies between two
-//! processes.
+//! Test doubles for the systems around lovageramp: model engines, plain
+//! services and the weight store, and a TCP relay that simulates network
+//! faults between two processes.
 //!
-//! Each is an HTTP server on loopback. It remembers what reached it, so that
-//! a test can tell what ran, and its faults are switched on by call, from
-//! Rust ([`Engine::inject_fault`]) or over HTTP (`POST /fault/{name}` with the value
+//! The fakes are HTTP servers on loopback. They record the requests that they
+//! receive, so that a test can check what ran. Faults are injected from Rust
+//! ([`Engine::inject_fault`]) or over HTTP (`POST /fault/{name}` with the value
 //! as body, `POST /fault/clear`).
 //!
 //! ```
@@ -21,20 +21,20 @@
 mod collective_member;
 mod completed_step;
 mod completion;
+mod control_routes;
 mod engine;
 mod engine_settings;
 mod expert_state;
 mod fault;
 mod faults;
 mod http;
-mod life;
 mod loading;
-mod orders;
 mod recorded_request;
 mod relay;
 mod relay_carry;
 mod relay_state;
-mod seen_log;
+mod request_log;
+mod server;
 mod service;
 mod service_settings;
 mod weight_store;
--- a/crates/fake/src/loading.rs
+++ b/crates/fake/src/loading.rs
@@ -9,37 +9,39 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::engine::Life;
-use crate::expert_state::Loaded;
+use crate::engine::RunningEngine;
+use crate::expert_state::LoadedMap;
 
-/// Before an expert is asked for again that the store failed to give.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Delay before a failed read of an expert is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Loads what a map gives the engine's ranks that the one in use doesn't, and
-/// stages it.
-pub(crate) async fn load(life: Arc<Life>, map: Loaded) {
-    let cfg = &life.shared.cfg;
-    tokio::time::sleep(life.shared.faults.slowed(cfg.staging_time)).await;
+/// Loads the experts that the engine's ranks hold in `map` but not in the map in
+/// use, then stages `map`.
+pub(crate) async fn load(engine: Arc<RunningEngine>, map: LoadedMap) {
+    let cfg = &engine.shared.cfg;
+    tokio::time::sleep(engine.shared.faults.scale_time(cfg.staging_time)).await;
     if let Some(store) = cfg.weight_store {
-        let used = life.experts.borrow().map.clone();
-        for (layer, expert) in missing(&cfg.ranks, &used, &map.map) {
+        let current = engine.experts.borrow().map.clone();
+        for (layer, expert) in missing_experts(&cfg.ranks, &current, &map.map) {
             fetch(store, layer, expert).await;
         }
     }
-    life.experts.send_modify(|experts| experts.loaded(map));
+    engine
+        .experts
+        .send_modify(|experts| experts.finish_loading(map));
 }
 
-/// Layer and number of each expert that a rank holds by `next` and not by
-/// `used`.
-fn missing(ranks: &[u32], used: &Value, next: &Value) -> Vec<(usize, u64)> {
+/// Layer and number of each expert that a rank holds in `next` but not in
+/// `current`.
+fn missing_experts(ranks: &[u32], current: &Value, next: &Value) -> Vec<(usize, u64)> {
     let mut missing = Vec::new();
     let layers = next["layers"].as_array().map_or(0, Vec::len);
     for layer in 0..layers {
         for rank in ranks {
-            let held = slots(used, layer, *rank);
+            let held = slots(current, layer, *rank);
             let wanted = slots(next, layer, *rank).into_iter();
-            let lacking = wanted.filter(|expert| !held.contains(expert));
-            missing.extend(lacking.map(|expert| (layer, expert)));
+            let added = wanted.filter(|expert| !held.contains(expert));
+            missing.extend(added.map(|expert| (layer, expert)));
         }
     }
     missing
@@ -52,33 +54,39 @@
     slots.filter_map(Value::as_u64).collect()
 }
 
-/// Asks again when the store says so, until it gives the expert.
+/// Requests an expert until the store returns it; waits between attempts as the
+/// store demands.
 async fn fetch(store: SocketAddr, layer: usize, expert: u64) {
     loop {
-        match ask(store, layer, expert).await {
+        match request_expert(store, layer, expert).await {
             Ok(None) => return,
-            Ok(Some(wait)) => tokio::time::sleep(wait).await,
-            Err(_) => tokio::time::sleep(PAUSE).await,
+            Ok(Some(delay)) => tokio::time::sleep(delay).await,
+            Err(_) => tokio::time::sleep(RETRY_DELAY).await,
         }
     }
 }
 
-/// How long to wait before the next attempt; `None` once the expert is there.
-async fn ask(store: SocketAddr, layer: usize, expert: u64) -> io::Result<Option<Duration>> {
+/// Requests an expert once. Returns `None` when the store returned it, otherwise
+/// the delay before the next attempt.
+async fn request_expert(
+    store: SocketAddr,
+    layer: usize,
+    expert: u64,
+) -> io::Result<Option<Duration>> {
     let mut stream = TcpStream::connect(store).await?;
     let head = format!(
         "GET /weights/{layer}/{expert} HTTP/1.1\r\nhost: weights\r\nconnection: close\r\n\r\n"
     );
     stream.write_all(head.as_bytes()).await?;
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).await?;
-    if answer.starts_with(b"HTTP/1.1 200") {
+    let mut response = Vec::new();
+    stream.read_to_end(&mut response).await?;
+    if response.starts_with(b"HTTP/1.1 200") {
         return Ok(None);
     }
-    let head = String::from_utf8_lossy(&answer).to_ascii_lowercase();
-    let after = head
+    let head = String::from_utf8_lossy(&response).to_ascii_lowercase();
+    let retry_after = head
         .lines()
         .find_map(|line| line.strip_prefix("retry-after:"));
-    let seconds = after.and_then(|value| value.trim().parse().ok());
-    Ok(Some(seconds.map_or(PAUSE, Duration::from_secs)))
+    let seconds = retry_after.and_then(|value| value.trim().parse().ok());
+    Ok(Some(seconds.map_or(RETRY_DELAY, Duration::from_secs)))
 }
--- a/crates/fake/src/recorded_request.rs
+++ b/crates/fake/src/recorded_request.rs
@@ -1,35 +1,35 @@
-//! What reached a stand-in.
+//! Requests received by a fake.
 
 use bytes::Bytes;
 
-/// One request that reached a stand-in.
+/// One request received by a fake.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordedRequest {
     /// HTTP method.
     pub method: String,
-    /// Path with its query.
+    /// Path and query.
     pub path: String,
-    /// Header names in lower case, and values, as far as they are text.
+    /// Headers with lower-case names; values that are not text are left out.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
 }
 
 impl RecordedRequest {
-    /// The value of a header, by its name in lower case.
+    /// Returns the value of a header; `name` must be in lower case.
     ///
     /// ```
-    /// let seen = fake::RecordedRequest {
+    /// let request = fake::RecordedRequest {
     ///     method: "POST".into(),
     ///     path: "/lots".into(),
     ///     headers: vec![("idempotency-key".into(), "lot-1".into())],
     ///     body: "".into(),
     /// };
-    /// assert_eq!(seen.header("idempotency-key"), Some("lot-1"));
+    /// assert_eq!(request.header("idempotency-key"), Some("lot-1"));
     /// ```
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
-        let (_, value) = self.headers.iter().find(|(given, _)| given == name)?;
+        let (_, value) = self.headers.iter().find(|(other, _)| other == name)?;
         Some(value)
     }
 }
--- a/crates/fake/src/seen_log.rs
+++ b/crates/fake/src/request_log.rs
@@ -1,42 +1,43 @@
-//! Record of what reached a stand-in, bounded.
+//! Bounded log of the requests received by a fake.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use crate::RecordedRequest;
 
-/// Requests that are kept whole; counts are kept for all.
-const MAX_SEEN: usize = 4096;
+/// Most requests kept in full; counts cover all requests.
+const MAX_RECORDED: usize = 4096;
 
 #[derive(Debug, Default)]
-pub(crate) struct SeenLog {
+pub(crate) struct RequestLog {
     inner: Mutex<Inner>,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
-    last: VecDeque<RecordedRequest>,
+    recent: VecDeque<RecordedRequest>,
     counts: BTreeMap<(String, String), u64>,
 }
 
-impl SeenLog {
-    /// Remembers a request and returns how often its key and path came.
-    pub fn push(&self, seen: RecordedRequest) -> u64 {
+impl RequestLog {
+    /// Records a request and returns how many requests had the same idempotency
+    /// key and path so far, this one included.
+    pub fn push(&self, request: RecordedRequest) -> u64 {
         let mut inner = self.lock();
-        let key = seen.header("idempotency-key").unwrap_or_default();
-        let id = (key.to_owned(), seen.path.clone());
+        let key = request.header("idempotency-key").unwrap_or_default();
+        let id = (key.to_owned(), request.path.clone());
         let count = inner.counts.entry(id).or_default();
         *count += 1;
         let count = *count;
-        if inner.last.len() == MAX_SEEN {
-            inner.last.pop_front();
+        if inner.recent.len() == MAX_RECORDED {
+            inner.recent.pop_front();
         }
-        inner.last.push_back(seen);
+        inner.recent.push_back(request);
         count
     }
 
     pub fn list(&self) -> Vec<RecordedRequest> {
-        self.lock().last.iter().cloned().collect()
+        self.lock().recent.iter().cloned().collect()
     }
 
     pub fn count(&self, key: &str, path: &str) -> u64 {
@@ -44,7 +45,7 @@
         self.lock().counts.get(&id).copied().unwrap_or_default()
     }
 
-    /// Idempotency key, path and count of all that came.
+    /// Idempotency key, path and number of all requests received.
     pub fn counts(&self) -> Vec<(String, String, u64)> {
         let inner = self.lock();
         let counts = inner.counts.iter();
--- a/crates/fake/src/life.rs
+++ b/crates/fake/src/server.rs
@@ -1,4 +1,4 @@
-//! One life of a stand-in: its socket and connections, until it dies.
+//! The HTTP server of a fake, which can be stopped as abruptly as a killed process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,38 +13,38 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
 
-use crate::http::Reply;
+use crate::http::HandlerResult;
 
-const BIND_ATTEMPTS: u32 = 200;
-const BIND_PAUSE: Duration = Duration::from_millis(10);
+const MAX_BIND_ATTEMPTS: u32 = 200;
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Serves `handle` on a socket until `dead` is cancelled; then the socket and
+/// Serves requests with `handle` until `stop` is cancelled; then the socket and
 /// all connections are closed at once, as when a process is killed.
 pub(crate) async fn serve<S, F, R>(
     address: SocketAddr,
     state: Arc<S>,
-    dead: CancellationToken,
+    stop: CancellationToken,
     handle: F,
 ) -> io::Result<SocketAddr>
 where
     S: Send + Sync + 'static,
     F: Fn(Arc<S>, Request<Incoming>) -> R + Clone + Send + Sync + 'static,
-    R: Future<Output = Reply> + Send + 'static,
+    R: Future<Output = HandlerResult> + Send + 'static,
 {
     let listener = bind(address).await?;
     let address = listener.local_addr()?;
     tokio::spawn(async move {
         loop {
             let accepted = tokio::select! {
-                () = dead.cancelled() => break,
+                () = stop.cancelled() => break,
                 accepted = listener.accept() => accepted,
             };
             let Ok((stream, _)) = accepted else { continue };
-            let conn = connection(stream, Arc::clone(&state), handle.clone());
-            let dead = dead.clone();
+            let conn = serve_connection(stream, Arc::clone(&state), handle.clone());
+            let stop = stop.clone();
             tokio::spawn(async move {
                 tokio::select! {
-                    () = dead.cancelled() => {}
+                    () = stop.cancelled() => {}
                     () = conn => {}
                 }
             });
@@ -53,12 +53,13 @@
     Ok(address)
 }
 
-/// A stand-in that starts again waits until its former socket is closed.
+/// Binds an address; retries while the previous socket of a restarted fake is
+/// still open.
 async fn bind(address: SocketAddr) -> io::Result<TcpListener> {
-    for _ in 0..BIND_ATTEMPTS {
+    for _ in 0..MAX_BIND_ATTEMPTS {
         match TcpListener::bind(address).await {
             Err(e) if e.kind() == io::ErrorKind::AddrInUse => {
-                tokio::time::sleep(BIND_PAUSE).await;
+                tokio::time::sleep(BIND_RETRY_DELAY).await;
             }
             bound => return bound,
         }
@@ -66,14 +67,14 @@
     TcpListener::bind(address).await
 }
 
-async fn connection<S, F, R>(stream: TcpStream, state: Arc<S>, handle: F)
+async fn serve_connection<S, F, R>(stream: TcpStream, state: Arc<S>, handle: F)
 where
     F: Fn(Arc<S>, Request<Incoming>) -> R,
-    R: Future<Output = Reply>,
+    R: Future<Output = HandlerResult>,
 {
     let _ = stream.set_nodelay(true);
     let service = service_fn(|req| handle(Arc::clone(&state), req));
-    // A handler's error is how a fault closes the connection.
+    // Handlers return an error to make a fault close the connection.
     let _ = http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service)
         .await;
--- a/crates/fake/src/service.rs
+++ b/crates/fake/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that records what reached it and echoes it.
+//! A fake plain service that records its requests and echoes them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,14 +11,14 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::faults::Faults;
-use crate::http::{self, Answer, Reply};
-use crate::seen_log::SeenLog;
-use crate::{Fault, RecordedRequest, ServiceSettings, life};
+use crate::http::{self, HandlerResult, HttpResponse};
+use crate::request_log::RequestLog;
+use crate::{Fault, RecordedRequest, ServiceSettings, server};
 
-/// A plain service on loopback.
+/// A fake plain service on loopback.
 ///
-/// Each answer says how often the request's idempotency key and path reached
-/// the service, this time included.
+/// Each response carries the number of requests received with the same
+/// idempotency key and path, this one included.
 #[derive(Debug)]
 pub struct Service {
     state: Arc<State>,
@@ -29,9 +29,9 @@
 struct State {
     cfg: ServiceSettings,
     faults: Faults,
-    log: SeenLog,
+    requests: RequestLog,
     running: AtomicU32,
-    dead: Mutex<CancellationToken>,
+    stop: Mutex<CancellationToken>,
 }
 
 impl Service {
@@ -50,61 +50,61 @@
     /// ```
     pub async fn start(cfg: ServiceSettings) -> io::Result<Self> {
         let address = cfg.address;
-        let dead = CancellationToken::new();
+        let stop = CancellationToken::new();
         let state = Arc::new(State {
             cfg,
             faults: Faults::new(),
-            log: SeenLog::default(),
+            requests: RequestLog::default(),
             running: AtomicU32::new(0),
-            dead: Mutex::new(dead.clone()),
+            stop: Mutex::new(stop.clone()),
         });
-        let address = life::serve(address, Arc::clone(&state), dead, handle).await?;
+        let address = server::serve(address, Arc::clone(&state), stop, handle).await?;
         Ok(Service { state, address })
     }
 
-    /// Starts again at the same address after a death.
+    /// Restarts the service at the same address, with cleared faults.
     ///
     /// # Errors
     ///
     /// Fails when the address can't be bound.
     pub async fn restart(&self) -> io::Result<()> {
-        let dead = CancellationToken::new();
-        std::mem::replace(&mut *self.state.dead(), dead.clone()).cancel();
+        let stop = CancellationToken::new();
+        std::mem::replace(&mut *self.state.stop_token(), stop.clone()).cancel();
         self.state.faults.clear();
-        life::serve(self.address, Arc::clone(&self.state), dead, handle).await?;
+        server::serve(self.address, Arc::clone(&self.state), stop, handle).await?;
         Ok(())
     }
 
-    /// Where it listens.
+    /// Listening address.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The latest requests that reached it, oldest first.
+    /// The latest requests received, oldest first.
     #[must_use]
     pub fn requests(&self) -> Vec<RecordedRequest> {
-        self.state.log.list()
+        self.state.requests.list()
     }
 
-    /// How often an idempotency key reached a path.
+    /// Number of requests received with this idempotency key and path.
     #[must_use]
     pub fn request_count(&self, key: &str, path: &str) -> u64 {
-        self.state.log.count(key, path)
+        self.state.requests.count(key, path)
     }
 
-    /// Idempotency key, path and count of all that reached it.
+    /// Idempotency key, path and number of all requests received.
     #[must_use]
     pub fn request_counts(&self) -> Vec<(String, String, u64)> {
-        self.state.log.counts()
+        self.state.requests.counts()
     }
 
-    /// Switches a fault on.
+    /// Injects a fault.
     pub fn inject_fault(&self, fault: Fault) {
         self.state.inject_fault(fault);
     }
 
-    /// Switches all faults off; a dead service stays dead.
+    /// Clears all faults; a crashed service stays down until [`Service::restart`].
     pub fn clear_faults(&self) {
         self.state.faults.clear();
     }
@@ -112,18 +112,18 @@
 
 impl Drop for Service {
     fn drop(&mut self) {
-        self.state.dead().cancel();
+        self.state.stop_token().cancel();
     }
 }
 
 impl State {
-    fn dead(&self) -> std::sync::MutexGuard<'_, CancellationToken> {
-        self.dead.lock().unwrap_or_else(PoisonError::into_inner)
+    fn stop_token(&self) -> std::sync::MutexGuard<'_, CancellationToken> {
+        self.stop.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn inject_fault(&self, fault: Fault) {
         if fault == Fault::Crash {
-            self.dead().cancel();
+            self.stop_token().cancel();
         } else {
             self.faults.add(fault);
         }
@@ -139,83 +139,82 @@
     }
 
     fn counts(&self) -> Value {
-        let counts = self.log.counts().into_iter();
+        let counts = self.requests.counts().into_iter();
         counts
             .map(|(key, path, count)| json!({"key": key, "path": path, "count": count}))
             .collect()
     }
 
-    fn switch(&self, name: &str, seen: &RecordedRequest) -> Answer {
+    fn set_fault(&self, name: &str, request: &RecordedRequest) -> HttpResponse {
         if name == "clear" {
             self.faults.clear();
             return http::ok(&json!({}));
         }
-        let value = String::from_utf8_lossy(&seen.body);
+        let value = String::from_utf8_lossy(&request.body);
         let Some(fault) = Fault::parse(name, &value) else {
-            return http::problem(StatusCode::NOT_FOUND, "no such fault");
+            return http::error(StatusCode::NOT_FOUND, "no such fault");
         };
         self.inject_fault(fault);
         http::ok(&json!({}))
     }
 
-    async fn call(&self, seen: RecordedRequest) -> Reply {
+    async fn respond(&self, request: RecordedRequest) -> HandlerResult {
         if self.faults.has(&Fault::Refuse) {
-            return Ok(http::problem(
+            return Ok(http::error(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "refused by fault",
             ));
         }
-        let crashes = self.faults.crashes(&seen.body);
-        let answer = json!({
-            "method": seen.method,
-            "path": seen.path,
-            "body": String::from_utf8_lossy(&seen.body),
+        let crashes = self.faults.crashes_on(&request.body);
+        let mut echo = json!({
+            "method": request.method,
+            "path": request.path,
+            "body": String::from_utf8_lossy(&request.body),
         });
-        let count = self.log.push(seen);
-        let delay = self.faults.slowed(self.cfg.delay);
+        let count = self.requests.push(request);
+        let delay = self.faults.scale_time(self.cfg.delay);
         if !delay.is_zero() {
-            // Even a timer of no length waits for the next millisecond.
+            // A zero-length sleep would still wait for the next millisecond tick.
             tokio::time::sleep(delay).await;
         }
         if crashes {
-            self.dead().cancel();
+            self.stop_token().cancel();
         }
-        self.faults.wait_out(&Fault::Stall).await;
+        self.faults.wait_until_cleared(&Fault::Stall).await;
         if self.faults.has(&Fault::DropResponse) {
-            return Err(http::lost());
+            return Err(http::dropped_by_fault());
         }
-        let mut answer = answer;
-        answer["count"] = count.into();
-        Ok(http::ok(&answer))
+        echo["count"] = count.into();
+        Ok(http::ok(&echo))
     }
 }
 
-async fn handle(state: Arc<State>, req: Request<Incoming>) -> Reply {
-    let seen = http::read(req).await?;
-    if let Some(name) = seen.path.strip_prefix("/fault/") {
-        return Ok(state.switch(name, &seen));
+async fn handle(state: Arc<State>, req: Request<Incoming>) -> HandlerResult {
+    let request = http::read_request(req).await?;
+    if let Some(name) = request.path.strip_prefix("/fault/") {
+        return Ok(state.set_fault(name, &request));
     }
-    let path = seen.path.clone();
-    state.faults.wait_out(&Fault::Unresponsive).await;
+    let path = request.path.clone();
+    state.faults.wait_until_cleared(&Fault::Unresponsive).await;
     match path.as_str() {
         "/load" => Ok(http::ok(&state.load())),
         "/seen" => Ok(http::ok(&state.counts())),
         _ => {
             state.running.fetch_add(1, Ordering::Relaxed);
-            let running = Running(&state.running);
-            let reply = state.call(seen).await;
-            drop(running);
-            // A service that goes silent while it runs a call doesn't answer.
-            state.faults.wait_out(&Fault::Unresponsive).await;
-            reply
+            let guard = RunningGuard(&state.running);
+            let result = state.respond(request).await;
+            drop(guard);
+            // The fault may have been injected while the request was running.
+            state.faults.wait_until_cleared(&Fault::Unresponsive).await;
+            result
         }
     }
 }
 
-/// Counts a call as running until it ends or its connection is closed.
-struct Running<'a>(&'a AtomicU32);
+/// Counts a request as running until it ends or its connection is closed.
+struct RunningGuard<'a>(&'a AtomicU32);
 
-impl Drop for Running<'_> {
+impl Drop for RunningGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/fake/src/service_settings.rs
+++ b/crates/fake/src/service_settings.rs
@@ -1,16 +1,16 @@
-//! Settings of the plain service.
+//! Settings of the fake service.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How a plain service behaves.
+/// Settings of a fake plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceSettings {
-    /// Where it listens; port 0 lets the kernel choose.
+    /// Listening address; port 0 lets the kernel choose one.
     pub address: SocketAddr,
-    /// Time between a request and its answer.
+    /// Time between a request and its response.
     pub delay: Duration,
-    /// Requests at once, as told by its load.
+    /// Limit of concurrent requests as reported by `/load`; it is not enforced.
     pub reported_limit: u32,
 }
 
--- a/crates/fake/src/weight_store.rs
+++ b/crates/fake/src/weight_store.rs
@@ -1,4 +1,4 @@
-//! A weight store with a rate limit.
+//! A fake weight store with a rate limit.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,17 +10,17 @@
 use hyper::{Request, StatusCode, header};
 use tokio_util::sync::CancellationToken;
 
-use crate::http::{self, Answer, Reply};
-use crate::life;
+use crate::http::{self, HandlerResult, HttpResponse};
+use crate::server;
 
-const OCTETS: &str = "application/octet-stream";
+const OCTET_STREAM: &str = "application/octet-stream";
 
-/// How a weight store behaves.
+/// Settings of a fake weight store.
 #[derive(Clone, Debug)]
 pub struct WeightSettings {
-    /// Bytes given out a second, over all readers.
+    /// Rate limit in bytes per second, over all readers.
     pub bytes_per_s: u64,
-    /// Bytes of one expert.
+    /// Size of one expert in bytes.
     pub expert_bytes: usize,
 }
 
@@ -33,31 +33,31 @@
     }
 }
 
-/// A weight store on loopback: `GET /weights/{layer}/{expert}`.
+/// A fake weight store on loopback: `GET /weights/{layer}/{expert}`.
 ///
-/// A read beyond the rate gets 429 with `Retry-After`.
+/// A read that exceeds the rate limit gets 429 with `Retry-After`.
 #[derive(Debug)]
 pub struct WeightStore {
     state: Arc<State>,
     address: SocketAddr,
-    dead: CancellationToken,
+    stop: CancellationToken,
 }
 
 #[derive(Debug)]
 struct State {
     cfg: WeightSettings,
-    bucket: Mutex<Bucket>,
+    bucket: Mutex<TokenBucket>,
 }
 
-/// Bytes that may be given out now; one second's worth at most.
+/// Token bucket that holds at most one second's worth of bytes.
 #[derive(Debug)]
-struct Bucket {
-    bytes: f64,
-    /// Bytes given out a second.
+struct TokenBucket {
+    available: f64,
+    /// Bytes per second.
     rate: u64,
-    filled: Instant,
-    served: u64,
-    refused: u64,
+    refilled_at: Instant,
+    served_bytes: u64,
+    refused_reads: u64,
 }
 
 impl WeightStore {
@@ -75,56 +75,56 @@
     /// # }).unwrap();
     /// ```
     pub async fn start(cfg: WeightSettings) -> io::Result<Self> {
-        let dead = CancellationToken::new();
-        let bucket = Mutex::new(Bucket {
-            bytes: 0.0,
+        let stop = CancellationToken::new();
+        let bucket = Mutex::new(TokenBucket {
+            available: 0.0,
             rate: cfg.bytes_per_s,
-            filled: Instant::now(),
-            served: 0,
-            refused: 0,
+            refilled_at: Instant::now(),
+            served_bytes: 0,
+            refused_reads: 0,
         });
         let state = Arc::new(State { cfg, bucket });
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let address = life::serve(any, Arc::clone(&state), dead.clone(), handle).await?;
+        let address = server::serve(any, Arc::clone(&state), stop.clone(), handle).await?;
         Ok(WeightStore {
             state,
             address,
-            dead,
+            stop,
         })
     }
 
-    /// Where it listens.
+    /// Listening address.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Gives out so many bytes a second from now on.
+    /// Changes the rate limit.
     pub fn set_rate(&self, bytes_per_s: u64) {
         self.state.bucket().rate = bytes_per_s;
     }
 
-    /// Bytes given out so far.
+    /// Number of bytes served so far.
     #[must_use]
     pub fn served_bytes(&self) -> u64 {
-        self.state.bucket().served
+        self.state.bucket().served_bytes
     }
 
-    /// Reads refused because of the rate so far.
+    /// Number of reads refused so far because of the rate limit.
     #[must_use]
     pub fn refused_reads(&self) -> u64 {
-        self.state.bucket().refused
+        self.state.bucket().refused_reads
     }
 }
 
 impl Drop for WeightStore {
     fn drop(&mut self) {
-        self.dead.cancel();
+        self.stop.cancel();
     }
 }
 
 impl State {
-    fn bucket(&self) -> std::sync::MutexGuard<'_, Bucket> {
+    fn bucket(&self) -> std::sync::MutexGuard<'_, TokenBucket> {
         self.bucket.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -132,39 +132,39 @@
         clippy::cast_precision_loss,
         reason = "a rate of bytes needs no more than 52 bits"
     )]
-    fn take(&self, now: Instant) -> Result<(), Duration> {
+    fn take_expert(&self, now: Instant) -> Result<(), Duration> {
         let wanted = self.cfg.expert_bytes as f64;
         let mut bucket = self.bucket();
         let rate = bucket.rate.max(1) as f64;
-        let elapsed = now.duration_since(bucket.filled).as_secs_f64();
-        bucket.bytes = (bucket.bytes + elapsed * rate).min(rate.max(wanted));
-        bucket.filled = now;
-        if bucket.bytes < wanted {
-            bucket.refused += 1;
-            return Err(Duration::from_secs_f64((wanted - bucket.bytes) / rate));
+        let elapsed = now.duration_since(bucket.refilled_at).as_secs_f64();
+        bucket.available = (bucket.available + elapsed * rate).min(rate.max(wanted));
+        bucket.refilled_at = now;
+        if bucket.available < wanted {
+            bucket.refused_reads += 1;
+            return Err(Duration::from_secs_f64((wanted - bucket.available) / rate));
         }
-        bucket.bytes -= wanted;
-        bucket.served += self.cfg.expert_bytes as u64;
+        bucket.available -= wanted;
+        bucket.served_bytes += self.cfg.expert_bytes as u64;
         Ok(())
     }
 }
 
-async fn handle(state: Arc<State>, req: Request<Incoming>) -> Reply {
+async fn handle(state: Arc<State>, req: Request<Incoming>) -> HandlerResult {
     if !req.uri().path().starts_with("/weights/") {
-        return Ok(http::problem(StatusCode::NOT_FOUND, "no such path"));
+        return Ok(http::error(StatusCode::NOT_FOUND, "no such path"));
     }
-    match state.take(Instant::now()) {
+    match state.take_expert(Instant::now()) {
         Ok(()) => {
             let weights = Bytes::from(vec![0; state.cfg.expert_bytes]);
-            Ok(http::full(StatusCode::OK, OCTETS, weights))
+            Ok(http::with_body(StatusCode::OK, OCTET_STREAM, weights))
         }
-        Err(wait) => Ok(too_fast(wait)),
+        Err(retry_after) => Ok(rate_limited(retry_after)),
     }
 }
 
-fn too_fast(wait: Duration) -> Answer {
-    let mut response = http::problem(StatusCode::TOO_MANY_REQUESTS, "rate limit");
-    let seconds = wait.as_secs() + 1;
+fn rate_limited(retry_after: Duration) -> HttpResponse {
+    let mut response = http::error(StatusCode::TOO_MANY_REQUESTS, "rate limit");
+    let seconds = retry_after.as_secs() + 1;
     let headers = response.headers_mut();
     headers.insert(header::RETRY_AFTER, seconds.into());
     response
