--- a/crates/fake/tests/engine.rs
+++ b/crates/fake/tests/engine.rs
@@ -1,4 +1,4 @@
-//! What the stand-in for an engine does, and its faults.
+//! Behaviour and faults of the fake engine.
 
 use std::net::SocketAddr;
 
@@ -14,13 +14,13 @@
 const BODY: &str = r#"{"model":"burl-notes","stream":true,"max_tokens":9}"#;
 
 async fn send(
-    to: SocketAddr,
+    address: SocketAddr,
     method: &str,
     path: &str,
     skip: u64,
     body: &str,
 ) -> Result<(u16, Bytes), Box<dyn std::error::Error>> {
-    let stream = TcpStream::connect(to).await?;
+    let stream = TcpStream::connect(address).await?;
     let (mut tx, conn) = http1::handshake(TokioIo::new(stream)).await?;
     tokio::spawn(conn);
     let req = Request::builder()
@@ -42,7 +42,7 @@
         .1
 }
 
-async fn order(engine: &Engine, path: &str, body: Value) -> (u16, Value) {
+async fn post_command(engine: &Engine, path: &str, body: Value) -> (u16, Value) {
     let (status, body) = send(engine.address(), "POST", path, 0, &body.to_string())
         .await
         .unwrap();
@@ -50,7 +50,7 @@
 }
 
 #[tokio::test]
-async fn chat_resumed() {
+async fn resume_stream() {
     let engine = Engine::start(EngineSettings::default()).await.unwrap();
     let whole = chat(&engine, 0, BODY).await;
     assert!(whole.ends_with(b"data: [DONE]\n\n"));
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test]
-async fn chat_document() {
+async fn non_streamed_response_repeatable() {
     let engine = Engine::start(EngineSettings::default()).await.unwrap();
     let body = BODY.replace("true", "false");
     let first: Value = serde_json::from_slice(&chat(&engine, 0, &body).await).unwrap();
@@ -78,7 +78,7 @@
 
 #[tokio::test]
 async fn fault_end_early() {
-    // An engine ends its stream as if it were whole, without its last event.
+    // The engine ends its stream cleanly but without the final event.
     let engine = Engine::start(EngineSettings::default()).await.unwrap();
     engine.inject_fault(Fault::EndEarly(2));
     let text = chat(&engine, 0, BODY).await;
@@ -87,14 +87,13 @@
 
 #[tokio::test]
 async fn fault_crash() {
-    // One request crashes the engine, whoever sends it; after its restart
-    // others work.
+    // One request body crashes the engine; after a restart, other requests work.
     let engine = Engine::start(EngineSettings::default()).await.unwrap();
     engine.inject_fault(Fault::CrashOn("poison".into()));
     let poison = BODY.replace("burl-notes", "poison");
     let path = "/v1/chat/completions";
-    let lost = send(engine.address(), "POST", path, 0, &poison).await;
-    assert!(lost.is_err());
+    let crashed = send(engine.address(), "POST", path, 0, &poison).await;
+    assert!(crashed.is_err());
     let refused = send(engine.address(), "POST", path, 0, BODY).await;
     assert!(refused.is_err());
     engine.restart().await.unwrap();
@@ -102,26 +101,26 @@
 }
 
 #[tokio::test]
-async fn order_old_fencing() {
-    // A former coordinator orders with an old number. An engine that checks
-    // refuses it and names the number it knows.
+async fn stale_fencing_refused() {
+    // A former coordinator sends a command with a stale fencing number. An engine
+    // that checks the number refuses the command and returns the current number.
     let cfg = EngineSettings {
         fencing_check: FencingCheck::Refuse,
         ..EngineSettings::default()
     };
     let engine = Engine::start(cfg).await.unwrap();
     let stage = |fencing| json!({"fencing": fencing, "version": 1, "map": {}});
-    assert_eq!(order(&engine, "/map/stage", stage(5)).await.0, 200);
-    let (status, stands) = order(&engine, "/map/stage", stage(4)).await;
-    assert_eq!((status, &stands["fencing"]), (409, &json!(5)));
+    assert_eq!(post_command(&engine, "/map/stage", stage(5)).await.0, 200);
+    let (status, conflict) = post_command(&engine, "/map/stage", stage(4)).await;
+    assert_eq!((status, &conflict["fencing"]), (409, &json!(5)));
     engine.inject_fault(Fault::IgnoreFencing);
-    assert_eq!(order(&engine, "/map/stage", stage(4)).await.0, 200);
+    assert_eq!(post_command(&engine, "/map/stage", stage(4)).await.0, 200);
 }
 
 #[tokio::test]
 async fn map_switched_in_lockstep() {
-    // Two engines of a group switch at one step, also when one of them hears
-    // the outcome late: the other waits for it at the barrier.
+    // Two engines of a group switch maps at the same step, even if one of them
+    // learns the outcome late: the other waits for it at the barrier.
     let collective = Collective::start([0, 1]).await.unwrap();
     let cfg = |rank| EngineSettings {
         ranks: vec![rank],
@@ -133,19 +132,19 @@
     let mut barrier = 0;
     for engine in [&one, &two] {
         let stage = json!({"fencing": 1, "version": 7, "map": {}});
-        let (_, staged) = order(engine, "/map/stage", stage).await;
+        let (_, staged) = post_command(engine, "/map/stage", stage).await;
         barrier = staged["step"].as_u64().unwrap() + 500;
     }
     let body = json!({"fencing": 1, "version": 7, "step": barrier, "commit": true});
     for engine in [&one, &two] {
-        let (_, held) = order(engine, "/map/hold", body.clone()).await;
+        let (_, held) = post_command(engine, "/map/hold", body.clone()).await;
         assert_eq!(held["held"], true);
     }
-    order(&one, "/map/outcome", body.clone()).await;
+    post_command(&one, "/map/outcome", body.clone()).await;
     while one.map_state()["step"].as_u64() < Some(barrier - 1) {
         tokio::task::yield_now().await;
     }
-    order(&two, "/map/outcome", body).await;
+    post_command(&two, "/map/outcome", body).await;
     while two.map_state()["version"] != 7 || one.map_state()["version"] != 7 {
         tokio::task::yield_now().await;
     }
@@ -154,9 +153,9 @@
 }
 
 #[tokio::test]
-async fn collective_engine_back() {
-    // An engine dies and is started again. The others wait for it, and it
-    // runs no step before it is told which maps are in force.
+async fn collective_engine_restarted() {
+    // An engine is restarted. The others wait for it, and it runs no step before
+    // it is told which maps are in force.
     let collective = Collective::start([0, 1]).await.unwrap();
     let cfg = |rank| EngineSettings {
         ranks: vec![rank],
@@ -166,33 +165,33 @@
     };
     let one = Engine::start(cfg(0)).await.unwrap();
     let two = Engine::start(cfg(1)).await.unwrap();
-    let none = json!({"fencing": 1, "formation": 2, "maps": []});
+    let no_maps = json!({"fencing": 1, "formation": 2, "maps": []});
     for engine in [&one, &two] {
-        until_formed(engine, 2).await;
+        wait_for_formation(engine, 2).await;
         assert_eq!(engine.map_state()["waiting"], true);
-        order(engine, "/map/join", none.clone()).await;
+        post_command(engine, "/map/join", no_maps.clone()).await;
     }
-    until_step(&collective, 10).await;
+    wait_for_step(&collective, 10).await;
     two.restart().await.unwrap();
-    until_formed(&two, 3).await;
+    wait_for_formation(&two, 3).await;
     let stopped = collective.completed_step();
     assert_eq!(one.map_state()["formation"], 3);
     assert_eq!(two.map_state()["waiting"], true);
     let map = json!({"version": 7, "step": 1, "map": {}});
     let join = |formation| json!({"fencing": 1, "formation": formation, "maps": [map]});
-    order(&two, "/map/join", join(2)).await;
+    post_command(&two, "/map/join", join(2)).await;
     assert_eq!(two.map_state()["waiting"], true);
-    order(&two, "/map/join", join(3)).await;
-    until_step(&collective, stopped + 10).await;
+    post_command(&two, "/map/join", join(3)).await;
+    wait_for_step(&collective, stopped + 10).await;
     let mut last = collective.history().into_iter().rev();
-    let last = last.find(|ran| ran.ranks == [1]).unwrap();
+    let last = last.find(|step| step.ranks == [1]).unwrap();
     assert_eq!(last.version, 7);
 }
 
 #[tokio::test]
-async fn collective_rank_lost() {
-    // An engine freezes. The others wait until its rank is declared lost, go
-    // on without it, and throw it out.
+async fn collective_rank_removed() {
+    // An engine stalls. The others wait until its rank is removed, continue
+    // without it, and the engine is disconnected.
     let collective = Collective::start([0, 1]).await.unwrap();
     let cfg = |rank| EngineSettings {
         ranks: vec![rank],
@@ -201,24 +200,24 @@
     };
     let one = Engine::start(cfg(0)).await.unwrap();
     let two = Engine::start(cfg(1)).await.unwrap();
-    until_step(&collective, 10).await;
+    wait_for_step(&collective, 10).await;
     two.inject_fault(Fault::Stall);
     collective.remove_rank(1);
-    until_formed(&one, 3).await;
+    wait_for_formation(&one, 3).await;
     assert_eq!(one.map_state()["ranks"], json!([0]));
-    until_step(&collective, collective.completed_step() + 10).await;
+    wait_for_step(&collective, collective.completed_step() + 10).await;
     while tokio::net::TcpStream::connect(two.address()).await.is_ok() {
         tokio::task::yield_now().await;
     }
 }
 
-async fn until_formed(engine: &Engine, formation: u64) {
+async fn wait_for_formation(engine: &Engine, formation: u64) {
     while engine.map_state()["formation"] != formation {
         tokio::task::yield_now().await;
     }
 }
 
-async fn until_step(collective: &Collective, step: u64) {
+async fn wait_for_step(collective: &Collective, step: u64) {
     while collective.completed_step() < step {
         tokio::task::yield_now().await;
     }
