--- a/crates/lovageramp/tests/processes/moments.rs
+++ b/crates/lovageramp/tests/processes/moments.rs
@@ -133,7 +133,7 @@
     let mut cluster = cluster().await;
     let relays = cluster.agents();
     let held = kill_when_held(&mut cluster, &relays, |relay| {
-        relay.hold_from_target(ANSWER)
+        relay.hold_from_target(ANSWER);
     })
     .await;
     assert_eq!(cluster.ran(KEY).await, 1);
@@ -160,7 +160,7 @@
     let mut cluster = cluster().await;
     let relays = before_controls(&cluster);
     let held = kill_when_held(&mut cluster, &relays, |relay| {
-        relay.hold_from_target(ANSWER)
+        relay.hold_from_target(ANSWER);
     })
     .await;
     assert_eq!(cluster.ran(KEY).await, 1);
