--- a/crates/lovageramp/src/bench/mod.rs
+++ b/crates/lovageramp/src/bench/mod.rs
@@ -40,7 +40,7 @@
 const SIZE: DeploymentSize = DeploymentSize {
     engines: 16,
     services: 3,
-    step: Duration::from_millis(20),
+    step_time: Duration::from_millis(20),
 };
 
 /// Runs the load and prints what came of it.
--- a/crates/lovageramp/src/daemon/agent.rs
+++ b/crates/lovageramp/src/daemon/agent.rs
@@ -1,24 +1,24 @@
 //! The `lovageramp-agent` daemon.
 
-use super::options::{described, options};
-use super::ready::Ready;
-use super::shell::{Daemon, bind, run};
-use super::signals::asked_to_end;
+use super::options::{options, with_description};
+use super::ready_line::ReadyLine;
+use super::runner::{Daemon, bind, run};
+use super::signals::shutdown_signal;
 use agent::{Agent, Listeners, Settings};
 use std::process::ExitCode;
 
-const ABOUT: &str = "The process beside a target, and the only way to it.";
-const EXAMPLE: &str = "\
+const ABOUT: &str = "The process next to a target, which receives all requests for it.";
+const FOOTER: &str = "\
 Examples:
   lovageramp-agent --settings advisor-01.json --check
   lovageramp-agent --settings advisor-01.json --log info,wire=debug
 
-Exit codes: 0 ended as asked, 1 findings in the settings or failed, 2 usage.";
+Exit codes: 0 stopped by a signal, 1 findings in the settings or failure, 2 usage error.";
 
 /// Runs the daemon from the command line.
 #[must_use]
 pub fn run_agent() -> ExitCode {
-    let options = described(options(), ABOUT, EXAMPLE).run();
+    let options = with_description(options(), ABOUT, FOOTER).run();
     run(
         &options,
         Daemon {
@@ -37,13 +37,13 @@
     };
     let name = settings.name.clone();
     let agent = Agent::start(settings, listeners).await?;
-    Ready {
+    ReadyLine {
         name: &name,
         links: Some(agent.link_address()),
         http: agent.http_address(),
     }
     .print()?;
-    asked_to_end().await?;
+    shutdown_signal().await?;
     agent.shutdown().await;
     Ok(())
 }
--- a/crates/lovageramp/src/daemon/control.rs
+++ b/crates/lovageramp/src/daemon/control.rs
@@ -1,25 +1,25 @@
 //! The `lovageramp-control` daemon.
 
-use super::options::{Options, described, options};
-use super::ready::Ready;
-use super::shell::{Daemon, bind, run};
-use super::signals::asked_to_end;
+use super::options::{Options, options, with_description};
+use super::ready_line::ReadyLine;
+use super::runner::{Daemon, bind, run};
+use super::signals::shutdown_signal;
 use bpaf::{construct, long};
 use control::{Control, Listeners, Settings};
 use std::process::ExitCode;
 use store::Ops;
 
 const ABOUT: &str = "A replica of lovageramp's durable state.";
-const EXAMPLE: &str = "\
+const FOOTER: &str = "\
 Examples:
   lovageramp-control --settings control-1.json --check
   lovageramp-control --settings control-1.json --init   (the first replica, once)
   lovageramp-control --settings control-1.json
 
-A replica with a blank data folder joins the cluster of its settings anew; only
---init makes a new cluster.
+A replica with an empty data folder rejoins the cluster named in its settings; only
+--init creates a new cluster.
 
-Exit codes: 0 ended as asked, 1 findings in the settings or failed, 2 usage.";
+Exit codes: 0 stopped by a signal, 1 findings in the settings or failure, 2 usage error.";
 
 #[derive(Clone, Debug)]
 struct ControlOptions {
@@ -35,7 +35,7 @@
         .switch();
     let common = options();
     let parser = construct!(ControlOptions { init, common });
-    let options = described(parser, ABOUT, EXAMPLE).run();
+    let options = with_description(parser, ABOUT, FOOTER).run();
     let init = options.init;
     run(
         &options.common,
@@ -53,11 +53,11 @@
     )
 }
 
-/// Runs a replica with these file operations until it is asked to end or can't go on.
+/// Runs a replica with these file operations until a shutdown signal or a fatal error.
 ///
 /// # Errors
 ///
-/// It can't start, or its disk can't be relied on any more.
+/// Fails when the replica can't start, or when its disk fails.
 ///
 /// ```no_run
 /// # async fn run(settings: control::Settings) -> eyre::Result<()> {
@@ -71,17 +71,17 @@
     };
     let name = settings.name.clone();
     let control = Control::start_with(settings, listeners, ops).await?;
-    Ready {
+    ReadyLine {
         name: &name,
         links: Some(control.link_address()),
         http: control.http_address(),
     }
     .print()?;
     tokio::select! {
-        asked = asked_to_end() => asked?,
-        // A replica whose disk failed promises nothing any more; a process
-        // that stayed would look alive to whoever watches it.
-        () = control.stopped() => eyre::bail!("the replica can't go on, see its log"),
+        signal = shutdown_signal() => signal?,
+        // After a disk failure the replica can't guarantee durability. The process
+        // exits because it would still look healthy to a supervisor.
+        () = control.stopped() => eyre::bail!("the replica stopped after a fatal error, see its log"),
     }
     control.shutdown().await;
     Ok(())
--- a/crates/lovageramp/src/daemon/entry.rs
+++ b/crates/lovageramp/src/daemon/entry.rs
@@ -1,24 +1,25 @@
 //! The `lovageramp-entry` daemon.
 
-use super::options::{described, options};
-use super::ready::Ready;
-use super::shell::{Daemon, bind, run};
-use super::signals::asked_to_end;
+use super::options::{options, with_description};
+use super::ready_line::ReadyLine;
+use super::runner::{Daemon, bind, run};
+use super::signals::shutdown_signal;
 use entry::{Entry, Listeners, Settings};
 use std::process::ExitCode;
 
-const ABOUT: &str = "An address for callers: admission, choice of target, retries, streams.";
-const EXAMPLE: &str = "\
+const ABOUT: &str =
+    "Accepts requests from callers: admission, target selection, retries, streaming.";
+const FOOTER: &str = "\
 Examples:
   lovageramp-entry --settings entry-1.json --check
   lovageramp-entry --settings entry-1.json --log-format json
 
-Exit codes: 0 ended as asked, 1 findings in the settings or failed, 2 usage.";
+Exit codes: 0 stopped by a signal, 1 findings in the settings or failure, 2 usage error.";
 
 /// Runs the daemon from the command line.
 #[must_use]
 pub fn run_entry() -> ExitCode {
-    let options = described(options(), ABOUT, EXAMPLE).run();
+    let options = with_description(options(), ABOUT, FOOTER).run();
     run(
         &options,
         Daemon {
@@ -36,13 +37,13 @@
     };
     let name = settings.name.clone();
     let entry = Entry::start(settings, listeners).await?;
-    Ready {
+    ReadyLine {
         name: &name,
         links: None,
         http: entry.http_address(),
     }
     .print()?;
-    asked_to_end().await?;
+    shutdown_signal().await?;
     entry.shutdown().await;
     Ok(())
 }
--- a/crates/lovageramp/src/daemon/options.rs
+++ b/crates/lovageramp/src/daemon/options.rs
@@ -1,10 +1,10 @@
-//! The options of a daemon.
+//! Command line options of a daemon.
 
 use bpaf::{OptionParser, Parser, construct, long};
 use std::path::PathBuf;
 use trace::LogFormat;
 
-/// Options that every daemon has.
+/// Options shared by all daemons.
 #[derive(Clone, Debug)]
 pub(super) struct Options {
     pub settings: PathBuf,
@@ -15,7 +15,7 @@
     pub otlp: Option<String>,
 }
 
-/// The parser of the options that every daemon has.
+/// Parser of the options shared by all daemons.
 pub(super) fn options() -> impl Parser<Options> {
     let settings = long("settings")
         .short('s')
@@ -49,15 +49,15 @@
     })
 }
 
-/// Puts a description and an example to a daemon's options.
-pub(super) fn described<T: 'static>(
+/// Adds a description and a footer with examples to the options of a daemon.
+pub(super) fn with_description<T: 'static>(
     parser: impl Parser<T> + 'static,
     about: &'static str,
-    example: &'static str,
+    footer: &'static str,
 ) -> OptionParser<T> {
     parser
         .to_options()
         .descr(about)
-        .footer(example)
+        .footer(footer)
         .version(env!("CARGO_PKG_VERSION"))
 }
--- a/crates/lovageramp/src/daemon/ready_line.rs
+++ b/crates/lovageramp/src/daemon/ready_line.rs
@@ -1,23 +1,23 @@
-//! The line that tells whoever started a daemon where it listens.
+//! The line on standard output that reports where a daemon listens.
 
 use serde::Serialize;
 use std::io::{Write, stdout};
 use std::net::SocketAddr;
 
-/// Printed to standard output as one line of JSON once a daemon answers.
+/// Printed to standard output as one line of JSON once a daemon accepts requests.
 #[derive(Debug, Serialize)]
-pub(crate) struct Ready<'a> {
-    /// The daemon's name from its settings.
+pub(crate) struct ReadyLine<'a> {
+    /// Name of the daemon from its settings.
     #[serde(rename = "ready")]
     pub name: &'a str,
-    /// Where other daemons dial it.
+    /// Address for connections from other daemons.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub links: Option<SocketAddr>,
-    /// Where it answers HTTP.
+    /// HTTP address.
     pub http: SocketAddr,
 }
 
-impl Ready<'_> {
+impl ReadyLine<'_> {
     /// Prints the line.
     ///
     /// # Errors
--- a/crates/lovageramp/src/daemon/runner.rs
+++ b/crates/lovageramp/src/daemon/runner.rs
@@ -1,4 +1,4 @@
-//! Runs a daemon from its options to its exit code.
+//! Runs a daemon: reads its settings, starts it, and returns its exit code.
 
 use super::options::Options;
 use eyre::WrapErr;
@@ -8,24 +8,24 @@
 use std::process::ExitCode;
 use tokio::net::TcpListener;
 
-/// Exit code for settings with findings.
-const FINDINGS: u8 = 1;
-/// Exit code for a daemon that can't run.
-const FAILED: u8 = 1;
+/// Exit code for unreadable settings or settings with findings.
+const EXIT_INVALID_SETTINGS: u8 = 1;
+/// Exit code for a daemon that can't start or fails.
+const EXIT_FAILED: u8 = 1;
 
-/// A daemon's own part of the shell.
+/// The parts that differ between the daemons.
 pub(super) struct Daemon<S, E, R> {
-    /// Name of the program, for spans.
+    /// Program name, used in spans and error messages.
     pub name: &'static str,
-    /// Reads and checks the settings.
+    /// Parses and checks the settings.
     pub parse: fn(&[u8]) -> Result<S, cfg::Findings>,
-    /// What is in force, defaults included.
+    /// Returns the settings in force, defaults included.
     pub effective: E,
-    /// Runs until asked to end.
+    /// Runs the daemon until a shutdown signal.
     pub serve: R,
 }
 
-/// Reads the settings and does what the options ask for.
+/// Reads the settings, then prints them, checks them or runs the daemon.
 pub(super) fn run<S, E, R, Fut>(options: &Options, daemon: Daemon<S, E, R>) -> ExitCode
 where
     E: FnOnce(&S) -> serde_json::Value,
@@ -36,14 +36,14 @@
         Ok(json) => json,
         Err(err) => {
             eprintln!("{}: {err}", options.settings.display());
-            return ExitCode::from(FINDINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     let settings = match (daemon.parse)(&json) {
         Ok(settings) => settings,
         Err(findings) => {
             eprintln!("{}:\n{findings}", options.settings.display());
-            return ExitCode::from(FINDINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     if options.print_settings {
@@ -54,19 +54,19 @@
         println!("{}: no findings", options.settings.display());
         return ExitCode::SUCCESS;
     }
-    match serve(options, daemon.name, (daemon.serve)(settings)) {
+    match run_daemon(options, daemon.name, (daemon.serve)(settings)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(err) => {
             eprintln!("{}: {err:#}", daemon.name);
-            ExitCode::from(FAILED)
+            ExitCode::from(EXIT_FAILED)
         }
     }
 }
 
-fn serve(
+fn run_daemon(
     options: &Options,
     name: &str,
-    serving: impl Future<Output = eyre::Result<()>>,
+    future: impl Future<Output = eyre::Result<()>>,
 ) -> eyre::Result<()> {
     let _logs = trace::start_logs(&options.log, options.log_format)?;
     let _spans = match &options.otlp {
@@ -76,15 +76,15 @@
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?;
-    runtime.block_on(serving)
+    runtime.block_on(future)
 }
 
-/// Binds an address, naming it where that fails.
+/// Binds an address; the error names it.
 ///
 /// # Errors
 ///
-/// Fails when the address is taken or not one of this host.
+/// Fails when the address is in use or does not belong to this host.
 pub(super) async fn bind(address: SocketAddr) -> eyre::Result<TcpListener> {
     let bound = TcpListener::bind(address).await;
-    bound.wrap_err_with(|| format!("can't listen on {address}"))
+    bound.wrap_err_with(|| format!("cannot listen on {address}"))
 }
--- a/crates/lovageramp/src/daemon/signals.rs
+++ b/crates/lovageramp/src/daemon/signals.rs
@@ -1,23 +1,23 @@
-//! The signals that end a daemon.
+//! Shutdown signals.
 
 use tokio::signal::unix::{SignalKind, signal};
 
 /// Resolves at the first SIGTERM or SIGINT.
 ///
-/// Later ones are taken and ignored: an operator or a service manager that repeats
-/// the signal must not cut off the requests that a graceful shutdown waits for. The
-/// shutdown has a bound of its own.
+/// Later signals are caught and ignored, so that an operator or a service manager
+/// that repeats the signal does not abort the requests that a graceful shutdown
+/// waits for. The shutdown has its own time limit.
 ///
 /// # Errors
 ///
-/// Fails when the process may not handle signals.
-pub(crate) async fn asked_to_end() -> eyre::Result<()> {
+/// Fails when the signal handlers can't be installed.
+pub(crate) async fn shutdown_signal() -> eyre::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    log::info!("asked to end, finishing what runs");
+    log::info!("shutdown requested, finishing running requests");
     Ok(())
 }
--- a/crates/lovageramp/src/fakes.rs
+++ b/crates/lovageramp/src/fakes.rs
@@ -1,12 +1,12 @@
-//! `lovageramp fake`: the stand-ins for a target, as a process of their own.
+//! `lovageramp fake`: a fake target as a separate process.
 
-use crate::daemon::{Ready, asked_to_end};
+use crate::daemon::{ReadyLine, shutdown_signal};
 use bpaf::{Bpaf, Parser};
 use fake::{Engine, EngineSettings, FencingCheck, Service, ServiceSettings};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What to stand in for.
+/// Kind of fake target.
 #[derive(Bpaf, Clone, Debug)]
 pub enum FakeOptions {
     /// A model engine
@@ -15,64 +15,64 @@
     /// A plain service
     #[bpaf(command("service"))]
     Service {
-        /// Where it listens; port 0 is the kernel's choice
+        /// Listening address; port 0 lets the kernel choose one
         #[bpaf(argument("IP:PORT"), fallback(SocketAddr::from(([127, 0, 0, 1], 0))))]
         listen: SocketAddr,
-        /// Milliseconds between a request and its answer
+        /// Milliseconds between a request and its response
         #[bpaf(argument("MS"), fallback(0))]
         delay_ms: u64,
     },
 }
 
-/// How a model engine behaves.
+/// Settings of a fake model engine.
 #[derive(Bpaf, Clone, Debug)]
 pub struct EngineOptions {
-    /// Where it listens; port 0 is the kernel's choice
+    /// Listening address; port 0 lets the kernel choose one
     #[bpaf(argument("IP:PORT"), fallback(SocketAddr::from(([127, 0, 0, 1], 0))))]
     listen: SocketAddr,
-    /// Rank that it runs; may be given more than once
+    /// Rank run by the engine; may be given more than once
     #[bpaf(argument("N"), many)]
     rank: Vec<u32>,
-    /// Model that it serves
+    /// Model served
     #[bpaf(argument("NAME"), fallback("burl-notes".to_owned()))]
     model: String,
     /// Version of the model
     #[bpaf(argument("NAME"), fallback("2026-11".to_owned()))]
     version_name: String,
-    /// Milliseconds of a step
+    /// Duration of a step in milliseconds
     #[bpaf(argument("MS"), fallback(2))]
     step_ms: u64,
-    /// Requests that it runs at once
+    /// Most requests running at the same time
     #[bpaf(argument("N"), fallback(64))]
     limit: u32,
-    /// Layers with experts
+    /// Number of layers with experts
     #[bpaf(argument("N"), fallback(2))]
     layers: usize,
-    /// Tokens of an expert in each step; given once for each expert
+    /// Tokens per step of an expert; given once for each expert
     #[bpaf(argument("N"), many)]
     popularity: Vec<u32>,
-    /// Steps after which the popularity moves on by one expert
+    /// Steps after which the popularity is rotated by one expert; 0 for never
     #[bpaf(argument("N"), fallback(0))]
     drift_steps: u64,
     /// Milliseconds that staging an expert map takes
     #[bpaf(argument("MS"), fallback(0))]
     stage_ms: u64,
-    /// Weight store that it loads experts from
+    /// Address of the weight store that experts are loaded from
     #[bpaf(argument("IP:PORT"), optional)]
     weights: Option<SocketAddr>,
-    /// Collective in which the engines of its group step
+    /// Address of the collective that synchronizes the steps of the group
     #[bpaf(argument("IP:PORT"), optional)]
     collective: Option<SocketAddr>,
-    /// Wait after a start until it is told which expert maps are in force
+    /// Run no step after a start before being told which expert maps are in force
     waits: bool,
-    /// Refuse orders with an old fencing number
+    /// Refuse commands with a stale fencing number
     checks_fencing: bool,
 }
 
 impl EngineOptions {
     fn into_settings(self) -> EngineSettings {
         let defaults = EngineSettings::default();
-        let or = |given: Vec<u32>, default| if given.is_empty() { default } else { given };
+        let or_default = |given: Vec<u32>, default| if given.is_empty() { default } else { given };
         let fencing = if self.checks_fencing {
             FencingCheck::Refuse
         } else {
@@ -80,7 +80,7 @@
         };
         EngineSettings {
             address: self.listen,
-            ranks: or(self.rank, defaults.ranks),
+            ranks: or_default(self.rank, defaults.ranks),
             models: vec![self.model],
             versions: vec![self.version_name],
             step_time: Duration::from_millis(self.step_ms),
@@ -89,7 +89,7 @@
             staging_time: Duration::from_millis(self.stage_ms),
             weight_store: self.weights,
             layers: self.layers,
-            popularity: or(self.popularity, defaults.popularity),
+            popularity: or_default(self.popularity, defaults.popularity),
             drift_steps: self.drift_steps,
             collective: self.collective,
             waits_for_map: self.waits,
@@ -98,22 +98,22 @@
     }
 }
 
-/// The parser of `lovageramp fake`.
+/// Parser of the options of `lovageramp fake`.
 #[must_use]
 pub fn options() -> impl Parser<FakeOptions> {
     fake_options()
 }
 
-/// Runs a stand-in until SIGTERM or SIGINT.
+/// Runs a fake target until SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// Fails when its address can't be had.
+/// Fails when the address can't be bound.
 pub async fn run(options: FakeOptions) -> eyre::Result<()> {
     match options {
         FakeOptions::Engine(options) => {
             let engine = Engine::start(options.into_settings()).await?;
-            until_asked("engine", engine.address()).await
+            run_until_signal("engine", engine.address()).await
         }
         FakeOptions::Service { listen, delay_ms } => {
             let service = Service::start(ServiceSettings {
@@ -122,17 +122,17 @@
                 ..ServiceSettings::default()
             })
             .await?;
-            until_asked("service", service.address()).await
+            run_until_signal("service", service.address()).await
         }
     }
 }
 
-async fn until_asked(name: &str, http: SocketAddr) -> eyre::Result<()> {
-    Ready {
+async fn run_until_signal(name: &str, http: SocketAddr) -> eyre::Result<()> {
+    ReadyLine {
         name,
         links: None,
         http,
     }
     .print()?;
-    asked_to_end().await
+    shutdown_signal().await
 }
--- a/crates/lovageramp/src/lib.rs
+++ b/crates/lovageramp/src/lib.rs
@@ -1,5 +1,5 @@
-//! Load balancer for expert-parallel model groups: the daemons, the operators' client
-//! and a whole system in one process.
+//! Load balancer for expert-parallel model groups: the daemons, the operator
+//! client, a load generator and a complete system in one process.
 
 pub mod bench;
 pub mod client;
--- a/crates/lovageramp/src/main.rs
+++ b/crates/lovageramp/src/main.rs
@@ -1,4 +1,5 @@
-//! `lovageramp`: the operators' client, a whole system for a first try, the load.
+//! `lovageramp`: the operator client, a complete system for evaluation, and the load
+//! generator.
 
 use std::process::ExitCode;
 
@@ -25,36 +26,36 @@
   lovageramp bench --host 127.0.0.1:8080 --key KEY --mix association --seen 127.0.0.1:9000 --json
   Exit codes: 0 all calls came out right, 1 a call was lost, doubled or wrong, 2 wrong usage.";
 
-/// Columns of the help text.
+/// Width of the help text in columns.
 const HELP_WIDTH: usize = 100;
 
-/// What the command line asks for.
+/// The command given on the command line.
 #[derive(Clone, Debug)]
-enum Task {
+enum Invocation {
     Client(Command),
     Standalone(StandaloneOptions),
     Fake(FakeOptions),
     Bench(BenchOptions),
 }
 
-fn options() -> OptionParser<Task> {
-    let client = client::commands().map(Task::Client);
+fn options() -> OptionParser<Invocation> {
+    let client = client::commands().map(Invocation::Client);
     let standalone = standalone::options()
         .to_options()
-        .descr("Runs the whole system in one process on loopback, for a first try")
+        .descr("Runs a complete system in one process on loopback, for evaluation")
         .command("standalone")
-        .map(Task::Standalone);
+        .map(Invocation::Standalone);
     let fake = fakes::options()
         .to_options()
-        .descr("Runs a small stand-in for a target, for trials and tests")
+        .descr("Runs a fake target, for trials and tests")
         .command("fake")
-        .map(Task::Fake);
+        .map(Invocation::Fake);
     let bench = bench::options()
         .to_options()
-        .descr("Plays both users' mixes against a running system")
+        .descr("Sends a synthetic load to a running system and checks the results")
         .footer(BENCH_EXAMPLES)
         .command("bench")
-        .map(Task::Bench);
+        .map(Invocation::Bench);
     construct!([client, standalone, bench, fake])
         .to_options()
         .descr("Operates lovageramp, a load balancer for expert-parallel model groups")
@@ -63,30 +64,30 @@
 }
 
 fn main() -> ExitCode {
-    let task = match options().run_inner(Args::current_args()) {
-        Ok(task) => task,
-        Err(failure) => return explain(&failure),
+    let invocation = match options().run_inner(Args::current_args()) {
+        Ok(invocation) => invocation,
+        Err(failure) => return report_parse_failure(&failure),
     };
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build();
     match runtime {
-        Ok(runtime) => runtime.block_on(run(task)).into(),
+        Ok(runtime) => runtime.block_on(run(invocation)).into(),
         Err(err) => {
-            eprintln!("can't start: {err}");
+            eprintln!("cannot start the runtime: {err}");
             Exit::Unreachable.into()
         }
     }
 }
 
-async fn run(task: Task) -> Exit {
-    let ended = match task {
-        Task::Client(command) => return client::run(command).await,
-        Task::Standalone(options) => standalone::run(options).await,
-        Task::Fake(options) => fakes::run(options).await,
-        Task::Bench(options) => bench::run(options).await,
+async fn run(invocation: Invocation) -> Exit {
+    let result = match invocation {
+        Invocation::Client(command) => return client::run(command).await,
+        Invocation::Standalone(options) => standalone::run(options).await,
+        Invocation::Fake(options) => fakes::run(options).await,
+        Invocation::Bench(options) => bench::run(options).await,
     };
-    match ended {
+    match result {
         Ok(()) => Exit::Done,
         Err(err) => {
             eprintln!("{err:#}");
@@ -95,8 +96,8 @@
     }
 }
 
-/// Prints help where it was asked for, and what is wrong otherwise.
-fn explain(failure: &ParseFailure) -> ExitCode {
+/// Prints the requested help or version, or the error in the command line.
+fn report_parse_failure(failure: &ParseFailure) -> ExitCode {
     failure.print_message(HELP_WIDTH);
     match failure {
         ParseFailure::Stderr(_) => Exit::Usage.into(),
--- a/crates/lovageramp/src/standalone/call.rs
+++ b/crates/lovageramp/src/standalone/call.rs
@@ -1,4 +1,4 @@
-//! One HTTP request to our own entry.
+//! HTTP requests to the entry of the deployment.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -8,19 +8,19 @@
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
-/// What came back.
+/// Status and body of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Reply {
     pub status: u16,
     pub body: String,
 }
 
-/// Sends a request and takes its whole answer.
+/// Sends a request and reads the whole response.
 ///
 /// # Errors
 ///
-/// Fails when the answer does not arrive whole.
-pub(super) async fn call(
+/// Fails when the connection fails before the response is complete.
+pub(super) async fn send_request(
     address: SocketAddr,
     method: &str,
     path: &str,
--- a/crates/lovageramp/src/standalone/deployment.rs
+++ b/crates/lovageramp/src/standalone/deployment.rs
@@ -1,6 +1,6 @@
-//! All daemons and small stand-ins in one process, on loopback.
+//! All daemons and fake targets in one process, on loopback.
 
-use super::call::call;
+use super::call::send_request;
 use super::{DEMO_KEY, DEMO_TOKEN};
 use agent::Agent;
 use control::Control;
@@ -16,19 +16,19 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep};
 
-/// Longest time until everything answers.
-const START: Duration = Duration::from_mins(1);
-const PAUSE: Duration = Duration::from_millis(50);
+/// Longest wait until all targets respond.
+const STARTUP_TIMEOUT: Duration = Duration::from_mins(1);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How many of each to start.
+/// Number of targets to start, and their speed.
 #[derive(Clone, Copy, Debug)]
 pub struct DeploymentSize {
-    /// Targets of the model group.
+    /// Number of engines in the model group.
     pub engines: u32,
-    /// Targets of the plain service.
+    /// Number of targets of the plain service.
     pub services: u32,
-    /// Time of one engine step.
-    pub step: Duration,
+    /// Step time of the engines.
+    pub step_time: Duration,
 }
 
 impl Default for DeploymentSize {
@@ -36,12 +36,12 @@
         DeploymentSize {
             engines: 2,
             services: 2,
-            step: Duration::from_millis(20),
+            step_time: Duration::from_millis(20),
         }
     }
 }
 
-/// A running system.
+/// A running system on loopback.
 pub struct Deployment {
     control: Control,
     entry: Entry,
@@ -52,11 +52,12 @@
 }
 
 impl Deployment {
-    /// Starts all daemons, sends the first release note and waits until it serves.
+    /// Starts all daemons, sends the first release note and waits until the targets
+    /// respond.
     ///
     /// # Errors
     ///
-    /// Fails when a daemon can't start or the system does not serve in time.
+    /// Fails when a daemon can't start or a target does not respond in time.
     pub async fn start(data: Option<PathBuf>, size: DeploymentSize) -> eyre::Result<Deployment> {
         let temporary = match data {
             Some(_) => None,
@@ -65,13 +66,13 @@
         let folder = match (&data, &temporary) {
             (Some(folder), _) => folder.clone(),
             (None, Some(temporary)) => temporary.path().to_path_buf(),
-            (None, None) => bail!("no folder"),
+            (None, None) => bail!("no data folder"),
         };
-        let place = Place::prepare(folder)?;
-        let control = place.control().await?;
+        let files = SystemFiles::prepare(folder)?;
+        let control = files.control().await?;
         let controls = [control.link_address()];
         let mut deployment = Deployment {
-            entry: place.entry(&controls).await?,
+            entry: files.entry(&controls).await?,
             control,
             agents: Vec::new(),
             engines: Vec::new(),
@@ -80,45 +81,45 @@
         };
         for rank in 0..size.engines {
             deployment
-                .add_engine(&place, &controls, rank, size.step)
+                .add_engine(&files, &controls, rank, size.step_time)
                 .await?;
         }
         for number in 0..size.services {
-            deployment.add_service(&place, &controls, number).await?;
+            deployment.add_service(&files, &controls, number).await?;
         }
-        deployment.offer(size).await?;
+        deployment.configure(size).await?;
         Ok(deployment)
     }
 
-    /// Where callers and operators connect.
+    /// HTTP address of the entry, for callers and operators.
     #[must_use]
     pub fn entry_address(&self) -> SocketAddr {
         self.entry.http_address()
     }
 
-    /// Where the plain services listen, which tell what they saw at `/seen`.
+    /// Addresses of the fake services; `GET /seen` returns their request counts.
     #[must_use]
     pub fn service_addresses(&self) -> Vec<SocketAddr> {
         self.services.iter().map(Service::address).collect()
     }
 
-    /// What reached the stand-ins of the engines.
+    /// Requests received by the fake engines.
     #[must_use]
     pub fn engine_requests(&self) -> Vec<fake::RecordedRequest> {
         self.engines.iter().flat_map(Engine::requests).collect()
     }
 
-    /// How often the services ran a call, by its key.
+    /// Number of requests that the services received with this idempotency key and path.
     #[must_use]
     pub fn service_call_count(&self, key: &str, path: &str) -> u64 {
-        let ran = self
+        let counts = self
             .services
             .iter()
             .map(|service| service.request_count(key, path));
-        ran.sum()
+        counts.sum()
     }
 
-    /// Ends everything, from the callers' side inwards.
+    /// Shuts down the entry first, then the agents and control.
     pub async fn shutdown(self) {
         self.entry.shutdown().await;
         for agent in self.agents {
@@ -129,14 +130,14 @@
 
     async fn add_engine(
         &mut self,
-        place: &Place,
+        files: &SystemFiles,
         controls: &[SocketAddr],
         rank: u32,
-        step: Duration,
+        step_time: Duration,
     ) -> eyre::Result<()> {
         let engine = Engine::start(EngineSettings {
             ranks: vec![rank],
-            step_time: step,
+            step_time,
             ..EngineSettings::default()
         })
         .await?;
@@ -146,14 +147,14 @@
             "engine": { "address": engine.address() },
         });
         self.agents
-            .push(place.agent(&name, controls, target).await?);
+            .push(files.agent(&name, controls, target).await?);
         self.engines.push(engine);
         Ok(())
     }
 
     async fn add_service(
         &mut self,
-        place: &Place,
+        files: &SystemFiles,
         controls: &[SocketAddr],
         number: u32,
     ) -> eyre::Result<()> {
@@ -164,51 +165,53 @@
             "target": { "address": service.address() },
         });
         self.agents
-            .push(place.agent(&name, controls, target).await?);
+            .push(files.agent(&name, controls, target).await?);
         self.services.push(service);
         Ok(())
     }
 
-    /// Sends the note until it is accepted, then waits for an answer of each target.
-    async fn offer(&self, size: DeploymentSize) -> eyre::Result<()> {
+    /// Sends the first note until it is accepted, then waits until a service and an
+    /// engine respond.
+    async fn configure(&self, size: DeploymentSize) -> eyre::Result<()> {
         let bearer = format!("Bearer {DEMO_TOKEN}");
         let operator = [("authorization", bearer.as_str())];
-        let note = first_note(size).to_string();
-        self.until(200, "POST", "/v1/operator/notes", &operator, &note)
+        let note = initial_note(size).to_string();
+        self.retry_until(200, "POST", "/v1/operator/notes", &operator, &note)
             .await?;
         let bearer = format!("Bearer {DEMO_KEY}");
         let caller = [("authorization", bearer.as_str())];
-        self.until(200, "GET", "/s/order-desk/stock", &caller, "")
+        self.retry_until(200, "GET", "/s/order-desk/stock", &caller, "")
             .await?;
         let chat = json!({"model": "burl-notes", "max_tokens": 1,
                           "messages": [{"role": "user", "content": "ready?"}]});
         let chat = chat.to_string();
-        self.until(200, "POST", "/v1/chat/completions", &caller, &chat)
+        self.retry_until(200, "POST", "/v1/chat/completions", &caller, &chat)
             .await
     }
 
-    async fn until(
+    async fn retry_until(
         &self,
-        status: u16,
+        expected_status: u16,
         method: &str,
         path: &str,
         headers: &[(&str, &str)],
         body: &str,
     ) -> eyre::Result<()> {
-        let end = Instant::now() + START;
+        let deadline = Instant::now() + STARTUP_TIMEOUT;
         loop {
-            let reply = call(self.entry_address(), method, path, headers, body.to_owned()).await;
+            let reply =
+                send_request(self.entry_address(), method, path, headers, body.to_owned()).await;
             match reply {
-                Ok(reply) if reply.status == status => return Ok(()),
-                Ok(reply) if Instant::now() > end => {
+                Ok(reply) if reply.status == expected_status => return Ok(()),
+                Ok(reply) if Instant::now() > deadline => {
                     bail!(
-                        "{method} {path} still gets {}: {}",
+                        "{method} {path} still returns {}: {}",
                         reply.status,
                         reply.body
                     )
                 }
-                Err(err) if Instant::now() > end => return Err(err),
-                _ => sleep(PAUSE).await,
+                Err(err) if Instant::now() > deadline => return Err(err),
+                _ => sleep(RETRY_DELAY).await,
             }
         }
     }
@@ -222,7 +225,7 @@
     format!("desk-{:02}", number + 1)
 }
 
-fn first_note(size: DeploymentSize) -> Value {
+fn initial_note(size: DeploymentSize) -> Value {
     let digest = note::Digest::of(DEMO_KEY.as_bytes()).to_string();
     let mut added = vec![
         json!({"kind": "model", "name": "burl-notes", "versions": ["2026-11"], "adapters": ["spalted"]}),
@@ -245,21 +248,21 @@
     json!({"number": 1, "added": added})
 }
 
-/// The folder with the shared files.
-struct Place {
+/// Data folder with the files shared by all daemons.
+struct SystemFiles {
     folder: PathBuf,
 }
 
-impl Place {
-    fn prepare(folder: PathBuf) -> eyre::Result<Place> {
+impl SystemFiles {
+    fn prepare(folder: PathBuf) -> eyre::Result<SystemFiles> {
         fs::create_dir_all(&folder).wrap_err_with(|| folder.display().to_string())?;
         let key = format!("{:032x}", rand::random::<u128>());
-        write_once(&folder.join("cluster.key"), &key)?;
-        write_once(&folder.join("operator.token"), DEMO_TOKEN)?;
-        Ok(Place { folder })
+        write_if_absent(&folder.join("cluster.key"), &key)?;
+        write_if_absent(&folder.join("operator.token"), DEMO_TOKEN)?;
+        Ok(SystemFiles { folder })
     }
 
-    fn common(&self, name: &str) -> Value {
+    fn common_settings(&self, name: &str) -> Value {
         json!({
             "name": name,
             "zone": "oberpfalz",
@@ -269,30 +272,30 @@
     }
 
     async fn control(&self) -> eyre::Result<Control> {
-        let links = loopback().await?;
+        let links = bind_loopback().await?;
         let data = self.folder.join("control");
-        let fresh = !data.exists();
-        let mut settings = self.common("control-1");
+        let is_new = !data.exists();
+        let mut settings = self.common_settings("control-1");
         settings["listen"] = json!(links.local_addr()?);
         settings["data"] = json!(data);
         settings["operator_token_file"] = json!(self.folder.join("operator.token"));
         settings["replicas"] = json!([{"name": "control-1", "address": links.local_addr()?}]);
-        let settings = control::Settings::from_slice(&to_vec(&settings)?)?;
-        if fresh {
+        let settings = control::Settings::from_slice(&to_json(&settings)?)?;
+        if is_new {
             control::init(&settings)?;
         }
-        let http = loopback().await?;
+        let http = bind_loopback().await?;
         Control::start(settings, control::Listeners { links, http }).await
     }
 
     async fn entry(&self, controls: &[SocketAddr]) -> eyre::Result<Entry> {
-        let mut settings = self.common("entry-1");
+        let mut settings = self.common_settings("entry-1");
         settings["controls"] = json!(controls);
         settings["operator_token_file"] = json!(self.folder.join("operator.token"));
-        // Nobody else keeps this process's address list, so nothing need wait for it.
+        // No other process caches the address list, so shutdown need not wait for it to expire.
         settings["timing"] = json!({"address_ttl_ms": 0});
-        let settings = entry::Settings::from_slice(&to_vec(&settings)?)?;
-        let http = loopback().await?;
+        let settings = entry::Settings::from_slice(&to_json(&settings)?)?;
+        let http = bind_loopback().await?;
         Entry::start(settings, entry::Listeners { http }).await
     }
 
@@ -302,28 +305,28 @@
         controls: &[SocketAddr],
         target: Value,
     ) -> eyre::Result<Agent> {
-        let links = loopback().await?;
-        let mut settings = self.common(name);
+        let links = bind_loopback().await?;
+        let mut settings = self.common_settings(name);
         settings["listen"] = json!(links.local_addr()?);
         settings["controls"] = json!(controls);
         if let (Some(settings), Value::Object(target)) = (settings.as_object_mut(), target) {
             settings.extend(target);
         }
-        let settings = agent::Settings::from_slice(&to_vec(&settings)?)?;
-        let http = loopback().await?;
+        let settings = agent::Settings::from_slice(&to_json(&settings)?)?;
+        let http = bind_loopback().await?;
         Agent::start(settings, agent::Listeners { links, http }).await
     }
 }
 
-async fn loopback() -> eyre::Result<TcpListener> {
+async fn bind_loopback() -> eyre::Result<TcpListener> {
     Ok(TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?)
 }
 
-fn to_vec(settings: &Value) -> eyre::Result<Vec<u8>> {
+fn to_json(settings: &Value) -> eyre::Result<Vec<u8>> {
     Ok(serde_json::to_vec(settings)?)
 }
 
-fn write_once(path: &Path, text: &str) -> eyre::Result<()> {
+fn write_if_absent(path: &Path, text: &str) -> eyre::Result<()> {
     if path.exists() {
         return Ok(());
     }
--- a/crates/lovageramp/src/standalone/mod.rs
+++ b/crates/lovageramp/src/standalone/mod.rs
@@ -1,50 +1,50 @@
-//! `lovageramp standalone`: the whole system in one process, for a first try.
+//! `lovageramp standalone`: a complete system in one process, for evaluation.
 
 mod call;
 mod deployment;
-mod trial;
+mod smoke_test;
 
-use crate::daemon::asked_to_end;
+use crate::daemon::shutdown_signal;
 use bpaf::{Bpaf, Parser};
 use std::path::PathBuf;
 
 pub use self::deployment::{Deployment, DeploymentSize};
 
-/// Key of the client account that standalone makes.
+/// Key of the client account that `lovageramp standalone` creates.
 pub const DEMO_KEY: &str = "demo-key-of-standalone";
-/// Operators' token of standalone.
+/// Operator token of `lovageramp standalone`.
 pub const DEMO_TOKEN: &str = "demo-token-of-standalone";
 
 /// Options of `lovageramp standalone`.
 #[derive(Bpaf, Clone, Debug)]
 pub struct StandaloneOptions {
     /// Send one streamed model request and one reservation, resend the reservation,
-    /// print what came back and what ran, and exit
+    /// print the responses and the number of calls that ran, and exit
     pub once: bool,
-    /// Folder for the durable state; a temporary one without
+    /// Folder for the durable state; a temporary folder if not given
     #[bpaf(argument("FOLDER"))]
     pub data: Option<PathBuf>,
 }
 
-/// The parser of `lovageramp standalone`.
+/// Parser of the options of `lovageramp standalone`.
 #[must_use]
 pub fn options() -> impl Parser<StandaloneOptions> {
     standalone_options()
 }
 
-/// Runs until Ctrl-C, or through one trial with `--once`.
+/// Runs until SIGTERM or SIGINT; with `--once`, runs one smoke test and returns.
 ///
 /// # Errors
 ///
-/// Fails when the system can't be started, and with `--once` when an answer or what
-/// ran at the targets differs from what it should be.
+/// Fails when the system can't be started, and with `--once` when a response or the
+/// number of calls that ran is wrong.
 pub async fn run(options: StandaloneOptions) -> eyre::Result<()> {
     let deployment = Deployment::start(options.data, DeploymentSize::default()).await?;
     if options.once {
-        trial::run(&deployment).await?;
+        smoke_test::run(&deployment).await?;
     } else {
         print_addresses(&deployment);
-        asked_to_end().await?;
+        shutdown_signal().await?;
     }
     deployment.shutdown().await;
     Ok(())
@@ -60,14 +60,14 @@
     println!(
         "  curl -N http://{entry}/v1/chat/completions -H 'Authorization: Bearer {DEMO_KEY}' \
          -H 'Content-Type: application/json' -d '{}'",
-        trial::CHAT
+        smoke_test::CHAT_BODY
     );
     println!("A reservation, which runs at most once for its key:");
     println!(
         "  curl http://{entry}{} -H 'Authorization: Bearer {DEMO_KEY}' \
          -H 'Idempotency-Key: lot-17' -d '{}'",
-        trial::RESERVATIONS,
-        trial::LOT
+        smoke_test::RESERVATIONS_PATH,
+        smoke_test::RESERVATION_BODY
     );
     println!();
     println!("Ctrl-C ends it.");
--- a/crates/lovageramp/src/standalone/smoke_test.rs
+++ b/crates/lovageramp/src/standalone/smoke_test.rs
@@ -1,47 +1,52 @@
-//! One request of each kind through a running deployment, checked at both ends.
+//! Sends one request of each kind through a deployment and checks the responses and
+//! what reached the targets.
 
 use super::DEMO_KEY;
-use super::call::{Reply, call};
+use super::call::{Reply, send_request};
 use super::deployment::Deployment;
 use eyre::ensure;
 
-/// The model request.
-pub(super) const CHAT: &str = r#"{"model":"burl-notes","stream":true,"max_tokens":8,"messages":[{"role":"user","content":"Figure notes for a spalted maple burl"}]}"#;
-/// Path of the reservations.
-pub(super) const RESERVATIONS: &str = "/s/order-desk/reservations";
-/// The reservation.
-pub(super) const LOT: &str = r#"{"lot":"maple burl 17"}"#;
-const KEY: &str = "trial-1";
-const DONE: &str = "data: [DONE]";
+/// Body of the model request.
+pub(super) const CHAT_BODY: &str = r#"{"model":"burl-notes","stream":true,"max_tokens":8,"messages":[{"role":"user","content":"Figure notes for a spalted maple burl"}]}"#;
+/// Path of the reservations at the entry.
+pub(super) const RESERVATIONS_PATH: &str = "/s/order-desk/reservations";
+/// Body of the reservation.
+pub(super) const RESERVATION_BODY: &str = r#"{"lot":"maple burl 17"}"#;
+const IDEMPOTENCY_KEY: &str = "trial-1";
+const END_OF_STREAM: &str = "data: [DONE]";
 
-/// Sends the requests, prints what came back and what ran, and compares.
+/// Sends the requests, prints the responses and the number of calls that ran, and
+/// checks them.
 ///
 /// # Errors
 ///
-/// Fails when an answer or what ran differs from what it should be.
+/// Fails when a response or the number of calls that ran is wrong.
 pub(super) async fn run(deployment: &Deployment) -> eyre::Result<()> {
     let chat = chat(deployment).await?;
-    show("streamed model request", &chat);
+    print_reply("streamed model request", &chat);
     let first = reserve(deployment).await?;
-    show("reservation", &first);
-    let again = reserve(deployment).await?;
-    show("the same reservation sent again", &again);
-    let ran = deployment.service_call_count(KEY, RESERVATION_AT_TARGET);
-    println!("seen at the targets: the reservation ran {ran} time(s)");
+    print_reply("reservation", &first);
+    let repeated = reserve(deployment).await?;
+    print_reply("the same reservation sent again", &repeated);
+    let run_count = deployment.service_call_count(IDEMPOTENCY_KEY, SERVICE_RESERVATIONS_PATH);
+    println!("seen at the targets: the reservation ran {run_count} time(s)");
 
     ensure!(chat.status == 200, "the model request got {}", chat.status);
     ensure!(
-        chat.body.trim_end().ends_with(DONE),
+        chat.body.trim_end().ends_with(END_OF_STREAM),
         "the stream of the model request did not end in [DONE]"
     );
     ensure!(first.status < 300, "the reservation got {}", first.status);
-    ensure!(first == again, "the second answer differs from the first");
-    ensure!(ran == 1, "the reservation ran {ran} times");
+    ensure!(
+        first == repeated,
+        "the second answer differs from the first"
+    );
+    ensure!(run_count == 1, "the reservation ran {run_count} times");
     Ok(())
 }
 
-/// The path as the service sees it, below its name.
-const RESERVATION_AT_TARGET: &str = "/reservations";
+/// Path of the reservations at the service: without the `/s/order-desk` prefix.
+const SERVICE_RESERVATIONS_PATH: &str = "/reservations";
 
 async fn chat(deployment: &Deployment) -> eyre::Result<Reply> {
     let bearer = format!("Bearer {DEMO_KEY}");
@@ -50,7 +55,7 @@
         ("content-type", "application/json"),
     ];
     let entry = deployment.entry_address();
-    call(entry, "POST", "/v1/chat/completions", &headers, CHAT).await
+    send_request(entry, "POST", "/v1/chat/completions", &headers, CHAT_BODY).await
 }
 
 async fn reserve(deployment: &Deployment) -> eyre::Result<Reply> {
@@ -58,19 +63,19 @@
     let headers = [
         ("authorization", bearer.as_str()),
         ("content-type", "application/json"),
-        ("idempotency-key", KEY),
+        ("idempotency-key", IDEMPOTENCY_KEY),
     ];
-    call(
+    send_request(
         deployment.entry_address(),
         "POST",
-        RESERVATIONS,
+        RESERVATIONS_PATH,
         &headers,
-        LOT,
+        RESERVATION_BODY,
     )
     .await
 }
 
-fn show(what: &str, reply: &Reply) {
-    println!("== {what}: {}", reply.status);
+fn print_reply(title: &str, reply: &Reply) {
+    println!("== {title}: {}", reply.status);
     println!("{}", reply.body.trim_end());
 }
