--- a/crates/lovageramp/src/client/command.rs
+++ b/crates/lovageramp/src/client/command.rs
@@ -1,4 +1,4 @@
-//! The client's commands.
+//! Commands of the client.
 
 use std::path::PathBuf;
 
@@ -13,38 +13,38 @@
     /// Check, send and show release notes
     #[bpaf(command("note"))]
     Note {
-        /// What to do with notes.
+        /// Action on notes.
         #[bpaf(external(note_command))]
         command: NoteCommand,
     },
     /// Show leader, replicas, notes, nodes, targets, quarantine
     #[bpaf(command("status"))]
     Status {
-        /// How to print.
+        /// Output format.
         #[bpaf(external(format))]
         format: Format,
-        /// How to reach the system.
+        /// Connection options.
         #[bpaf(external(access))]
         access: Access,
     },
     /// Drain targets
     #[bpaf(command("target"))]
     Target {
-        /// What to do with targets.
+        /// Action on targets.
         #[bpaf(external(target_command))]
         command: TargetCommand,
     },
     /// List and pardon requests that crashed targets
     #[bpaf(command("quarantine"))]
     Quarantine {
-        /// What to do with the quarantine.
+        /// Action on the quarantine.
         #[bpaf(external(quarantine_command))]
         command: QuarantineCommand,
     },
-    /// List and forget calls whose outcome nobody knows
+    /// List and forget calls whose outcome is unknown
     #[bpaf(command("ledger"))]
     Ledger {
-        /// What to do with the ledger.
+        /// Action on the ledger.
         #[bpaf(external(ledger_command))]
         command: LedgerCommand,
     },
@@ -55,13 +55,14 @@
 pub enum NoteCommand {
     /// Check a note and print every finding
     ///
-    /// Against what is in force when a host is named, else by itself.
+    /// With --host, the note is checked against the catalogue in force, otherwise
+    /// on its own.
     #[bpaf(command("check"))]
     Check {
-        /// How to print.
+        /// Output format.
         #[bpaf(external(format))]
         format: Format,
-        /// How to reach the system.
+        /// Connection options.
         #[bpaf(external(access))]
         access: Access,
         /// File with the note
@@ -70,13 +71,13 @@
     },
     /// Check a note and send it
     ///
-    /// Sending it again gives the first answer.
+    /// Sending it again returns the first response.
     #[bpaf(command("send"))]
     Send {
-        /// How to print.
+        /// Output format.
         #[bpaf(external(format))]
         format: Format,
-        /// How to reach the system.
+        /// Connection options.
         #[bpaf(external(access))]
         access: Access,
         /// Seconds to wait until the note is in force everywhere
@@ -86,26 +87,26 @@
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Show a note, or all that is on offer
+    /// Show a note, or the whole catalogue
     #[bpaf(command("show"))]
     Show {
-        /// How to print.
+        /// Output format.
         #[bpaf(external(format))]
         format: Format,
-        /// How to reach the system.
+        /// Connection options.
         #[bpaf(external(access))]
         access: Access,
-        /// Number of the note; without it all that is on offer
+        /// Number of the note; without it the whole catalogue
         #[bpaf(positional("NUMBER"), optional)]
         number: Option<u64>,
     },
     /// Show which note is accepted and whether it is in force everywhere
     #[bpaf(command("status"))]
     Status {
-        /// How to print.
+        /// Output format.
         #[bpaf(external(format))]
         format: Format,
-        /// How to reach the system.
+        /// Connection options.
         #[bpaf(external(access))]
         access: Access,
     },
@@ -114,16 +115,16 @@
 /// Commands about targets
 #[derive(Bpaf, Clone, Debug)]
 pub enum TargetCommand {
-    /// Give a target no new work; what runs there finishes
+    /// Stop sending new requests to a target; running ones finish
     #[bpaf(command("drain"))]
     Drain {
-        /// How to print.
+        /// Output format.
         #[bpaf(external(format))]
         format: Format,
-        /// How to reach the system.
+        /// Connection options.
         #[bpaf(external(access))]
         access: Access,
-        /// Give it work again
+        /// Send requests to the target again
         undo: bool,
         /// Name of the target
         #[bpaf(positional("NAME"))]
@@ -137,60 +138,60 @@
     /// List the fingerprints of suspect and convicted requests
     #[bpaf(command("list"))]
     List {
-        /// How to print.
+        /// Output format.
         #[bpaf(external(format))]
         format: Format,
-        /// How to reach the system.
+        /// Connection options.
         #[bpaf(external(access))]
         access: Access,
     },
     /// Let a request run again
     #[bpaf(command("pardon"))]
     Pardon {
-        /// How to print.
+        /// Output format.
         #[bpaf(external(format))]
         format: Format,
-        /// How to reach the system.
+        /// Connection options.
         #[bpaf(external(access))]
         access: Access,
-        /// The request's fingerprint, as listed
+        /// Fingerprint of the request, as listed
         #[bpaf(positional("FINGERPRINT"))]
         fingerprint: String,
     },
 }
 
-/// Commands about non-repeatable calls whose outcome nobody knows
+/// Commands about non-repeatable calls whose outcome is unknown
 #[derive(Bpaf, Clone, Debug)]
 pub enum LedgerCommand {
-    /// List the calls that may have run, or may run yet, oldest first
+    /// List the calls that may have run or may still run, oldest first
     #[bpaf(command("list"))]
     List {
-        /// How to print.
+        /// Output format.
         #[bpaf(external(format))]
         format: Format,
-        /// How to reach the system.
+        /// Connection options.
         #[bpaf(external(access))]
         access: Access,
     },
-    /// Free the key of such a call, so that it runs when it is sent again
+    /// Release the idempotency key of such a call, so that it runs when sent again
     ///
-    /// Only after its service was asked whether the call ran, and neither the
-    /// service nor the agent of that time can run it any more.
+    /// Use this only after checking with the service whether the call ran, and
+    /// when neither the service nor the agent of that time can still run it.
     #[bpaf(command("forget"))]
     Forget {
-        /// How to print.
+        /// Output format.
         #[bpaf(external(format))]
         format: Format,
-        /// How to reach the system.
+        /// Connection options.
         #[bpaf(external(access))]
         access: Access,
-        /// The attempt, as listed
+        /// Attempt ID, as listed
         #[bpaf(positional("ATTEMPT"))]
         attempt: String,
     },
 }
 
-/// The parser of the client's commands.
+/// Parser of the client commands.
 #[must_use]
 pub fn commands() -> impl Parser<Command> {
     command()
@@ -198,6 +199,6 @@
 
 fn format() -> impl Parser<Format> {
     bpaf::long("json")
-        .help("Print the whole answer as JSON")
+        .help("Print the whole response as JSON")
         .flag(Format::Json, Format::Text)
 }
--- a/crates/lovageramp/src/client/exit.rs
+++ b/crates/lovageramp/src/client/exit.rs
@@ -2,16 +2,16 @@
 
 use std::process::ExitCode;
 
-/// How the client ends.
+/// Result of a command, reported as the exit code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
-    /// Done, or in the wanted state already.
+    /// The command succeeded, or there was nothing to change.
     Done,
-    /// Refused, or there are findings.
+    /// The request was refused, or there are findings.
     Refused,
-    /// The command line is wrong.
+    /// The command line is invalid.
     Usage,
-    /// No host answered.
+    /// No host responded.
     Unreachable,
 }
 
--- a/crates/lovageramp/src/client/failure.rs
+++ b/crates/lovageramp/src/client/failure.rs
@@ -1,4 +1,4 @@
-//! Why a command came to nothing.
+//! Failures of a command.
 
 use std::fmt;
 
@@ -6,19 +6,19 @@
 
 use super::Exit;
 
-/// Why a command came to nothing.
+/// Failure of a command.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Failure {
-    /// Refused, with the answer's problem or the findings.
+    /// The request was refused, with the problem document or the findings.
     Refused(Value),
-    /// Something in the command line, the environment or a file is wrong.
+    /// The command line, the environment or a file is invalid.
     Usage(String),
-    /// No host answered; what each of them said.
+    /// No host responded; the text has one line per host.
     Unreachable(String),
 }
 
 impl Failure {
-    /// Findings of a check on this side, in the form of an answer's.
+    /// Findings of a local check, in the same form as in a response.
     #[must_use]
     pub fn findings(findings: &[note::Finding]) -> Failure {
         let findings: Vec<Value> = findings
@@ -29,7 +29,7 @@
         Failure::Refused(json!({"detail": detail, "findings": findings}))
     }
 
-    /// The exit code that tells it.
+    /// The exit code for this failure.
     #[must_use]
     pub fn exit(&self) -> Exit {
         match self {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The failure for programs.
+    /// Returns the failure as JSON.
     #[must_use]
     pub fn to_json(&self) -> Value {
         match self {
--- a/crates/lovageramp/src/client/format.rs
+++ b/crates/lovageramp/src/client/format.rs
@@ -1,10 +1,10 @@
-//! How the client prints.
+//! Output format of the client.
 
-/// How the client prints.
+/// Output format of the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Text for people.
     Text,
-    /// The whole answer, for programs.
+    /// The whole response as JSON, for programs.
     Json,
 }
--- a/crates/lovageramp/src/client/http.rs
+++ b/crates/lovageramp/src/client/http.rs
@@ -1,4 +1,4 @@
-//! Requests to the hosts that were named.
+//! HTTP requests to the given hosts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,30 +12,30 @@
 use serde_json::Value;
 use tokio::net::TcpStream;
 
-use super::answer::Answer;
+use super::host_response::HostResponse;
 use super::{Access, Failure};
 
-/// Largest answer that is read; the catalogue is the longest there is.
-const MOST_ANSWER_BYTES: usize = 64 << 20;
+/// Largest response accepted; the catalogue is the largest document.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// Answers that another host may improve on.
-const TRY_NEXT: [StatusCode; 3] = [
+/// Statuses after which the next host is tried.
+const RETRYABLE_STATUSES: [StatusCode; 3] = [
     StatusCode::BAD_GATEWAY,
     StatusCode::SERVICE_UNAVAILABLE,
     StatusCode::GATEWAY_TIMEOUT,
 ];
 
-/// Asks the hosts in order until one gives an answer of its own.
-pub(super) async fn ask(
+/// Sends a request to the hosts in order until one returns a final response.
+pub(super) async fn request(
     access: &Access,
     method: Method,
     path: &str,
     body: Bytes,
-) -> Result<Answer, Failure> {
+) -> Result<HostResponse, Failure> {
     let hosts = access.hosts()?;
     let token = access.token()?;
     let operator = access.operator();
-    let mut said = Vec::new();
+    let mut failures = Vec::new();
     for host in hosts {
         let req = Request::builder()
             .method(&method)
@@ -45,38 +45,38 @@
             .header(CONTENT_TYPE, "application/json")
             .header("x-operator", &operator)
             .body(Full::new(body.clone()))
-            .map_err(|err| Failure::Usage(format!("can't ask for {path}: {err}")))?;
-        match exchange(host, req, access.timeout()).await {
-            Ok(answer) if TRY_NEXT.contains(&answer.status) => {
-                let detail = answer.body["detail"].as_str().unwrap_or("unavailable");
-                said.push(format!("{host}: {detail}"));
+            .map_err(|err| Failure::Usage(format!("cannot build the request for {path}: {err}")))?;
+        match send_with_timeout(host, req, access.timeout()).await {
+            Ok(response) if RETRYABLE_STATUSES.contains(&response.status) => {
+                let detail = response.body["detail"].as_str().unwrap_or("unavailable");
+                failures.push(format!("{host}: {detail}"));
             }
-            Ok(answer) => return Ok(answer),
-            Err(err) => said.push(format!("{host}: {err:#}")),
+            Ok(response) => return Ok(response),
+            Err(err) => failures.push(format!("{host}: {err:#}")),
         }
     }
-    Err(Failure::Unreachable(said.join("\n")))
+    Err(Failure::Unreachable(failures.join("\n")))
 }
 
-async fn exchange(
+async fn send_with_timeout(
     host: SocketAddr,
     req: Request<Full<Bytes>>,
     timeout: Duration,
-) -> eyre::Result<Answer> {
-    let answer = tokio::time::timeout(timeout, send(host, req)).await;
-    answer.map_err(|_| eyre!("no answer within {} ms", timeout.as_millis()))?
+) -> eyre::Result<HostResponse> {
+    let response = tokio::time::timeout(timeout, send(host, req)).await;
+    response.map_err(|_| eyre!("no response within {} ms", timeout.as_millis()))?
 }
 
-async fn send(host: SocketAddr, req: Request<Full<Bytes>>) -> eyre::Result<Answer> {
-    let stream = TcpStream::connect(host).await.wrap_err("can't connect")?;
+async fn send(host: SocketAddr, req: Request<Full<Bytes>>) -> eyre::Result<HostResponse> {
+    let stream = TcpStream::connect(host).await.wrap_err("cannot connect")?;
     let handshake = hyper::client::conn::http1::handshake(TokioIo::new(stream));
     let (mut sender, connection) = handshake.await?;
-    // It ends with the response, whose errors tell the same.
+    // Errors of the connection are also returned by the request below.
     tokio::spawn(async move { connection.await.is_ok() });
     let response = sender.send_request(req).await?;
     let status = response.status();
-    let body = Limited::new(response.into_body(), MOST_ANSWER_BYTES);
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES);
     let body = body.collect().await.map_err(|err| eyre!(err))?.to_bytes();
-    let body: Value = serde_json::from_slice(&body).wrap_err("the answer isn't JSON")?;
-    Ok(Answer { status, body })
+    let body: Value = serde_json::from_slice(&body).wrap_err("the response is not JSON")?;
+    Ok(HostResponse { status, body })
 }
--- a/crates/lovageramp/src/client/ledger.rs
+++ b/crates/lovageramp/src/client/ledger.rs
@@ -4,14 +4,14 @@
 use hyper::Method;
 use serde_json::Value;
 
-use super::answer::{Answer, render};
-use super::http::ask;
+use super::host_response::{HostResponse, render};
+use super::http::request;
 use super::table::table;
 use super::{Access, Failure, Format, LedgerCommand};
 
 const LEDGER: &str = "/v1/operator/ledger";
 
-/// Columns of the list, and the members that they show.
+/// Columns of the list with the JSON members that they show.
 const COLUMNS: [(&str, &str); 5] = [
     ("ATTEMPT", "attempt"),
     ("ACCOUNT", "account"),
@@ -32,16 +32,16 @@
 }
 
 async fn list(access: &Access, format: Format) -> Result<String, Failure> {
-    let answer = ask(access, Method::GET, LEDGER, Bytes::new()).await?;
-    Ok(render(&answer.success()?, format, describe))
+    let response = request(access, Method::GET, LEDGER, Bytes::new()).await?;
+    Ok(render(&response.into_body()?, format, describe))
 }
 
 async fn forget(access: &Access, format: Format, attempt: &str) -> Result<String, Failure> {
     let path = format!("{LEDGER}/{attempt}");
-    let answer = ask(access, Method::DELETE, &path, Bytes::new()).await;
-    let body = answer.and_then(Answer::success)?;
-    Ok(render(&body, format, |answer| {
-        let member = |name: &str| answer[name].as_str().unwrap_or_default().to_owned();
+    let response = request(access, Method::DELETE, &path, Bytes::new()).await;
+    let body = response.and_then(HostResponse::into_body)?;
+    Ok(render(&body, format, |response| {
+        let member = |name: &str| response[name].as_str().unwrap_or_default().to_owned();
         format!(
             "forgotten; key {} of {} runs when it is sent again",
             member("key"),
@@ -50,20 +50,20 @@
     }))
 }
 
-fn describe(answer: &Value) -> String {
-    let calls = answer["calls"].as_array();
+fn describe(response: &Value) -> String {
+    let calls = response["calls"].as_array();
     let rows = calls.into_iter().flatten().map(|call| {
         let cell = |(_, member): (&str, &str)| call[member].as_str().unwrap_or_default().to_owned();
         COLUMNS.map(cell).to_vec()
     });
     let rows: Vec<Vec<String>> = rows.collect();
     if rows.is_empty() {
-        return "no call's outcome is unknown".to_owned();
+        return "no calls with an unknown outcome".to_owned();
     }
-    let heads = COLUMNS.map(|(head, _)| head);
+    let headings = COLUMNS.map(|(heading, _)| heading);
     let counts = format!(
-        "{} of at most {} calls whose outcome nobody knows",
-        answer["unproved"], answer["most"]
+        "{} of at most {} calls with an unknown outcome",
+        response["unproved"], response["most"]
     );
-    format!("{}\n{counts}", table(&heads, &rows))
+    format!("{}\n{counts}", table(&headings, &rows))
 }
--- a/crates/lovageramp/src/client/mod.rs
+++ b/crates/lovageramp/src/client/mod.rs
@@ -1,14 +1,14 @@
-//! The operators' client: release notes, status, draining, quarantine, ledger.
+//! The operator client: release notes, status, draining, quarantine, ledger.
 //!
-//! Any host may be named, entry or control; the next one is tried when one
-//! doesn't answer. All commands are idempotent, so trying again is harmless.
+//! Hosts may be entries or controls; if one does not respond, the next one is
+//! tried. All commands are idempotent, so retries are safe.
 
 mod access;
-mod answer;
 mod command;
 mod exit;
 mod failure;
 mod format;
+mod host_response;
 mod http;
 mod ledger;
 mod note;
@@ -27,7 +27,7 @@
 
 use std::io::Write;
 
-/// Runs a command and prints what came of it.
+/// Runs a command and prints its result.
 pub async fn run(command: Command) -> Exit {
     let (format, result) = match command {
         Command::Note { command } => note::run(command).await,
@@ -51,7 +51,8 @@
     }
 }
 
-/// Prints a text. That nobody reads it any more, as under `head`, is no fault.
+/// Prints to standard output. Write errors are ignored: a closed pipe, as with
+/// `head`, is not a failure.
 fn print(text: &str) {
     let mut out = std::io::stdout().lock();
     let _ = writeln!(out, "{text}");
--- a/crates/lovageramp/src/client/note.rs
+++ b/crates/lovageramp/src/client/note.rs
@@ -8,16 +8,16 @@
 use note::{Catalogue, Note};
 use serde_json::Value;
 
-use super::answer::{Answer, render};
-use super::http::ask;
+use super::host_response::{HostResponse, render};
+use super::http::request;
 use super::{Access, Failure, Format, NoteCommand};
 
 const NOTES: &str = "/v1/operator/notes";
 const NOTE_STATUS: &str = "/v1/operator/notes/status";
 const CATALOGUE: &str = "/v1/operator/catalogue";
 
-/// Pause between two looks at how far a note has come.
-const POLL: Duration = Duration::from_millis(100);
+/// Interval between two requests for the status of a note.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 pub(super) async fn run(command: NoteCommand) -> (Format, Result<String, Failure>) {
     match command {
@@ -41,33 +41,33 @@
     }
 }
 
-/// Without a host only the note itself is checked, unless it is the first one:
-/// that one must fit a system where nothing is on offer.
+/// Without a host, only the note itself is checked, except for the first note, which
+/// must fit an empty catalogue.
 async fn check(access: &Access, format: Format, file: &Path) -> Result<String, Failure> {
     let json = read(file)?;
     let note = Note::from_slice(&json).map_err(|findings| Failure::findings(&findings))?;
     let number = note.number();
-    let against = if access.names_host() {
-        let answer = ask(access, Method::GET, CATALOGUE, Bytes::new()).await?;
-        let catalogue = answer.success()?.to_string();
+    let catalogue = if access.has_host_argument() {
+        let response = request(access, Method::GET, CATALOGUE, Bytes::new()).await?;
+        let catalogue = response.into_body()?.to_string();
         let catalogue = Catalogue::from_json(catalogue.as_bytes());
         Some(catalogue.map_err(|findings| Failure::findings(findings.as_slice()))?)
     } else {
         (number == 1).then(Catalogue::default)
     };
     let digest = note.digest();
-    let scope = match against {
+    let scope = match catalogue {
         Some(catalogue) => {
             let checked = catalogue.check_note(note);
             checked.map_err(|findings| Failure::findings(&findings))?;
             format!("fits the catalogue of note {}", catalogue.number())
         }
-        None => "is well formed; name a host to check it against what is in force".to_owned(),
+        None => "is well formed; use --host to check it against the catalogue in force".to_owned(),
     };
-    let answer =
+    let response =
         serde_json::json!({"number": number, "digest": digest.to_string(), "findings": []});
     Ok(match format {
-        Format::Json => answer.to_string(),
+        Format::Json => response.to_string(),
         Format::Text => format!("note {number} {scope}"),
     })
 }
@@ -80,37 +80,42 @@
 ) -> Result<String, Failure> {
     let json = read(file)?;
     let note = Note::from_slice(&json).map_err(|findings| Failure::findings(&findings))?;
-    let answer = ask(access, Method::POST, NOTES, Bytes::from(json)).await?;
-    let mut answer = answer.success()?;
+    let response = request(access, Method::POST, NOTES, Bytes::from(json)).await?;
+    let mut response = response.into_body()?;
     if let Some(seconds) = wait {
-        in_force(access, note.number(), Duration::from_secs(seconds)).await?;
-        answer["in_force_everywhere"] = Value::Bool(true);
+        wait_until_in_force(access, note.number(), Duration::from_secs(seconds)).await?;
+        response["in_force_everywhere"] = Value::Bool(true);
     }
-    Ok(render(&answer, format, describe_sent))
+    Ok(render(&response, format, describe_sent))
 }
 
-/// Waits until a note is in force everywhere. While control changes its leader
-/// nobody can say how far it has come; the note is accepted all the same, so
-/// that is waited out as well.
-async fn in_force(access: &Access, number: u64, within: Duration) -> Result<(), Failure> {
-    let deadline = Instant::now() + within;
+/// Waits until a note is in force everywhere. The status is not available during a
+/// leader election; the note is accepted nevertheless, so errors are retried.
+async fn wait_until_in_force(
+    access: &Access,
+    number: u64,
+    timeout: Duration,
+) -> Result<(), Failure> {
+    let deadline = Instant::now() + timeout;
     loop {
-        let answer = ask(access, Method::GET, NOTE_STATUS, Bytes::new()).await;
-        let status = answer.and_then(Answer::success);
+        let response = request(access, Method::GET, NOTE_STATUS, Bytes::new()).await;
+        let status = response.and_then(HostResponse::into_body);
         let everywhere = status.as_ref().map(|notes| &notes["in_force_everywhere"]);
-        let newest = everywhere.ok().and_then(Value::as_u64);
-        if newest.is_some_and(|newest| newest >= number) {
+        let in_force = everywhere.ok().and_then(Value::as_u64);
+        if in_force.is_some_and(|in_force| in_force >= number) {
             return Ok(());
         }
         if Instant::now() >= deadline {
             let behind = match status {
                 Ok(notes) => names(&notes["lagging"]),
-                Err(failure) => format!("any host that could say so: {failure}"),
+                Err(failure) => {
+                    format!("nodes that are unknown, because the status request failed: {failure}")
+                }
             };
             let detail = format!("accepted, but not yet in force at {behind}");
             return Err(Failure::Refused(serde_json::json!({"detail": detail})));
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -119,32 +124,32 @@
         Some(number) => format!("{NOTES}/{number}"),
         None => CATALOGUE.to_owned(),
     };
-    let answer = ask(access, Method::GET, &path, Bytes::new()).await?;
-    // A note is JSON to people as well.
-    Ok(format!("{:#}", answer.success()?))
+    let response = request(access, Method::GET, &path, Bytes::new()).await?;
+    // Notes are written as JSON, so both formats print JSON.
+    Ok(format!("{:#}", response.into_body()?))
 }
 
 async fn status(access: &Access, format: Format) -> Result<String, Failure> {
-    let answer = ask(access, Method::GET, NOTE_STATUS, Bytes::new()).await?;
-    Ok(render(&answer.success()?, format, describe_status))
+    let response = request(access, Method::GET, NOTE_STATUS, Bytes::new()).await?;
+    Ok(render(&response.into_body()?, format, describe_status))
 }
 
-fn describe_sent(answer: &Value) -> String {
-    let number = &answer["number"];
-    let mut text = match answer["outcome"].as_str() {
+fn describe_sent(response: &Value) -> String {
+    let number = &response["number"];
+    let mut text = match response["outcome"].as_str() {
         Some("repeated") => {
-            let operator = answer["operator"].as_str().unwrap_or_default();
+            let operator = response["operator"].as_str().unwrap_or_default();
             format!("note {number} was accepted before, sent by {operator}")
         }
         _ => format!("note {number} is accepted"),
     };
-    if answer["in_force_everywhere"] == Value::Bool(true) {
+    if response["in_force_everywhere"] == Value::Bool(true) {
         text.push_str(" and in force everywhere");
     }
     text
 }
 
-/// One line on how far the newest note has come.
+/// Describes in one line how far the newest note has spread.
 pub(super) fn describe_status(notes: &Value) -> String {
     let (accepted, everywhere) = (&notes["accepted"], &notes["in_force_everywhere"]);
     if accepted == everywhere {
@@ -153,7 +158,7 @@
     let lagging = names(&notes["lagging"]);
     let reached = match everywhere.as_u64() {
         Some(number) => format!("note {number} is in force everywhere"),
-        None => "which one is in force everywhere isn't known yet".to_owned(),
+        None => "which one is in force everywhere is not known yet".to_owned(),
     };
     format!("note {accepted} is accepted, {reached}; behind: {lagging}")
 }
@@ -162,13 +167,13 @@
     let names = list.as_array().into_iter().flatten();
     let names: Vec<&str> = names.filter_map(Value::as_str).collect();
     if names.is_empty() {
-        // Nobody lags by name while a new leader still waits for its nodes.
-        return "nodes that the leader hasn't heard yet".to_owned();
+        // A new leader does not know its nodes until they have contacted it.
+        return "nodes that have not contacted the leader yet".to_owned();
     }
     names.join(", ")
 }
 
 fn read(file: &Path) -> Result<Vec<u8>, Failure> {
     std::fs::read(file)
-        .map_err(|err| Failure::Usage(format!("can't read {}: {err}", file.display())))
+        .map_err(|err| Failure::Usage(format!("cannot read {}: {err}", file.display())))
 }
--- a/crates/lovageramp/src/client/quarantine.rs
+++ b/crates/lovageramp/src/client/quarantine.rs
@@ -4,8 +4,8 @@
 use hyper::Method;
 use serde_json::Value;
 
-use super::answer::{Answer, render};
-use super::http::ask;
+use super::host_response::{HostResponse, render};
+use super::http::request;
 use super::table::table;
 use super::{Access, Failure, Format, QuarantineCommand};
 
@@ -23,23 +23,23 @@
 }
 
 async fn list(access: &Access, format: Format) -> Result<String, Failure> {
-    let answer = ask(access, Method::GET, QUARANTINE, Bytes::new()).await?;
-    Ok(render(&answer.success()?, format, describe))
+    let response = request(access, Method::GET, QUARANTINE, Bytes::new()).await?;
+    Ok(render(&response.into_body()?, format, describe))
 }
 
 async fn pardon(access: &Access, format: Format, fingerprint: &str) -> Result<String, Failure> {
     let path = format!("{QUARANTINE}/{fingerprint}");
-    let answer = ask(access, Method::DELETE, &path, Bytes::new()).await;
-    let body = answer.and_then(Answer::success)?;
+    let response = request(access, Method::DELETE, &path, Bytes::new()).await;
+    let body = response.and_then(HostResponse::into_body)?;
     Ok(render(&body, format, |_| {
         "pardoned; it may run again".to_owned()
     }))
 }
 
-fn describe(answer: &Value) -> String {
+fn describe(response: &Value) -> String {
     let mut rows = Vec::new();
     for state in ["convicted", "suspects"] {
-        for fingerprint in answer[state].as_array().into_iter().flatten() {
+        for fingerprint in response[state].as_array().into_iter().flatten() {
             let fingerprint = fingerprint.as_str().unwrap_or_default();
             let state = state.trim_end_matches('s');
             rows.push(vec![fingerprint.to_owned(), state.to_owned()]);
--- a/crates/lovageramp/src/client/status.rs
+++ b/crates/lovageramp/src/client/status.rs
@@ -4,17 +4,17 @@
 use hyper::Method;
 use serde_json::Value;
 
-use super::answer::render;
-use super::http::ask;
+use super::host_response::render;
+use super::http::request;
 use super::note::describe_status;
 use super::table::table;
 use super::{Access, Failure, Format};
 
-/// What stands for a value that isn't there.
-const NOTHING: &str = "-";
+/// Printed for a missing value.
+const MISSING_VALUE: &str = "-";
 
-/// A table's title, the member of the document it shows, and its columns with
-/// the member of a row that each shows.
+/// A table of the status: the JSON member with its rows, and its columns as heading
+/// and member of a row.
 type Section = (&'static str, &'static [(&'static str, &'static str)]);
 
 const SECTIONS: [Section; 4] = [
@@ -65,8 +65,8 @@
 
 pub(super) async fn run(access: &Access, format: Format) -> Result<String, Failure> {
     let path = "/v1/operator/status";
-    let answer = ask(access, Method::GET, path, Bytes::new()).await?;
-    Ok(render(&answer.success()?, format, describe))
+    let response = request(access, Method::GET, path, Bytes::new()).await?;
+    Ok(render(&response.into_body()?, format, describe))
 }
 
 fn describe(status: &Value) -> String {
@@ -87,14 +87,14 @@
             .map(|row| columns.iter().map(|(_, key)| cell(&row[*key])).collect())
             .collect();
         if !rows.is_empty() {
-            let heads: Vec<&str> = columns.iter().map(|(head, _)| *head).collect();
-            parts.push(table(&heads, &rows));
+            let headings: Vec<&str> = columns.iter().map(|(heading, _)| *heading).collect();
+            parts.push(table(&headings, &rows));
         }
     }
     parts.join("\n\n")
 }
 
-/// Length of a list, or a count that is given as such.
+/// Returns the length of a list, or the number itself.
 fn count(value: &Value) -> String {
     match value.as_array() {
         Some(list) => list.len().to_string(),
@@ -104,8 +104,8 @@
 
 fn cell(value: &Value) -> String {
     match value {
-        Value::Null => NOTHING.to_owned(),
-        Value::String(text) if text.is_empty() => NOTHING.to_owned(),
+        Value::Null => MISSING_VALUE.to_owned(),
+        Value::String(text) if text.is_empty() => MISSING_VALUE.to_owned(),
         Value::String(text) => text.clone(),
         Value::Bool(true) => "yes".to_owned(),
         Value::Bool(false) => "no".to_owned(),
--- a/crates/lovageramp/src/client/table.rs
+++ b/crates/lovageramp/src/client/table.rs
@@ -1,15 +1,18 @@
-//! Plain tables.
+//! Plain text tables.
 
-/// Lines up rows under their heads, two spaces between columns.
-pub(super) fn table(heads: &[&str], rows: &[Vec<String>]) -> String {
-    let mut widths: Vec<usize> = heads.iter().map(|head| head.chars().count()).collect();
+/// Aligns rows under their headings, with two spaces between columns.
+pub(super) fn table(headings: &[&str], rows: &[Vec<String>]) -> String {
+    let mut widths: Vec<usize> = headings
+        .iter()
+        .map(|heading| heading.chars().count())
+        .collect();
     for row in rows {
         for (width, cell) in widths.iter_mut().zip(row) {
             *width = (*width).max(cell.chars().count());
         }
     }
-    let heads = heads.iter().map(ToString::to_string).collect();
-    let lines = std::iter::once(&heads).chain(rows);
+    let headings = headings.iter().map(ToString::to_string).collect();
+    let lines = std::iter::once(&headings).chain(rows);
     let lines: Vec<String> = lines.map(|row| line(row, &widths)).collect();
     lines.join("\n")
 }
