--- a/crates/lovageramp/src/bench/call.rs
+++ b/crates/lovageramp/src/bench/call.rs
@@ -1,41 +1,41 @@
-//! What one request asks for.
+//! The requests of the load.
 
 use bytes::Bytes;
 
-/// What one request asks for.
+/// A request of the load.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Call {
     /// A streamed model request.
     Chat {
-        /// The request's JSON.
+        /// JSON body.
         body: Bytes,
-        /// Tokens that the answer should have.
+        /// Expected number of tokens in the response.
         tokens: u32,
     },
-    /// A read at the plain service.
+    /// A read from the plain service.
     Read {
         /// Path at the entry.
         path: String,
     },
-    /// A call that may not be repeated.
+    /// A non-repeatable call.
     Write {
         /// Path at the entry.
         path: String,
-        /// The idempotency key.
+        /// Idempotency key.
         key: String,
-        /// Its body.
+        /// Request body.
         body: Bytes,
-        /// Whether its caller sends it more than once.
+        /// Whether the caller sends it more than once.
         resend: Resend,
     },
 }
 
-/// Whether a caller sends a non-repeatable call more than once, with one key.
+/// Whether a caller sends a non-repeatable call more than once, with the same key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Resend {
-    /// Only when it gets no final answer.
+    /// Only if it gets no final response.
     Never,
-    /// After the answer, as if that had been lost.
+    /// Again after the response, as if that had been lost.
     AfterAnswer,
     /// Twice at the same time, through two entries.
     Concurrent,
--- a/crates/lovageramp/src/bench/caller.rs
+++ b/crates/lovageramp/src/bench/caller.rs
@@ -1,4 +1,4 @@
-//! One caller, who sends one planned request.
+//! Sends one planned request as a caller would.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,131 +11,136 @@
 use sha2::{Digest, Sha256};
 
 use super::account::Account;
-use super::directory::Directory;
-use super::http::{Client, PATIENCE, Sent, Whole};
-use super::outcome::{Ending, Kind, Outcome};
-use super::stream::Stream;
+use super::address_list::AddressList;
+use super::http::{Client, FullResponse, RESPONSE_TIMEOUT, SendResult};
+use super::outcome::{Outcome, OutcomeStatus, RequestKind};
+use super::stream_reader::StreamReader;
 use super::{Call, PlannedRequest, Resend};
 
-/// Addresses that a caller tries before it gives up on a connection.
-const ADDRESSES: usize = 8;
+/// Most addresses tried by a caller for one connection.
+const MAX_CONNECT_ATTEMPTS: usize = 8;
 
-/// How long a caller goes on resending a non-repeatable call that has no
-/// final answer.
-const RESEND_FOR: Duration = Duration::from_secs(40);
+/// Time for which a caller resends a non-repeatable call without a final
+/// response.
+const RESEND_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Pause between two sends, at most.
-const RESEND_PAUSE: Duration = Duration::from_secs(1);
+/// Longest delay before a resend.
+const MAX_RESEND_DELAY: Duration = Duration::from_secs(1);
 
-/// What all callers share; cheap to clone.
+/// State shared by all callers; cheap to clone.
 #[derive(Clone)]
-pub(super) struct Callers {
+pub(super) struct CallerContext {
     pub(super) client: Client,
-    pub(super) directory: Arc<Directory>,
+    pub(super) addresses: Arc<AddressList>,
     pub(super) accounts: Arc<Vec<Account>>,
-    /// When the load began.
-    pub(super) began: Instant,
+    /// Start of the load.
+    pub(super) started: Instant,
 }
 
-/// One answer to a call, or why there is none.
-enum Answer {
-    /// A final answer.
-    Final(Whole),
-    /// It did not run.
+/// Result of one attempt at a non-repeatable call.
+enum CallResult {
+    /// A final response.
+    Final(FullResponse),
+    /// The call did not run; with the reason.
     NotRun(String),
-    /// It may have run, and asking again makes sense.
-    Open(String, Duration),
-    /// Nobody can learn whether it ran.
+    /// The call may have run; a resend may return the final response. With the
+    /// reason and the delay before the resend.
+    Unsettled(String, Duration),
+    /// It is not known, and can't be found out, whether the call ran.
     Unknown(String),
 }
 
-impl Callers {
-    /// Sends a planned request; `turn` says with which address to begin.
-    pub(super) async fn send(self, planned: PlannedRequest, turn: usize) -> Outcome {
-        self.directory.refresh(&self.client, Instant::now()).await;
-        let key = self.accounts.get(planned.account);
-        let bearer = format!("Bearer {}", key.map_or("", |account| &account.key));
-        let at = planned.send_after;
+impl CallerContext {
+    /// Sends a planned request; `index` selects the address that is tried first.
+    pub(super) async fn send(self, planned: PlannedRequest, index: usize) -> Outcome {
+        self.addresses.refresh(&self.client, Instant::now()).await;
+        let account = self.accounts.get(planned.account);
+        let bearer = format!("Bearer {}", account.map_or("", |account| &account.key));
+        let planned_at = planned.send_after;
         match planned.call {
-            Call::Chat { body, tokens } => self.chat(at, turn, &bearer, body, tokens).await,
-            Call::Read { path } => self.read(at, turn, &bearer, &path).await,
+            Call::Chat { body, tokens } => {
+                self.chat(planned_at, index, &bearer, body, tokens).await
+            }
+            Call::Read { path } => self.read(planned_at, index, &bearer, &path).await,
             Call::Write {
                 path,
                 key,
                 body,
                 resend,
             } => {
-                let write = Write {
+                let call = NonRepeatableCall {
                     callers: &self,
                     bearer: &bearer,
                     path: &path,
                     key: &key,
                     body,
                 };
-                write.run(at, turn, resend).await
+                call.run(planned_at, index, resend).await
             }
         }
     }
 
-    /// Time since the planned one, the wait before the send included.
-    fn since(&self, planned: Duration) -> Duration {
-        self.began.elapsed().saturating_sub(planned)
+    /// Time since the planned send time, including any delay before the send.
+    fn latency(&self, planned_at: Duration) -> Duration {
+        self.started.elapsed().saturating_sub(planned_at)
     }
 
-    /// An address that takes the connection: callers go down their list.
-    async fn next_address(&self, turn: &mut usize) -> SocketAddr {
-        *turn += 1;
-        self.directory.doubt(&self.client, Instant::now()).await;
-        self.directory.address(*turn)
+    /// Returns the next address of the list after a failed connection.
+    async fn next_address(&self, index: &mut usize) -> SocketAddr {
+        *index += 1;
+        self.addresses
+            .refresh_after_failure(&self.client, Instant::now())
+            .await;
+        self.addresses.address(*index)
     }
 
     async fn chat(
         &self,
-        planned: Duration,
-        mut turn: usize,
+        planned_at: Duration,
+        mut index: usize,
         bearer: &str,
         body: Bytes,
         tokens: u32,
     ) -> Outcome {
-        let mut outcome = Outcome::new(Kind::Chat, planned);
+        let mut outcome = Outcome::new(RequestKind::Chat, planned_at);
         let headers = [
             ("authorization", bearer),
             ("content-type", "application/json"),
         ];
-        let mut host = self.directory.address(turn);
-        for _ in 0..ADDRESSES {
+        let mut host = self.addresses.address(index);
+        for _ in 0..MAX_CONNECT_ATTEMPTS {
             let path = "/v1/chat/completions";
-            let sent = self
-                .client
-                .open(host, Method::POST, path, &headers, body.clone());
+            let sent =
+                self.client
+                    .request_streamed(host, Method::POST, path, &headers, body.clone());
             match sent.await {
-                Sent::Nothing(why) => {
-                    outcome.detail = Some(why);
-                    host = self.next_address(&mut turn).await;
+                SendResult::NotSent(reason) => {
+                    outcome.detail = Some(reason);
+                    host = self.next_address(&mut index).await;
                 }
-                Sent::Lost(why) => {
-                    outcome.detail = Some(why);
+                SendResult::NoResponse(reason) => {
+                    outcome.detail = Some(reason);
                     return outcome;
                 }
-                Sent::Answered(response) if response.status() == 200 => {
-                    let stream = Stream {
+                SendResult::Response(response) if response.status() == 200 => {
+                    let stream = StreamReader {
                         outcome: &mut outcome,
                         host,
-                        id: answer_id(&body),
-                        tokens,
-                        began: self.began,
+                        expected_id: expected_response_id(&body),
+                        expected_tokens: tokens,
+                        started: self.started,
                     };
                     let read = stream.read(response.into_body());
-                    if tokio::time::timeout(PATIENCE, read).await.is_err() {
-                        outcome.detail = Some(format!("a stream of {host} did not end"));
+                    if tokio::time::timeout(RESPONSE_TIMEOUT, read).await.is_err() {
+                        outcome.detail = Some(format!("stream from {host} did not end in time"));
                     }
                     return outcome;
                 }
-                Sent::Answered(response) => {
+                SendResult::Response(response) => {
                     let status = response.status().as_u16();
                     let problem = response.into_body().collect().await;
                     let problem = problem.map(Collected::to_bytes).unwrap_or_default();
-                    refused(&mut outcome, status, &problem);
+                    set_refusal(&mut outcome, status, &problem);
                     return outcome;
                 }
             }
@@ -143,30 +148,36 @@
         outcome
     }
 
-    async fn read(&self, planned: Duration, mut turn: usize, bearer: &str, path: &str) -> Outcome {
-        let mut outcome = Outcome::new(Kind::Read, planned);
+    async fn read(
+        &self,
+        planned_at: Duration,
+        mut index: usize,
+        bearer: &str,
+        path: &str,
+    ) -> Outcome {
+        let mut outcome = Outcome::new(RequestKind::Read, planned_at);
         let headers = [("authorization", bearer)];
-        let mut host = self.directory.address(turn);
-        for _ in 0..ADDRESSES {
+        let mut host = self.addresses.address(index);
+        for _ in 0..MAX_CONNECT_ATTEMPTS {
             let sent = self
                 .client
-                .whole(host, Method::GET, path, &headers, Bytes::new());
+                .request(host, Method::GET, path, &headers, Bytes::new());
             match sent.await {
-                Sent::Nothing(why) => {
-                    outcome.detail = Some(why);
-                    host = self.next_address(&mut turn).await;
+                SendResult::NotSent(reason) => {
+                    outcome.detail = Some(reason);
+                    host = self.next_address(&mut index).await;
                 }
-                Sent::Lost(why) => {
-                    outcome.detail = Some(why);
+                SendResult::NoResponse(reason) => {
+                    outcome.detail = Some(reason);
                     return outcome;
                 }
-                Sent::Answered(answer) if answer.status == 200 => {
-                    outcome.ending = Ending::Done;
-                    outcome.first = Some(self.since(planned));
+                SendResult::Response(response) if response.status == 200 => {
+                    outcome.status = OutcomeStatus::Done;
+                    outcome.latency = Some(self.latency(planned_at));
                     return outcome;
                 }
-                Sent::Answered(answer) => {
-                    refused(&mut outcome, answer.status, &answer.body);
+                SendResult::Response(response) => {
+                    set_refusal(&mut outcome, response.status, &response.body);
                     return outcome;
                 }
             }
@@ -175,128 +186,134 @@
     }
 }
 
-/// A caller of a non-repeatable call.
-struct Write<'a> {
-    callers: &'a Callers,
+/// A non-repeatable call and its caller.
+struct NonRepeatableCall<'a> {
+    callers: &'a CallerContext,
     bearer: &'a str,
     path: &'a str,
     key: &'a str,
     body: Bytes,
 }
 
-impl Write<'_> {
-    async fn run(&self, planned: Duration, turn: usize, resend: Resend) -> Outcome {
+impl NonRepeatableCall<'_> {
+    async fn run(&self, planned_at: Duration, index: usize, resend: Resend) -> Outcome {
         let kind = match resend {
-            Resend::Concurrent => Kind::Raced,
-            Resend::Never | Resend::AfterAnswer => Kind::Write,
+            Resend::Concurrent => RequestKind::Raced,
+            Resend::Never | Resend::AfterAnswer => RequestKind::Write,
         };
-        let mut outcome = Outcome::new(kind, planned);
+        let mut outcome = Outcome::new(kind, planned_at);
         outcome.key = Some(self.key.to_owned());
         let first = match resend {
             Resend::Concurrent => {
-                let (one, other) = tokio::join!(self.settle(turn), self.settle(turn + 1));
-                outcome.differing += u64::from(differ(&one, &other));
+                let (one, other) = tokio::join!(
+                    self.call_until_final(index),
+                    self.call_until_final(index + 1)
+                );
+                outcome.differing_responses += u64::from(differ(&one, &other));
                 one
             }
-            Resend::Never | Resend::AfterAnswer => self.settle(turn).await,
+            Resend::Never | Resend::AfterAnswer => self.call_until_final(index).await,
         };
-        if matches!(first, Answer::Final(_)) {
-            outcome.first = Some(self.callers.since(planned));
+        if matches!(first, CallResult::Final(_)) {
+            outcome.latency = Some(self.callers.latency(planned_at));
         }
         if resend == Resend::AfterAnswer {
-            let again = self.settle(turn + 1).await;
-            outcome.differing += u64::from(differ(&first, &again));
+            let again = self.call_until_final(index + 1).await;
+            outcome.differing_responses += u64::from(differ(&first, &again));
         }
-        outcome.ending = match &first {
-            Answer::Final(_) => Ending::Done,
-            Answer::NotRun(_) => Ending::Refused,
-            Answer::Open(..) | Answer::Unknown(_) => Ending::Unknown,
+        outcome.status = match &first {
+            CallResult::Final(_) => OutcomeStatus::Done,
+            CallResult::NotRun(_) => OutcomeStatus::Refused,
+            CallResult::Unsettled(..) | CallResult::Unknown(_) => OutcomeStatus::Unknown,
         };
         outcome.detail = match first {
-            Answer::Final(_) => None,
-            Answer::NotRun(why) | Answer::Open(why, _) | Answer::Unknown(why) => Some(why),
+            CallResult::Final(_) => None,
+            CallResult::NotRun(reason)
+            | CallResult::Unsettled(reason, _)
+            | CallResult::Unknown(reason) => Some(reason),
         };
         outcome
     }
 
-    /// Sends the call until there is a final answer, or patience is over.
-    async fn settle(&self, mut turn: usize) -> Answer {
-        let deadline = Instant::now() + RESEND_FOR;
-        let mut host = self.callers.directory.address(turn);
-        let mut sent_once = false;
+    /// Sends the call until there is a final result or [`RESEND_TIMEOUT`] has passed.
+    async fn call_until_final(&self, mut index: usize) -> CallResult {
+        let deadline = Instant::now() + RESEND_TIMEOUT;
+        let mut host = self.callers.addresses.address(index);
+        let mut may_have_run = false;
         loop {
-            let answer = self.send(host).await;
-            let (why, pause) = match answer {
-                Ok(Answer::Open(why, pause)) => {
-                    sent_once = true;
-                    (why, pause)
+            let response = self.send_once(host).await;
+            let (reason, delay) = match response {
+                Ok(CallResult::Unsettled(reason, delay)) => {
+                    may_have_run = true;
+                    (reason, delay)
                 }
-                // What was told before may have run stays open: only a final
-                // answer to the key settles it.
-                Ok(Answer::NotRun(why)) if sent_once => (why, RESEND_PAUSE),
-                Ok(settled) => return settled,
-                Err(why) => (why, Duration::ZERO),
+                // An earlier attempt may have run, so only a final response for
+                // the key settles the call.
+                Ok(CallResult::NotRun(reason)) if may_have_run => (reason, MAX_RESEND_DELAY),
+                Ok(result) => return result,
+                Err(reason) => (reason, Duration::ZERO),
             };
             if Instant::now() >= deadline {
-                return if sent_once {
-                    Answer::Open(why, pause)
+                return if may_have_run {
+                    CallResult::Unsettled(reason, delay)
                 } else {
-                    Answer::NotRun(why)
+                    CallResult::NotRun(reason)
                 };
             }
-            tokio::time::sleep(pause.min(RESEND_PAUSE)).await;
-            host = self.callers.next_address(&mut turn).await;
+            tokio::time::sleep(delay.min(MAX_RESEND_DELAY)).await;
+            host = self.callers.next_address(&mut index).await;
         }
     }
 
-    /// One send; an error when nothing was sent.
-    async fn send(&self, host: SocketAddr) -> Result<Answer, String> {
+    /// Sends the call once. Returns an error if nothing was sent.
+    async fn send_once(&self, host: SocketAddr) -> Result<CallResult, String> {
         let headers = [
             ("authorization", self.bearer),
             ("content-type", "application/json"),
             ("idempotency-key", self.key),
         ];
         let client = &self.callers.client;
-        let sent = client.whole(host, Method::POST, self.path, &headers, self.body.clone());
-        let answer = match sent.await {
-            Sent::Nothing(why) => return Err(why),
-            Sent::Lost(why) => return Ok(Answer::Open(why, RESEND_PAUSE)),
-            Sent::Answered(answer) => answer,
+        let result = client.request(host, Method::POST, self.path, &headers, self.body.clone());
+        let response = match result.await {
+            SendResult::NotSent(reason) => return Err(reason),
+            SendResult::NoResponse(reason) => {
+                return Ok(CallResult::Unsettled(reason, MAX_RESEND_DELAY));
+            }
+            SendResult::Response(response) => response,
         };
-        let problem: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
-        let why = format!("{} {}", answer.status, problem["detail"]);
-        Ok(match (problem["ran"].as_str(), answer.retry_after) {
-            (Some("no"), _) => Answer::NotRun(why),
-            (Some(_), Some(pause)) => Answer::Open(why, pause),
-            (Some(_), None) => Answer::Unknown(why),
-            // An answer of the service itself.
-            (None, _) => Answer::Final(answer),
+        let problem: Value = serde_json::from_slice(&response.body).unwrap_or_default();
+        let reason = format!("{} {}", response.status, problem["detail"]);
+        Ok(match (problem["ran"].as_str(), response.retry_after) {
+            (Some("no"), _) => CallResult::NotRun(reason),
+            (Some(_), Some(delay)) => CallResult::Unsettled(reason, delay),
+            (Some(_), None) => CallResult::Unknown(reason),
+            // A response of the service itself.
+            (None, _) => CallResult::Final(response),
         })
     }
 }
 
-/// Whether two answers to one key can't both be right.
-fn differ(one: &Answer, other: &Answer) -> bool {
+/// Whether two responses for the same key conflict.
+fn differ(one: &CallResult, other: &CallResult) -> bool {
     match (one, other) {
-        (Answer::Final(one), Answer::Final(other)) => {
+        (CallResult::Final(one), CallResult::Final(other)) => {
             one.status != other.status || one.body != other.body
         }
         _ => false,
     }
 }
 
-fn refused(outcome: &mut Outcome, status: u16, problem: &[u8]) {
+fn set_refusal(outcome: &mut Outcome, http_status: u16, problem: &[u8]) {
     let problem: Value = serde_json::from_slice(problem).unwrap_or_default();
-    outcome.ending = match problem["ran"].as_str() {
-        Some("no") => Ending::Refused,
-        _ => Ending::Failed,
+    outcome.status = match problem["ran"].as_str() {
+        Some("no") => OutcomeStatus::Refused,
+        _ => OutcomeStatus::Failed,
     };
-    outcome.detail = Some(format!("{status} {}", problem["detail"]));
+    outcome.detail = Some(format!("{http_status} {}", problem["detail"]));
 }
 
-/// The id that the fake engine gives its answer to a request, which follows
-/// from the request's body.
-fn answer_id(body: &[u8]) -> String {
+/// ID that the fake engine gives its response, derived from the request body.
+fn expected_response_id(body: &[u8]) -> String {
     let digest = Sha256::digest(body);
     let mut first = [0; 8];
     first.copy_from_slice(&digest[..8]);
--- a/crates/lovageramp/src/bench/http.rs
+++ b/crates/lovageramp/src/bench/http.rs
@@ -1,4 +1,4 @@
-//! Requests over kept connections.
+//! HTTP client with a connection pool.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,31 +11,31 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 
-const CONNECT: Duration = Duration::from_secs(2);
-const IDLE: Duration = Duration::from_secs(10);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Longest wait for an answer; a caller who waits longer has hung up.
-pub(super) const PATIENCE: Duration = Duration::from_mins(1);
+/// Time limit for a complete response, after which a caller is assumed to give up.
+pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, Clone)]
-pub(super) struct Whole {
+pub(super) struct FullResponse {
     pub(super) status: u16,
     pub(super) retry_after: Option<Duration>,
     pub(super) body: Bytes,
 }
 
-/// What came of sending a request.
-pub(super) enum Sent<T> {
-    /// An answer.
-    Answered(T),
-    /// No connection, so nothing was sent.
-    Nothing(String),
-    /// Sent, and no whole answer came.
-    Lost(String),
+/// Result of sending a request.
+pub(super) enum SendResult<T> {
+    /// A response was received.
+    Response(T),
+    /// No connection could be made, so nothing was sent.
+    NotSent(String),
+    /// The request was sent, but no complete response was received.
+    NoResponse(String),
 }
 
-/// Sends requests; cheap to clone.
+/// HTTP client; cheap to clone.
 #[derive(Clone)]
 pub(super) struct Client {
     pool: Pool<HttpConnector, Full<Bytes>>,
@@ -44,44 +44,47 @@
 impl Client {
     pub(super) fn new() -> Self {
         let mut connector = HttpConnector::new();
-        connector.set_connect_timeout(Some(CONNECT));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         connector.set_nodelay(true);
         let pool = Pool::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE)
+            .pool_idle_timeout(POOL_IDLE_TIMEOUT)
             .build(connector);
         Client { pool }
     }
 
-    /// Sends a request and reads its answer whole.
-    pub(super) async fn whole(
+    /// Sends a request and reads the complete response.
+    pub(super) async fn request(
         &self,
         host: SocketAddr,
         method: Method,
         path: &str,
         headers: &[(&str, &str)],
         body: Bytes,
-    ) -> Sent<Whole> {
+    ) -> SendResult<FullResponse> {
         let exchange = async {
-            match self.open(host, method, path, headers, body).await {
-                Sent::Answered(response) => read(response).await,
-                Sent::Nothing(why) => Sent::Nothing(why),
-                Sent::Lost(why) => Sent::Lost(why),
+            match self
+                .request_streamed(host, method, path, headers, body)
+                .await
+            {
+                SendResult::Response(response) => read_response(response).await,
+                SendResult::NotSent(reason) => SendResult::NotSent(reason),
+                SendResult::NoResponse(reason) => SendResult::NoResponse(reason),
             }
         };
-        let ended = tokio::time::timeout(PATIENCE, exchange).await;
-        ended.unwrap_or_else(|_| Sent::Lost("no answer in time".to_owned()))
+        let result = tokio::time::timeout(RESPONSE_TIMEOUT, exchange).await;
+        result.unwrap_or_else(|_| SendResult::NoResponse("no response in time".to_owned()))
     }
 
-    /// Sends a request and gives its answer as it begins.
-    pub(super) async fn open(
+    /// Sends a request and returns the response with its body still unread.
+    pub(super) async fn request_streamed(
         &self,
         host: SocketAddr,
         method: Method,
         path: &str,
         headers: &[(&str, &str)],
         body: Bytes,
-    ) -> Sent<Response<Incoming>> {
+    ) -> SendResult<Response<Incoming>> {
         let mut req = Request::builder()
             .method(method)
             .uri(format!("http://{host}{path}"));
@@ -90,28 +93,28 @@
         }
         let req = match req.body(Full::new(body)) {
             Ok(req) => req,
-            Err(err) => return Sent::Nothing(err.to_string()),
+            Err(err) => return SendResult::NotSent(err.to_string()),
         };
         match self.pool.request(req).await {
-            Ok(response) => Sent::Answered(response),
-            Err(err) if err.is_connect() => Sent::Nothing(err.to_string()),
-            Err(err) => Sent::Lost(err.to_string()),
+            Ok(response) => SendResult::Response(response),
+            Err(err) if err.is_connect() => SendResult::NotSent(err.to_string()),
+            Err(err) => SendResult::NoResponse(err.to_string()),
         }
     }
 }
 
-async fn read(response: Response<Incoming>) -> Sent<Whole> {
+async fn read_response(response: Response<Incoming>) -> SendResult<FullResponse> {
     let status = response.status().as_u16();
     let retry_after = response.headers().get("retry-after");
     let retry_after = retry_after
         .and_then(|value| value.to_str().ok()?.parse().ok())
         .map(Duration::from_secs);
     match response.into_body().collect().await {
-        Ok(body) => Sent::Answered(Whole {
+        Ok(body) => SendResult::Response(FullResponse {
             status,
             retry_after,
             body: body.to_bytes(),
         }),
-        Err(err) => Sent::Lost(err.to_string()),
+        Err(err) => SendResult::NoResponse(err.to_string()),
     }
 }
--- a/crates/lovageramp/src/bench/mix.rs
+++ b/crates/lovageramp/src/bench/mix.rs
@@ -1,11 +1,11 @@
-//! What the users' callers ask for.
+//! Request mixes.
 
 use std::ops::RangeInclusive;
 use std::str::FromStr;
 
 use eyre::bail;
 
-/// What one user's callers ask for.
+/// Composition of the requests sent by the callers of one user.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Mix {
     /// Name of the mix.
@@ -14,28 +14,29 @@
     pub model: String,
     /// Plain service of the other calls.
     pub service: String,
-    /// Of a thousand requests, how many are streamed model requests.
+    /// Share of streamed model requests, per mille.
     pub chat_per_mille: u32,
-    /// Of a thousand requests, how many are reads; the rest isn't repeatable.
+    /// Share of reads, per mille; the rest are non-repeatable calls.
     pub read_per_mille: u32,
-    /// Tokens of an answer.
+    /// Number of tokens in a response.
     pub answer_tokens: RangeInclusive<u32>,
-    /// Words of a prompt.
+    /// Number of words in a prompt.
     pub prompt_words: RangeInclusive<u32>,
-    /// Of a thousand non-repeatable calls, how many are sent again after
-    /// their answer, as if it had been lost.
+    /// Share of the non-repeatable calls that are sent again after their
+    /// response, as if it had been lost, per mille.
     pub resend_per_mille: u32,
-    /// Of a thousand non-repeatable calls, how many are sent twice at once.
+    /// Share of the non-repeatable calls that are sent twice concurrently, per
+    /// mille.
     pub race_per_mille: u32,
-    /// Path of the reads, before a number.
+    /// Path prefix of the reads; a number is appended.
     pub read_path: &'static str,
     /// Path of the non-repeatable calls.
     pub write_path: &'static str,
 }
 
 impl Mix {
-    /// The association: advice with long answers, stock look-ups,
-    /// reservations.
+    /// The mix "association": model requests with long responses, stock look-ups
+    /// and reservations.
     ///
     /// ```
     /// assert_eq!(lovageramp::bench::Mix::association().model, "burl-notes");
@@ -57,7 +58,7 @@
         }
     }
 
-    /// The hotline: short summaries that are needed at once, address look-ups,
+    /// The mix "hotline": latency-sensitive short summaries, address look-ups and
     /// crew dispatches.
     ///
     /// ```
@@ -88,7 +89,7 @@
         match name {
             "association" => Ok(Mix::association()),
             "hotline" => Ok(Mix::hotline()),
-            _ => bail!("unknown mix {name:?}, known are association and hotline"),
+            _ => bail!("unknown mix {name:?}, expected association or hotline"),
         }
     }
 }
--- a/crates/lovageramp/src/bench/mod.rs
+++ b/crates/lovageramp/src/bench/mod.rs
@@ -1,13 +1,14 @@
-//! `lovageramp bench`: open-loop load that plays both users' mixes.
+//! `lovageramp bench`: open-loop load generator for the request mixes of two users.
 //!
-//! Requests are sent at their planned times whether or not earlier ones were
-//! answered, and times count from the planned time: a system that stalls can't
-//! slow its own measurement down. The plan follows from the seed alone.
+//! Requests are sent at their planned times whether or not earlier ones have
+//! completed, and latencies count from the planned time, so that a stalled system
+//! does not slow down its own measurement (coordinated omission). The plan depends
+//! only on the options and the seed.
 
 mod account;
+mod address_list;
 mod call;
 mod caller;
-mod directory;
 mod histogram;
 mod http;
 mod load;
@@ -20,7 +21,7 @@
 mod report;
 mod seen;
 mod sse_parser;
-mod stream;
+mod stream_reader;
 mod tally;
 mod verdict;
 
@@ -36,32 +37,35 @@
 
 use crate::standalone::{Deployment, DeploymentSize};
 
-/// Both users' size: 16 engines and 3 services.
-const SIZE: DeploymentSize = DeploymentSize {
+/// Deployment size of both users: 16 engines and 3 services.
+const DEPLOYMENT_SIZE: DeploymentSize = DeploymentSize {
     engines: 16,
     services: 3,
     step_time: Duration::from_millis(20),
 };
 
-/// Runs the load and prints what came of it.
+/// Runs the load and prints the report.
 ///
 /// # Errors
 ///
 /// Fails when no entry can be reached, and when a call was lost, ran more than
-/// once, ran though its caller was told that it didn't, or an answer went to
+/// once, ran although its caller was told that it did not, or a response went to
 /// the wrong caller.
 pub async fn run(options: BenchOptions) -> eyre::Result<()> {
     if !options.host.is_empty() {
-        ensure!(!options.key.is_empty(), "give a client account: --key KEY");
-        return play(&options).await;
+        ensure!(
+            !options.key.is_empty(),
+            "no client account given: use --key KEY"
+        );
+        return run_mixes(&options).await;
     }
-    let deployment = Deployment::start(None, SIZE).await?;
-    let played = play(&options.for_deployment(&deployment)).await;
+    let deployment = Deployment::start(None, DEPLOYMENT_SIZE).await?;
+    let result = run_mixes(&options.for_deployment(&deployment)).await;
     deployment.shutdown().await;
-    played
+    result
 }
 
-async fn play(options: &BenchOptions) -> eyre::Result<()> {
+async fn run_mixes(options: &BenchOptions) -> eyre::Result<()> {
     let mut reports = Vec::new();
     for mix in options.mixes() {
         reports.push(load::run(options, &mix).await?);
@@ -75,7 +79,10 @@
     if let Some(path) = &options.plot {
         plot::draw(path, &reports)?;
     }
-    let wrong: u64 = reports.iter().map(|report| report.verdict.wrong()).sum();
-    ensure!(wrong == 0, "{wrong} calls came out wrong");
+    let violations: u64 = reports
+        .iter()
+        .map(|report| report.verdict.violations())
+        .sum();
+    ensure!(violations == 0, "{violations} violations of the guarantees");
     Ok(())
 }
--- a/crates/lovageramp/src/bench/options.rs
+++ b/crates/lovageramp/src/bench/options.rs
@@ -10,68 +10,68 @@
 use super::mix::Mix;
 use crate::standalone::{DEMO_KEY, Deployment};
 
-/// More than one process can send.
-const MOST_RATE: f64 = 100_000.0;
+/// Requests per second; more than one process can send.
+const MAX_RATE: f64 = 100_000.0;
 
 /// Options of `lovageramp bench`
 #[derive(Bpaf, Clone, Debug)]
 pub struct BenchOptions {
-    /// An entry's address, ip:port; may be given more than once. The address
-    /// list is asked of them, as callers do. Without it a system of both users'
-    /// size is started in this process
+    /// Address of an entry, ip:port; may be given more than once. The list of
+    /// entries is requested from them, as callers do. Without it, a system with
+    /// 16 engines and 3 services is started in this process
     #[bpaf(argument("ADDR"), many)]
     pub host: Vec<SocketAddr>,
-    /// Bearer key of a client account, with *N for N times the load of the
-    /// others; may be given more than once
+    /// Bearer key of a client account, with *N for N times the load of an account
+    /// without it; may be given more than once
     #[bpaf(argument("KEY[*N]"), many)]
     pub key: Vec<Account>,
-    /// association or hotline; both, one after the other, without
+    /// association or hotline; by default both, one after the other
     #[bpaf(argument("MIX"), many)]
     pub mix: Vec<Mix>,
-    /// Model to ask for instead of the mix's own
+    /// Model to request instead of the default of the mix
     #[bpaf(argument("NAME"), optional)]
     pub model: Option<String>,
-    /// Plain service to call instead of the mix's own
+    /// Plain service to call instead of the default of the mix
     #[bpaf(argument("NAME"), optional)]
     pub service: Option<String>,
-    /// Requests a second
+    /// Requests per second
     #[bpaf(
         argument("N"),
-        guard(is_rate, "must be above 0 and at most 100000"),
+        guard(is_valid_rate, "must be above 0 and at most 100000"),
         fallback(50.0),
         display_fallback
     )]
     pub rate: f64,
-    /// Seconds of load for each mix
+    /// Duration of the load for each mix in seconds
     #[bpaf(argument("N"), fallback(20), display_fallback)]
     pub seconds: u64,
-    /// Seed of the plan
+    /// Seed of the random request plan
     #[bpaf(argument("N"), fallback(1), display_fallback)]
     pub seed: u64,
-    /// Address of a fake service, asked what reached it; may be given more
-    /// than once. Name all of them, or lost calls are counted wrongly
+    /// Address of a fake service whose request counts are checked; may be given
+    /// more than once. Give all of them, otherwise calls are counted as lost
     #[bpaf(argument("ADDR"), many)]
     pub seen: Vec<SocketAddr>,
-    /// Print the figures as JSON
+    /// Print the report as JSON
     pub json: bool,
-    /// Draw time to first token over the run
+    /// Plot the time to first token over the run
     #[bpaf(argument("FILE.svg"), optional)]
     pub plot: Option<PathBuf>,
 }
 
-/// The parser of `lovageramp bench`.
+/// Parser of the options of `lovageramp bench`.
 #[must_use]
 pub fn options() -> impl Parser<BenchOptions> {
     bench_options()
 }
 
 impl BenchOptions {
-    /// Length of the load.
+    /// Duration of the load for each mix.
     pub(super) fn duration(&self) -> Duration {
         Duration::from_secs(self.seconds)
     }
 
-    /// The mixes to play.
+    /// Request mixes to run, with the overrides of the options applied.
     pub(super) fn mixes(&self) -> Vec<Mix> {
         let mut mixes = self.mix.clone();
         if mixes.is_empty() {
@@ -88,7 +88,7 @@
         mixes
     }
 
-    /// The same load for a system in this process.
+    /// Adapts the options to a deployment in this process.
     pub(super) fn for_deployment(mut self, deployment: &Deployment) -> Self {
         self.host = vec![deployment.entry_address()];
         self.key = vec![Account {
@@ -103,10 +103,7 @@
     }
 }
 
-#[expect(
-    clippy::trivially_copy_pass_by_ref,
-    reason = "bpaf hands out a reference"
-)]
-fn is_rate(rate: &f64) -> bool {
-    *rate > 0.0 && *rate <= MOST_RATE
+#[expect(clippy::trivially_copy_pass_by_ref, reason = "bpaf passes a reference")]
+fn is_valid_rate(rate: &f64) -> bool {
+    *rate > 0.0 && *rate <= MAX_RATE
 }
--- a/crates/lovageramp/src/bench/outcome.rs
+++ b/crates/lovageramp/src/bench/outcome.rs
@@ -1,17 +1,17 @@
-//! What became of one request.
+//! Outcome of one request.
 
 use std::time::Duration;
 
-/// How one request ended, as its caller saw it.
+/// How one request ended, as seen by its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Ending {
-    /// Answered, and whole.
+pub(super) enum OutcomeStatus {
+    /// Complete response.
     Done,
-    /// Told that it did not run.
+    /// The caller was told that the request did not run.
     Refused,
-    /// Told that nobody can learn whether it ran, or never answered.
+    /// The caller was told that the result is unknown, or got no response.
     Unknown,
-    /// A stream that ended before its end.
+    /// The stream ended before it was complete.
     Broken,
     /// Any other error.
     Failed,
@@ -19,48 +19,48 @@
 
 /// Kind of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Kind {
+pub(super) enum RequestKind {
     /// Streamed model request.
     Chat,
-    /// Read at the plain service.
+    /// Read from the plain service.
     Read,
     /// Non-repeatable call.
     Write,
-    /// Non-repeatable call that is sent twice at once.
+    /// Non-repeatable call that is sent twice concurrently.
     Raced,
 }
 
-/// What became of one request.
+/// Outcome of one request.
 #[derive(Debug, Clone)]
 pub(super) struct Outcome {
-    pub(super) kind: Kind,
-    pub(super) ending: Ending,
-    /// When it was planned, from the begin of the load.
-    pub(super) planned: Duration,
-    /// From the planned time to the first token, or to the answer.
-    pub(super) first: Option<Duration>,
-    /// Between tokens.
-    pub(super) gaps: Vec<Duration>,
-    /// Events that belong to another request's answer.
-    pub(super) foreign: u64,
-    /// Answers to one key that differ.
-    pub(super) differing: u64,
-    /// Key of a non-repeatable call.
+    pub(super) kind: RequestKind,
+    pub(super) status: OutcomeStatus,
+    /// Planned send time, from the start of the load.
+    pub(super) planned_at: Duration,
+    /// Time from the planned send time to the first token or the response.
+    pub(super) latency: Option<Duration>,
+    /// Times between consecutive tokens.
+    pub(super) token_gaps: Vec<Duration>,
+    /// Events that belong to the response to another request.
+    pub(super) foreign_events: u64,
+    /// Conflicting responses for the same idempotency key.
+    pub(super) differing_responses: u64,
+    /// Idempotency key of a non-repeatable call.
     pub(super) key: Option<String>,
-    /// What went wrong, for people.
+    /// Description of the failure.
     pub(super) detail: Option<String>,
 }
 
 impl Outcome {
-    pub(super) fn new(kind: Kind, planned: Duration) -> Self {
+    pub(super) fn new(kind: RequestKind, planned_at: Duration) -> Self {
         Outcome {
             kind,
-            ending: Ending::Failed,
-            planned,
-            first: None,
-            gaps: Vec::new(),
-            foreign: 0,
-            differing: 0,
+            status: OutcomeStatus::Failed,
+            planned_at,
+            latency: None,
+            token_gaps: Vec::new(),
+            foreign_events: 0,
+            differing_responses: 0,
             key: None,
             detail: None,
         }
--- a/crates/lovageramp/src/bench/plan.rs
+++ b/crates/lovageramp/src/bench/plan.rs
@@ -1,4 +1,4 @@
-//! Which requests are sent when.
+//! The random plan of requests.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 
 use super::{Call, Mix, Resend};
 
-/// Numbers that reads choose among.
-const READ_NUMBERS: u32 = 500;
+/// Number of distinct paths of the reads.
+const READ_PATHS: u32 = 500;
 
-const THOUSAND: u32 = 1_000;
+const PER_MILLE: u32 = 1_000;
 
-/// Words of the prompts.
+/// Words used in prompts.
 const WORDS: [&str; 8] = [
     "burl",
     "spalted",
@@ -26,18 +26,19 @@
     "caller",
 ];
 
-/// One request of the plan.
+/// A request of the plan.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedRequest {
-    /// When it is sent, from the begin of the load.
+    /// Send time, from the start of the load.
     pub send_after: Duration,
-    /// Position of its client account.
+    /// Index of the client account.
     pub account: usize,
-    /// What it asks for.
+    /// The request to send.
     pub call: Call,
 }
 
-/// Requests at random times, of a rate on average: the seed alone decides.
+/// Iterator over requests with random arrival times at an average rate. The same
+/// arguments always produce the same requests.
 ///
 /// ```
 /// use lovageramp::bench::{Mix, Plan};
@@ -51,12 +52,14 @@
     rate: f64,
     seed: u64,
     rng: StdRng,
-    at: Duration,
+    next_send: Duration,
+    /// Number of the next request.
     number: u64,
 }
 
 impl Plan {
-    /// Makes the plan; `weights` are the accounts' parts of the load.
+    /// Creates a plan. `weights` are the relative loads of the client accounts, `rate`
+    /// is in requests per second.
     ///
     /// ```
     /// use lovageramp::bench::{Mix, Plan};
@@ -72,29 +75,29 @@
             rate,
             seed,
             rng: StdRng::seed_from_u64(seed),
-            at: Duration::ZERO,
+            next_send: Duration::ZERO,
             number: 0,
         }
     }
 
-    fn account(&mut self) -> usize {
+    fn pick_account(&mut self) -> usize {
         let total: u32 = self.weights.iter().sum();
-        let mut drawn = self.rng.random_range(0..total.max(1));
+        let mut draw = self.rng.random_range(0..total.max(1));
         for (position, weight) in self.weights.iter().enumerate() {
-            if drawn < *weight {
+            if draw < *weight {
                 return position;
             }
-            drawn -= weight;
+            draw -= weight;
         }
         0
     }
 
-    fn call(&mut self) -> Call {
-        let drawn = self.rng.random_range(0..THOUSAND);
-        if drawn < self.mix.chat_per_mille {
+    fn pick_call(&mut self) -> Call {
+        let draw = self.rng.random_range(0..PER_MILLE);
+        if draw < self.mix.chat_per_mille {
             self.chat()
-        } else if drawn < self.mix.chat_per_mille + self.mix.read_per_mille {
-            let number = self.rng.random_range(0..READ_NUMBERS);
+        } else if draw < self.mix.chat_per_mille + self.mix.read_per_mille {
+            let number = self.rng.random_range(0..READ_PATHS);
             let (service, path) = (&self.mix.service, self.mix.read_path);
             Call::Read {
                 path: format!("/s/{service}{path}{number}"),
@@ -107,7 +110,7 @@
     fn chat(&mut self) -> Call {
         let tokens = self.rng.random_range(self.mix.answer_tokens.clone());
         let words = self.rng.random_range(self.mix.prompt_words.clone());
-        // Each prompt is its own, so that each answer can be told apart.
+        // Prompts are unique, so that responses can be matched to requests.
         let mut prompt = format!("request {} of run {}:", self.number, self.seed);
         for _ in 0..words {
             let word = WORDS[self.rng.random_range(0..WORDS.len())];
@@ -128,10 +131,10 @@
 
     fn write(&mut self) -> Call {
         let (service, path) = (&self.mix.service, self.mix.write_path);
-        let drawn = self.rng.random_range(0..THOUSAND);
-        let resend = if drawn < self.mix.resend_per_mille {
+        let draw = self.rng.random_range(0..PER_MILLE);
+        let resend = if draw < self.mix.resend_per_mille {
             Resend::AfterAnswer
-        } else if drawn < self.mix.resend_per_mille + self.mix.race_per_mille {
+        } else if draw < self.mix.resend_per_mille + self.mix.race_per_mille {
             Resend::Concurrent
         } else {
             Resend::Never
@@ -150,15 +153,15 @@
     type Item = PlannedRequest;
 
     fn next(&mut self) -> Option<PlannedRequest> {
-        // Gaps of a Poisson process: many callers who know nothing of each
-        // other.
+        // Exponential inter-arrival times: a Poisson process, as produced by many
+        // independent callers.
         let uniform: f64 = self.rng.random();
         let gap = -(1.0 - uniform).ln() / self.rate;
-        self.at += Duration::from_secs_f64(gap);
+        self.next_send += Duration::from_secs_f64(gap);
         let planned = PlannedRequest {
-            send_after: self.at,
-            account: self.account(),
-            call: self.call(),
+            send_after: self.next_send,
+            account: self.pick_account(),
+            call: self.pick_call(),
         };
         self.number += 1;
         Some(planned)
--- a/crates/lovageramp/src/bench/plot.rs
+++ b/crates/lovageramp/src/bench/plot.rs
@@ -1,4 +1,4 @@
-//! Time to first token over the run, as SVG.
+//! SVG plot of the time to first token over the run.
 
 use std::path::Path;
 
@@ -7,37 +7,41 @@
 
 use super::report::Report;
 
-const SIZE: (u32, u32) = (900, 360);
+/// Width and height of a chart in pixels.
+const CHART_SIZE: (u32, u32) = (900, 360);
 const MARGIN: i32 = 12;
-const LABELS: i32 = 48;
+const LABEL_AREA: i32 = 48;
 
-/// Room above the highest point.
+/// Factor between the highest point and the top of the axis.
 const HEADROOM: f64 = 1.1;
 
-/// Quantiles that are drawn, with their name and colour.
-const LINES: [(f64, &str, RGBColor); 2] = [(0.5, "p50", BLUE), (0.95, "p95", RED)];
+/// Quantiles plotted, with name and colour.
+const QUANTILES: [(f64, &str, RGBColor); 2] = [(0.5, "p50", BLUE), (0.95, "p95", RED)];
 
-/// Draws a chart for each mix, one below the other.
+/// Draws one chart per mix, stacked vertically.
 pub(super) fn draw(path: &Path, reports: &[Report]) -> eyre::Result<()> {
     let charts = u32::try_from(reports.len())?;
-    let root = SVGBackend::new(path, (SIZE.0, SIZE.1 * charts.max(1))).into_drawing_area();
-    let failed = |what: &str| eyre!("can't draw {}: {what}", path.display());
-    root.fill(&WHITE).map_err(|err| failed(&err.to_string()))?;
+    let root =
+        SVGBackend::new(path, (CHART_SIZE.0, CHART_SIZE.1 * charts.max(1))).into_drawing_area();
+    let error = |what: &str| eyre!("cannot draw {}: {what}", path.display());
+    root.fill(&WHITE).map_err(|err| error(&err.to_string()))?;
     for (area, report) in root
         .split_evenly((reports.len().max(1), 1))
         .iter()
         .zip(reports)
     {
-        chart(area, report).map_err(|err| failed(&err.to_string()))?;
+        draw_chart(area, report).map_err(|err| error(&err.to_string()))?;
     }
-    root.present().map_err(|err| failed(&err.to_string()))
+    root.present().map_err(|err| error(&err.to_string()))
 }
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, plotters::coord::Shift>;
 
-fn chart(area: &Area<'_>, report: &Report) -> Result<(), Box<dyn std::error::Error>> {
-    let seconds = &report.tally.seconds;
-    let highest = seconds.values().map(|times| times.at(0.95));
+fn draw_chart(area: &Area<'_>, report: &Report) -> Result<(), Box<dyn std::error::Error>> {
+    let seconds = &report.tally.first_token_by_second;
+    let highest = seconds
+        .values()
+        .map(|histogram| histogram.quantile_ms(0.95));
     let highest = highest.fold(1.0, f64::max) * HEADROOM;
     let title = format!(
         "{}: time to first token, {}/s, seed {}",
@@ -46,17 +50,17 @@
     let mut chart = ChartBuilder::on(area)
         .caption(title, ("sans-serif", 16))
         .margin(MARGIN)
-        .x_label_area_size(LABELS)
-        .y_label_area_size(LABELS)
+        .x_label_area_size(LABEL_AREA)
+        .y_label_area_size(LABEL_AREA)
         .build_cartesian_2d(0..report.seconds.max(1), 0.0..highest)?;
     chart
         .configure_mesh()
         .x_desc("seconds")
         .y_desc("ms")
         .draw()?;
-    for (quantile, name, colour) in LINES {
+    for (quantile, name, colour) in QUANTILES {
         let points = seconds.iter();
-        let points = points.map(|(second, times)| (*second, times.at(quantile)));
+        let points = points.map(|(second, histogram)| (*second, histogram.quantile_ms(quantile)));
         chart
             .draw_series(LineSeries::new(points, colour))?
             .label(name)
--- a/crates/lovageramp/src/bench/progress.rs
+++ b/crates/lovageramp/src/bench/progress.rs
@@ -1,26 +1,31 @@
-//! A line each second while the load runs.
+//! Progress line printed while the load runs.
 
 use std::io::{IsTerminal, Write};
 use std::time::Duration;
 
-use super::outcome::{Ending, Kind};
+use super::outcome::{OutcomeStatus, RequestKind};
 use super::tally::Tally;
 
-/// Prints to standard error how far the load has come.
-pub(super) fn show(mix: &str, elapsed: Duration, tally: &Tally) {
-    let first = tally.kinds.get(&Kind::Chat);
-    let (p50, p95) = first.map_or((0.0, 0.0), |chat| (chat.first.at(0.5), chat.first.at(0.95)));
+/// Prints the progress to standard error.
+pub(super) fn print(mix: &str, elapsed: Duration, tally: &Tally) {
+    let chat = tally.kinds.get(&RequestKind::Chat);
+    let (p50, p95) = chat.map_or((0.0, 0.0), |chat| {
+        (
+            chat.latency.quantile_ms(0.5),
+            chat.latency.quantile_ms(0.95),
+        )
+    });
     let line = format!(
         "{mix} {} s: {} ended, {} refused, {} broken, {} failed; \
          first token p50 {p50:.1} ms, p95 {p95:.1} ms",
         elapsed.as_secs(),
         tally.ended(),
-        tally.count(Ending::Refused),
-        tally.count(Ending::Broken),
-        tally.count(Ending::Failed),
+        tally.count(OutcomeStatus::Refused),
+        tally.count(OutcomeStatus::Broken),
+        tally.count(OutcomeStatus::Failed),
     );
     let mut err = std::io::stderr().lock();
-    // On a terminal one line is written over and over.
+    // On a terminal the line is overwritten in place.
     let (begin, end) = if err.is_terminal() {
         ("\r\x1b[K", "")
     } else {
@@ -30,8 +35,8 @@
     let _ = err.flush();
 }
 
-/// Ends the line.
-pub(super) fn end() {
+/// Ends the progress line on a terminal.
+pub(super) fn finish() {
     if std::io::stderr().is_terminal() {
         eprintln!();
     }
--- a/crates/lovageramp/src/bench/report.rs
+++ b/crates/lovageramp/src/bench/report.rs
@@ -1,15 +1,15 @@
-//! The figures of a run.
+//! Reports of the results.
 
 use std::fmt::Write;
 
 use serde_json::{Value, json};
 
-use super::histogram::Times;
-use super::outcome::{Ending, Kind};
+use super::histogram::DurationHistogram;
+use super::outcome::{OutcomeStatus, RequestKind};
 use super::tally::{KindTally, Tally};
 use super::verdict::Verdict;
 
-/// The figures of one mix.
+/// Results of one mix.
 pub(super) struct Report {
     pub(super) mix: &'static str,
     pub(super) rate: f64,
@@ -20,38 +20,38 @@
     pub(super) verdict: Verdict,
 }
 
-const ENDINGS: [(Ending, &str); 5] = [
-    (Ending::Done, "done"),
-    (Ending::Refused, "refused"),
-    (Ending::Unknown, "unknown"),
-    (Ending::Broken, "broken"),
-    (Ending::Failed, "failed"),
+const STATUSES: [(OutcomeStatus, &str); 5] = [
+    (OutcomeStatus::Done, "done"),
+    (OutcomeStatus::Refused, "refused"),
+    (OutcomeStatus::Unknown, "unknown"),
+    (OutcomeStatus::Broken, "broken"),
+    (OutcomeStatus::Failed, "failed"),
 ];
 
-const KINDS: [(Kind, &str); 4] = [
-    (Kind::Chat, "model requests"),
-    (Kind::Read, "reads"),
-    (Kind::Write, "non-repeatable"),
-    (Kind::Raced, "non-repeatable, two at once"),
+const KINDS: [(RequestKind, &str); 4] = [
+    (RequestKind::Chat, "model requests"),
+    (RequestKind::Read, "reads"),
+    (RequestKind::Write, "non-repeatable"),
+    (RequestKind::Raced, "non-repeatable, two at once"),
 ];
 
-/// All reports as one JSON document.
+/// Formats all reports as one JSON document.
 pub(super) fn json(reports: &[Report]) -> String {
-    let runs: Vec<Value> = reports.iter().map(document).collect();
+    let runs: Vec<Value> = reports.iter().map(report_json).collect();
     json!({"runs": runs}).to_string()
 }
 
-/// All reports as tables.
+/// Formats all reports as Markdown tables.
 pub(super) fn table(reports: &[Report]) -> String {
-    let tables: Vec<String> = reports.iter().map(text).collect();
+    let tables: Vec<String> = reports.iter().map(report_text).collect();
     tables.join("\n\n")
 }
 
-fn document(report: &Report) -> Value {
+fn report_json(report: &Report) -> Value {
     let mut kinds = json!({});
     for (kind, name) in KINDS {
         if let Some(tally) = report.tally.kinds.get(&kind) {
-            kinds[name] = kind_document(kind, tally);
+            kinds[name] = kind_json(kind, tally);
         }
     }
     json!({
@@ -64,29 +64,29 @@
         "lost": report.verdict.lost,
         "doubled": report.verdict.doubled,
         "ran_though_refused": report.verdict.ran_though_refused,
-        "foreign_events": report.verdict.foreign,
-        "differing_answers": report.verdict.differing,
+        "foreign_events": report.verdict.foreign_events,
+        "differing_answers": report.verdict.differing_responses,
         "details": report.tally.details,
     })
 }
 
-fn kind_document(kind: Kind, tally: &KindTally) -> Value {
+fn kind_json(kind: RequestKind, tally: &KindTally) -> Value {
     let mut document = json!({"sent": tally.sent});
-    for (ending, name) in ENDINGS {
-        document[name] = tally.ended(ending).into();
+    for (status, name) in STATUSES {
+        document[name] = tally.count(status).into();
     }
-    let first = match kind {
-        Kind::Chat => "first_token",
-        Kind::Read | Kind::Write | Kind::Raced => "answer",
+    let latency = match kind {
+        RequestKind::Chat => "first_token",
+        RequestKind::Read | RequestKind::Write | RequestKind::Raced => "answer",
     };
-    document[first] = tally.first.to_json();
-    if !tally.gaps.is_empty() {
-        document["between_tokens"] = tally.gaps.to_json();
+    document[latency] = tally.latency.to_json();
+    if !tally.token_gaps.is_empty() {
+        document["between_tokens"] = tally.token_gaps.to_json();
     }
     document
 }
 
-fn text(report: &Report) -> String {
+fn report_text(report: &Report) -> String {
     let mut text = format!(
         "{}: {} requests in {} s ({}/s, seed {})\n\n",
         report.mix, report.sent, report.seconds, report.rate, report.seed
@@ -96,30 +96,30 @@
     for (kind, name) in KINDS {
         if let Some(tally) = report.tally.kinds.get(&kind) {
             let _ = write!(text, "| {name} | {} |", tally.sent);
-            for (ending, _) in ENDINGS {
-                let _ = write!(text, " {} |", tally.ended(ending));
+            for (status, _) in STATUSES {
+                let _ = write!(text, " {} |", tally.count(status));
             }
             text.push('\n');
         }
     }
     text.push_str("\n| ms | p50 | p95 | p99 | max |\n|---|---|---|---|---|\n");
-    if let Some(chat) = report.tally.kinds.get(&Kind::Chat) {
-        row(&mut text, "time to first token", &chat.first);
-        row(&mut text, "time between tokens", &chat.gaps);
+    if let Some(chat) = report.tally.kinds.get(&RequestKind::Chat) {
+        write_row(&mut text, "time to first token", &chat.latency);
+        write_row(&mut text, "time between tokens", &chat.token_gaps);
     }
     for (kind, name) in &KINDS[1..] {
         if let Some(tally) = report.tally.kinds.get(kind) {
-            row(&mut text, &format!("{name}, answer"), &tally.first);
+            write_row(&mut text, &format!("{name}, answer"), &tally.latency);
         }
     }
     let _ = write!(
         text,
         "\nlost {}, doubled {}, ran though refused {}, foreign events {}, differing answers {}",
-        asked(report.verdict.lost),
-        asked(report.verdict.doubled),
-        asked(report.verdict.ran_though_refused),
-        report.verdict.foreign,
-        report.verdict.differing,
+        count_or_unchecked(report.verdict.lost),
+        count_or_unchecked(report.verdict.doubled),
+        count_or_unchecked(report.verdict.ran_though_refused),
+        report.verdict.foreign_events,
+        report.verdict.differing_responses,
     );
     for (detail, count) in &report.tally.details {
         let _ = write!(text, "\n{count} times: {detail}");
@@ -127,14 +127,15 @@
     text
 }
 
-fn row(text: &mut String, name: &str, times: &Times) {
-    let [p50, p95, p99, max] = [0.5, 0.95, 0.99, 1.0].map(|quantile| times.at(quantile));
+fn write_row(text: &mut String, name: &str, histogram: &DurationHistogram) {
+    let [p50, p95, p99, max] =
+        [0.5, 0.95, 0.99, 1.0].map(|quantile| histogram.quantile_ms(quantile));
     let _ = writeln!(
         text,
         "| {name} | {p50:.1} | {p95:.1} | {p99:.1} | {max:.1} |"
     );
 }
 
-fn asked(count: Option<u64>) -> String {
-    count.map_or_else(|| "not asked".to_owned(), |count| count.to_string())
+fn count_or_unchecked(count: Option<u64>) -> String {
+    count.map_or_else(|| "not checked".to_owned(), |count| count.to_string())
 }
--- a/crates/lovageramp/src/bench/seen.rs
+++ b/crates/lovageramp/src/bench/seen.rs
@@ -1,4 +1,4 @@
-//! What reached the fake services.
+//! Requests received by the fake services.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,22 +7,27 @@
 use hyper::Method;
 use serde_json::Value;
 
-use super::http::{Client, Sent};
+use super::http::{Client, SendResult};
 
-/// How often each idempotency key reached any of the fakes.
-pub(super) async fn ask(
+/// Returns how many requests the fake services received with each idempotency key.
+pub(super) async fn fetch_counts(
     client: &Client,
     fakes: &[SocketAddr],
 ) -> eyre::Result<BTreeMap<String, u64>> {
     let mut counts = BTreeMap::new();
     for fake in fakes {
-        let sent = client.whole(*fake, Method::GET, "/seen", &[], "".into());
-        let answer = match sent.await {
-            Sent::Answered(answer) if answer.status == 200 => answer,
-            Sent::Answered(answer) => bail!("{fake} answers /seen with {}", answer.status),
-            Sent::Nothing(why) | Sent::Lost(why) => bail!("can't ask {fake} what it saw: {why}"),
+        let sent = client.request(*fake, Method::GET, "/seen", &[], "".into());
+        let response = match sent.await {
+            SendResult::Response(response) if response.status == 200 => response,
+            SendResult::Response(response) => {
+                bail!("{fake} returned status {} for /seen", response.status)
+            }
+            SendResult::NotSent(reason) | SendResult::NoResponse(reason) => {
+                bail!("cannot read the request counts of {fake}: {reason}")
+            }
         };
-        let rows: Vec<Value> = serde_json::from_slice(&answer.body).wrap_err("/seen")?;
+        let rows: Vec<Value> =
+            serde_json::from_slice(&response.body).wrap_err("invalid response to /seen")?;
         for row in rows {
             let key = row["key"].as_str().unwrap_or_default();
             if !key.is_empty() {
--- a/crates/lovageramp/src/bench/sse_parser.rs
+++ b/crates/lovageramp/src/bench/sse_parser.rs
@@ -1,11 +1,11 @@
-//! Server-sent events out of a stream of bytes.
+//! Incremental parser for server-sent events.
 
 use bytes::BytesMut;
 
-/// Prefix of a line with data.
-const DATA: &[u8] = b"data:";
+/// Prefix of a data line.
+const DATA_PREFIX: &[u8] = b"data:";
 
-/// Cuts server-sent events out of bytes as they arrive.
+/// Extracts server-sent events from bytes as they arrive.
 ///
 /// ```
 /// let mut parser = lovageramp::bench::SseParser::default();
@@ -21,7 +21,7 @@
 }
 
 impl SseParser {
-    /// Takes in bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
@@ -30,12 +30,12 @@
 impl Iterator for SseParser {
     type Item = String;
 
-    /// The data of the next whole event.
+    /// Returns the data of the next complete event.
     fn next(&mut self) -> Option<String> {
         let end = self.buf.windows(2).position(|pair| pair == b"\n\n")?;
         let event = self.buf.split_to(end + 2).freeze();
         let lines = event.as_ref().split(|byte| *byte == b'\n');
-        let data = lines.filter_map(|line| line.strip_prefix(DATA));
+        let data = lines.filter_map(|line| line.strip_prefix(DATA_PREFIX));
         let data: Vec<String> = data
             .map(|line| String::from_utf8_lossy(line.trim_ascii()).into_owned())
             .collect();
