--- a/crates/lovageramp/benches/capacity.rs
+++ b/crates/lovageramp/benches/capacity.rs
@@ -1,9 +1,9 @@
-//! What following control costs the leader and a node, by the number of nodes: the
-//! slopes of docs/CAPACITY.md. Three real control processes; the nodes are followers in
-//! this process, with one relay before each control that counts bytes, and one before
-//! each that passes on the renewals of others. Prints a Markdown table.
+//! Measures the load on the leader and on a node that follows control, by the number of
+//! nodes: the slopes of docs/CAPACITY.md. There are three real control processes; the
+//! nodes are followers in this process. A relay in front of each control, and of each
+//! node that forwards the renewals of others, counts bytes. Prints a Markdown table.
 //!
-//! `cargo bench -p lovageramp --bench capacity`, or for some of the rows only
+//! `cargo bench -p lovageramp --bench capacity`, or for selected rows
 //! `cargo bench -p lovageramp --bench capacity -- relayed 400 1020`
 
 #![allow(
@@ -25,11 +25,11 @@
 use wire::proto::{Announcement, NodeInfo};
 use wire::{ClusterKey, Identity, LinkSettings, Role};
 
-const SIZES: [usize; 4] = [25, 100, 400, 1020];
-/// Of each ten nodes, this many are agents: 600 servers behind 420 nodes.
-const AGENTS_OF_TEN: usize = 6;
-const SPAN: Duration = Duration::from_secs(10);
-const RENEW: Duration = Duration::from_secs(1);
+const NODE_COUNTS: [usize; 4] = [25, 100, 400, 1020];
+/// Agents per ten nodes, as with 600 servers behind 420 nodes.
+const AGENTS_PER_TEN: usize = 6;
+const MEASUREMENT_DURATION: Duration = Duration::from_secs(10);
+const RENEW_INTERVAL: Duration = Duration::from_secs(1);
 const NOTES: u64 = 5;
 
 fn main() {
@@ -37,12 +37,12 @@
     runtime.block_on(measure());
 }
 
-/// How renewals get to the leader.
+/// How renewals reach the leader.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Path {
-    /// Straight, as in zones that are small.
-    Straight,
-    /// Through nodes that pass them on, in zones that are large.
+enum RenewalPath {
+    /// Directly, as in small zones.
+    Direct,
+    /// Through nodes that forward them, as in large zones.
     Relayed,
 }
 
@@ -51,27 +51,30 @@
         "| renewals | nodes | leader, % of a core | leader, MB, most so far | bytes/s a node over control's links | bytes/s of the busiest relay, most | renewals/s | messages/s they came in | accepted to in force at all, s: median of {NOTES} | worst |"
     );
     println!("|---|---|---|---|---|---|---|---|---|---|");
-    let asked: Vec<String> = std::env::args().skip(1).collect();
-    let asked = |row: &str| asked.iter().any(|asked| asked == row);
-    let sizes: Vec<usize> = SIZES
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let is_selected = |row: &str| arguments.iter().any(|argument| argument == row);
+    let sizes: Vec<usize> = NODE_COUNTS
         .into_iter()
-        .filter(|n| asked(&n.to_string()))
+        .filter(|n| is_selected(&n.to_string()))
         .collect();
     let sizes = if sizes.is_empty() {
-        SIZES.to_vec()
+        NODE_COUNTS.to_vec()
     } else {
         sizes
     };
-    let paths = [(Path::Straight, "straight"), (Path::Relayed, "relayed")];
-    let any = paths.iter().any(|(_, name)| asked(name));
+    let paths = [
+        (RenewalPath::Direct, "straight"),
+        (RenewalPath::Relayed, "relayed"),
+    ];
+    let any_selected = paths.iter().any(|(_, name)| is_selected(name));
     for (path, name) in paths {
-        if asked(name) || !any {
+        if is_selected(name) || !any_selected {
             measure_path(path, name, &sizes).await;
         }
     }
 }
 
-async fn measure_path(path: Path, name: &str, sizes: &[usize]) {
+async fn measure_path(path: RenewalPath, name: &str, sizes: &[usize]) {
     let cluster = Cluster::start(ClusterPlan {
         controls: 3,
         entries: 1,
@@ -85,37 +88,43 @@
     let mut number = 1;
     for &size in sizes {
         let relays = relays(&cluster).await;
-        let nodes = follow(path, size, &relays, &format!("size{size}")).await;
+        let nodes = start_nodes(path, size, &relays, &format!("size{size}")).await;
         let followers: Vec<Follower> = nodes.iter().map(|node| node.follower.clone()).collect();
-        until_all(&followers, number).await;
-        // Long enough for links to control that are no longer used to be closed.
-        tokio::time::sleep(RENEW * 12).await;
-        let busy = |nodes: &[Node]| -> Vec<u64> { nodes.iter().map(Node::bytes).collect() };
-        let counted = renewals(&cluster, &leader).await;
+        wait_for_note(&followers, number).await;
+        // Links to control that are no longer used are closed within this time.
+        tokio::time::sleep(RENEW_INTERVAL * 12).await;
+        let bytes_by_node =
+            |nodes: &[Node]| -> Vec<u64> { nodes.iter().map(Node::bytes).collect() };
+        let renewals_before = renewals(&cluster, &leader).await;
         let before = (
             cluster.processes[&leader].cpu_seconds(),
             bytes(&relays),
-            busy(&nodes),
+            bytes_by_node(&nodes),
         );
-        tokio::time::sleep(SPAN).await;
-        let used =
-            (cluster.processes[&leader].cpu_seconds() - before.0) / SPAN.as_secs_f64() * 100.0;
-        let sent = (bytes(&relays) - before.1) as f64 / SPAN.as_secs_f64() / size as f64;
-        let passed = busy(&nodes).into_iter().zip(before.2);
-        let passed = passed.map(|(after, before)| after - before).max();
-        let passed = passed.unwrap_or(0) as f64 / SPAN.as_secs_f64();
+        tokio::time::sleep(MEASUREMENT_DURATION).await;
+        let used = (cluster.processes[&leader].cpu_seconds() - before.0)
+            / MEASUREMENT_DURATION.as_secs_f64()
+            * 100.0;
+        let sent =
+            (bytes(&relays) - before.1) as f64 / MEASUREMENT_DURATION.as_secs_f64() / size as f64;
+        let forwarded = bytes_by_node(&nodes).into_iter().zip(before.2);
+        let forwarded = forwarded.map(|(after, before)| after - before).max();
+        let forwarded = forwarded.unwrap_or(0) as f64 / MEASUREMENT_DURATION.as_secs_f64();
         let memory = cluster.processes[&leader].resident_bytes() as f64 / f64::from(1 << 20);
-        let now = renewals(&cluster, &leader).await;
-        let rate = |after: f64, before: f64| (after - before) / SPAN.as_secs_f64();
-        let (renewed, messages) = (rate(now.0, counted.0), rate(now.1, counted.1));
+        let renewals_after = renewals(&cluster, &leader).await;
+        let rate = |after: f64, before: f64| (after - before) / MEASUREMENT_DURATION.as_secs_f64();
+        let (renewed, messages) = (
+            rate(renewals_after.0, renewals_before.0),
+            rate(renewals_after.1, renewals_before.1),
+        );
         let mut times = Vec::new();
         for _ in 0..NOTES {
             number += 1;
-            times.push(in_force(&cluster, &followers, number).await);
+            times.push(time_until_in_force(&cluster, &followers, number).await);
         }
         times.sort_by(f64::total_cmp);
         println!(
-            "| {name} | {size} | {used:.2} | {memory:.1} | {sent:.0} | {passed:.0} | {renewed:.0} | {messages:.0} | {:.2} | {:.2} |",
+            "| {name} | {size} | {used:.2} | {memory:.1} | {sent:.0} | {forwarded:.0} | {renewed:.0} | {messages:.0} | {:.2} | {:.2} |",
             times[times.len() / 2],
             times[times.len() - 1]
         );
@@ -124,7 +133,7 @@
     }
 }
 
-/// Renewals that the leader has answered, and the messages that they came in.
+/// Number of renewals that the leader has answered, and of the messages with them.
 async fn renewals(cluster: &Cluster, leader: &str) -> (f64, f64) {
     let text = get(cluster.http(leader), "/metrics", &[])
         .await
@@ -153,7 +162,7 @@
     relays
 }
 
-/// A node, and where others reach it.
+/// A node with its relay, through which other nodes reach it.
 struct Node {
     follower: Follower,
     relay: Option<Relay>,
@@ -161,13 +170,13 @@
 }
 
 impl Node {
-    /// Bytes that others have exchanged with it.
+    /// Bytes exchanged with other nodes that connect to it.
     fn bytes(&self) -> u64 {
         self.relay.as_ref().map_or(0, Relay::bytes)
     }
 }
 
-async fn follow(path: Path, size: usize, relays: &[Relay], prefix: &str) -> Vec<Node> {
+async fn start_nodes(path: RenewalPath, size: usize, relays: &[Relay], prefix: &str) -> Vec<Node> {
     let controls: Vec<SocketAddr> = relays.iter().map(|relay| relay.address).collect();
     let mut nodes = Vec::new();
     for number in 0..size {
@@ -177,20 +186,25 @@
     nodes
 }
 
-async fn start_node(path: Path, number: usize, name: String, controls: Vec<SocketAddr>) -> Node {
-    let agent = number % 10 < AGENTS_OF_TEN;
-    let role = if agent { Role::Agent } else { Role::Entry };
+async fn start_node(
+    path: RenewalPath,
+    number: usize,
+    name: String,
+    controls: Vec<SocketAddr>,
+) -> Node {
+    let is_agent = number % 10 < AGENTS_PER_TEN;
+    let role = if is_agent { Role::Agent } else { Role::Entry };
     let me = Identity::new(role, name.clone(), number as u64 + 1);
-    let accepts = agent && path == Path::Relayed;
+    let accepts_renewals = is_agent && path == RenewalPath::Relayed;
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let relay = if accepts {
+    let relay = if accepts_renewals {
         let relay = Relay::start().await.unwrap();
         relay.set_target(listener.local_addr().unwrap());
         Some(relay)
     } else {
         None
     };
-    let target = agent.then(|| Announcement {
+    let target = is_agent.then(|| Announcement {
         target: name.clone(),
         group: "blank-advisor".to_owned(),
         ranks: (0..8).collect(),
@@ -211,14 +225,14 @@
     };
     let cfg = FollowerSettings {
         controls,
-        renew: RENEW,
+        renew: RENEW_INTERVAL,
         key: key(),
         link: LinkSettings::default(),
     };
     let follower = Follower::spawn(me.clone(), info, cfg);
     let stop = CancellationToken::new();
-    if accepts {
-        let accepting = accept(listener, me, follower.clone(), stop.clone());
+    if accepts_renewals {
+        let accepting = accept_renewals(listener, me, follower.clone(), stop.clone());
         tokio::spawn(stop.clone().run_until_cancelled_owned(accepting));
     }
     Node {
@@ -228,8 +242,13 @@
     }
 }
 
-/// Passes on the renewals of other nodes, as an agent does.
-async fn accept(listener: TcpListener, me: Identity, follower: Follower, stop: CancellationToken) {
+/// Forwards the renewals of other nodes, as an agent does.
+async fn accept_renewals(
+    listener: TcpListener,
+    me: Identity,
+    follower: Follower,
+    stop: CancellationToken,
+) {
     while let Ok((stream, _)) = listener.accept().await {
         let (me, follower) = (me.clone(), follower.clone());
         let serving = async move {
@@ -249,7 +268,7 @@
     ClusterKey::from_bytes(b"key of the test cluster").unwrap()
 }
 
-async fn until_all(followers: &[Follower], number: u64) {
+async fn wait_for_note(followers: &[Follower], number: u64) {
     until("all followers have the note", || async {
         let all = followers
             .iter()
@@ -259,14 +278,14 @@
     .await;
 }
 
-async fn in_force(cluster: &Cluster, followers: &[Follower], number: u64) -> f64 {
+async fn time_until_in_force(cluster: &Cluster, followers: &[Follower], number: u64) -> f64 {
     let note = json!({"number": number, "added": [account_item(&format!("account-{number}"))]});
     let answer = cluster
         .operator("entry-1", "POST", "/v1/operator/notes", &note)
         .await;
     assert!(answer.status < 300, "{}", answer.text());
     let accepted = Instant::now();
-    until_all(followers, number).await;
+    wait_for_note(followers, number).await;
     accepted.elapsed().as_secs_f64()
 }
 
--- a/crates/lovageramp/benches/durable.rs
+++ b/crates/lovageramp/benches/durable.rs
@@ -1,5 +1,6 @@
-//! What the durable state costs between real processes: the time without a leader after
-//! a kill, claims, bytes of their records, and how soon a note is in force everywhere.
+//! Measures the durable state with real processes: the time without a leader after a
+//! kill, the rate of claims, the size of their records, and the time until a note is in
+//! force everywhere.
 //!
 //! `cargo bench -p lovageramp --bench durable`
 
@@ -24,23 +25,23 @@
 use wire::{ClusterKey, Identity, Link, LinkSettings, Role};
 
 const KILLS: usize = 11;
-/// Election timeout of the controls, which is the default.
-const ELECTION: Duration = Duration::from_secs(1);
-const SPAN: Duration = Duration::from_secs(4);
+/// Election timeout of the controls, the default.
+const ELECTION_TIMEOUT: Duration = Duration::from_secs(1);
+const LOAD_DURATION: Duration = Duration::from_secs(4);
 const LINKS: usize = 8;
-/// Bytes of an answer that the ledger keeps.
-const ANSWER_BYTES: usize = 200;
+/// Size of the response body stored in the ledger.
+const RESPONSE_BYTES: usize = 200;
 const NOTES: u64 = 20;
 
 fn main() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
-        without_leader().await;
-        claims().await;
+        measure_time_without_leader().await;
+        measure_claims().await;
         println!("\n| entries | agents | accepted to in force, ms: least | median | most |");
         println!("|---|---|---|---|---|");
         for (engines, services) in [(0, 1), (4, 1), (8, 2), (16, 3)] {
-            in_force(engines, services).await;
+            measure_time_to_in_force(engines, services).await;
         }
     });
 }
@@ -54,7 +55,7 @@
     }
 }
 
-fn spread(mut values: Vec<f64>) -> (f64, f64, f64) {
+fn min_median_max(mut values: Vec<f64>) -> (f64, f64, f64) {
     values.sort_by(f64::total_cmp);
     (
         values[0],
@@ -67,10 +68,10 @@
     json!({"number": number, "added": [account_item(&format!("account-{number}"))]})
 }
 
-/// The leader's process is killed; until another control accepts a note.
-async fn without_leader() {
+/// Measures the time from the kill of the leader until another control accepts a note.
+async fn measure_time_without_leader() {
     let mut cluster = Cluster::start(controls_only()).await;
-    let mut spans = Vec::new();
+    let mut times = Vec::new();
     for number in 1..=KILLS as u64 {
         cluster.until_repaired().await;
         let leader = cluster.leader().await;
@@ -84,13 +85,13 @@
             (answer.status == 200).then_some(())
         })
         .await;
-        spans.push(begun.elapsed().as_secs_f64() / ELECTION.as_secs_f64());
-        let lost = leader.rsplit('-').next().unwrap().parse().unwrap();
-        cluster.start_control(lost).await;
+        times.push(begun.elapsed().as_secs_f64() / ELECTION_TIMEOUT.as_secs_f64());
+        let number = leader.rsplit('-').next().unwrap().parse().unwrap();
+        cluster.start_control(number).await;
     }
-    let (least, median, most) = spread(spans);
+    let (least, median, most) = min_median_max(times);
     println!("Without a leader after kill -9 of its process, until a note is accepted, in");
-    println!("election timeouts of {ELECTION:?}, {KILLS} kills:");
+    println!("election timeouts of {ELECTION_TIMEOUT:?}, {KILLS} kills:");
     println!("least {least:.2}, median {median:.2}, most {most:.2}");
 }
 
@@ -104,7 +105,7 @@
     link
 }
 
-async fn claims() {
+async fn measure_claims() {
     println!("\n| callers at once | claims/s, each finished after | bytes for each record |");
     println!("|---|---|---|");
     for callers in [1, 64, 512] {
@@ -114,15 +115,15 @@
         for _ in 0..LINKS {
             links.push(dial(&cluster, &leader).await);
         }
-        let done = Arc::new(AtomicU64::new(0));
+        let finished = Arc::new(AtomicU64::new(0));
         let begun = Instant::now();
         let mut tasks = JoinSet::new();
         for caller in 0..callers {
-            let (link, done) = (links[caller % LINKS].clone(), Arc::clone(&done));
-            tasks.spawn(claim_until_over(link, done, caller, begun));
+            let (link, finished) = (links[caller % LINKS].clone(), Arc::clone(&finished));
+            tasks.spawn(claim_in_loop(link, finished, caller, begun));
         }
         while tasks.join_next().await.is_some() {}
-        let rate = done.load(Ordering::Relaxed) as f64 / begun.elapsed().as_secs_f64();
+        let rate = finished.load(Ordering::Relaxed) as f64 / begun.elapsed().as_secs_f64();
         let status = cluster.status(&leader).await.unwrap();
         let ledger = &status["ledger"];
         let bytes = ledger["bytes"].as_f64().unwrap() / ledger["records"].as_f64().unwrap();
@@ -130,9 +131,9 @@
     }
 }
 
-async fn claim_until_over(link: Link, done: Arc<AtomicU64>, caller: usize, begun: Instant) {
+async fn claim_in_loop(link: Link, finished: Arc<AtomicU64>, caller: usize, begun: Instant) {
     for call in 0_u64.. {
-        if begun.elapsed() > SPAN {
+        if begun.elapsed() > LOAD_DURATION {
             return;
         }
         let account = "saegewerk-huber".to_owned();
@@ -151,12 +152,12 @@
             Some(outcome::Body::Claim(claimed)) => claimed.kind(),
             _ => continue,
         };
-        // Each stands for a call that ran; a full ledger would refuse it.
+        // Each claim counts as a call that ran; a full ledger would refuse it.
         assert_eq!(claimed, Kind::Claimed);
         let answer = finish::Result::Answer(Answer {
             status: 200,
             headers: Vec::new(),
-            body: vec![7; ANSWER_BYTES].into(),
+            body: vec![7; RESPONSE_BYTES].into(),
         });
         let finish = command::Body::Finish(Finish {
             account,
@@ -164,10 +165,10 @@
             attempt,
             result: Some(answer),
         });
-        if let Some(outcome::Body::Finish(finished)) = propose(&link, finish).await
-            && finished.stored
+        if let Some(outcome::Body::Finish(outcome)) = propose(&link, finish).await
+            && outcome.stored
         {
-            done.fetch_add(1, Ordering::Relaxed);
+            finished.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
@@ -177,14 +178,18 @@
         now_ms: 0,
         body: Some(body),
     });
-    match link.call(Body::Propose(Propose { command }), SPAN).await {
+    match link
+        .call(Body::Propose(Propose { command }), LOAD_DURATION)
+        .await
+    {
         Ok(Body::Outcome(outcome)) => outcome.body,
         _ => None,
     }
 }
 
-/// From the answer "accepted" until the leader reports the note in force everywhere.
-async fn in_force(engines: usize, services: usize) {
+/// Measures the time from the acceptance of a note until the leader reports it in force
+/// everywhere.
+async fn measure_time_to_in_force(engines: usize, services: usize) {
     let cluster = Cluster::start(ClusterPlan {
         engines,
         services,
@@ -193,7 +198,7 @@
     .await;
     cluster.offer().await;
     let leader = cluster.leader().await;
-    let mut spans = Vec::new();
+    let mut times = Vec::new();
     for number in 2..2 + NOTES {
         let path = "/v1/operator/notes";
         let answer = cluster.operator(&leader, "POST", path, &note(number)).await;
@@ -206,9 +211,9 @@
                 break;
             }
         }
-        spans.push(begun.elapsed().as_secs_f64() * 1e3);
+        times.push(begun.elapsed().as_secs_f64() * 1e3);
     }
-    let (least, median, most) = spread(spans);
+    let (least, median, most) = min_median_max(times);
     let agents = engines + services;
     println!("| 4 | {agents} | {least:.1} | {median:.1} | {most:.1} |");
 }
--- a/crates/lovageramp/benches/path.rs
+++ b/crates/lovageramp/benches/path.rs
@@ -1,5 +1,5 @@
-//! What the path through entry and agent costs, against the stand-ins called directly,
-//! in the same run. Prints a Markdown table.
+//! Measures the overhead of the path through entry and agent, compared with direct calls
+//! to the fake targets in the same run. Prints a Markdown table.
 //!
 //! `cargo bench -p lovageramp --bench path`
 
@@ -24,14 +24,15 @@
 use support::{Cluster, ClusterPlan, account_item, bearer};
 use tokio::net::TcpStream;
 
-const WARM_UP: usize = 200;
-const REQUESTS: usize = 2_000;
+const WARM_UP_CALLS: usize = 200;
+const LATENCY_CALLS: usize = 2_000;
 const CONNECTIONS: usize = 64;
-const SPAN: Duration = Duration::from_secs(4);
+const LOAD_DURATION: Duration = Duration::from_secs(4);
 const STREAMS: usize = 100;
 const TOKENS: usize = 2_000;
-/// Fewer than an agent runs at once: those beyond would wait at the entry, without a stream.
-const HELD: usize = 240;
+/// Streams held open to measure memory. Below the concurrency limit of an agent, because
+/// further requests would wait at the entry without a stream.
+const OPEN_STREAMS: usize = 240;
 
 fn main() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
@@ -52,21 +53,20 @@
     cluster.offer().await;
     lift_limits(&cluster).await;
     let entry = cluster.http("entry-1");
-    // The stand-ins are called through the same relay as by their agents, so that its
-    // cost is on both sides; the relay between entry and agent counts as ours.
+    // The direct calls use the same relay as the agents, so that its overhead is on both
+    // sides. The relay between entry and agent counts as overhead of lovageramp.
     let service = cluster.relays["fake-desk-01"].address;
     let engine = cluster.relays["fake-advisor-01"].address;
     println!("| what | direct | through lovageramp | ratio |");
     println!("|---|---|---|---|");
-    latency(service, entry).await;
-    // Before the load, whose leavings the allocator would use again.
-    memory(&cluster).await;
-    rate(&cluster, service, entry).await;
-    frames(&cluster, engine, entry).await;
+    measure_latency(service, entry).await;
+    // Measured before the load, because the allocator would reuse memory freed by it.
+    measure_memory(&cluster).await;
+    measure_call_rate(&cluster, service, entry).await;
+    measure_frame_rate(&cluster, engine, entry).await;
 }
 
-/// Gives the bench's account a rate that it can't use up: else the account's limit would
-/// be measured.
+/// Raises the rate limits of the account, so that they do not limit the measurement.
 async fn lift_limits(cluster: &Cluster) {
     let mut account = account_item("huber");
     account["requests_per_s"] = json!(1_000_000);
@@ -92,7 +92,7 @@
         Caller { sender }
     }
 
-    /// Sends a request and reads its whole answer; its length.
+    /// Sends a request, reads the whole response and returns the length of its body.
     async fn call(&mut self, method: &str, path: &str, body: String) -> usize {
         let req = Request::builder()
             .method(method)
@@ -113,79 +113,84 @@
     }
 }
 
-async fn latency(direct: SocketAddr, through: SocketAddr) {
-    let mut near = Caller::connect(direct).await;
-    let mut far = Caller::connect(through).await;
+async fn measure_latency(direct: SocketAddr, through: SocketAddr) {
+    let mut direct = Caller::connect(direct).await;
+    let mut through = Caller::connect(through).await;
     let mut times = [
         Histogram::<u64>::new(3).unwrap(),
         Histogram::<u64>::new(3).unwrap(),
     ];
-    // In turns, so that both see the same machine.
-    for round in 0..WARM_UP + REQUESTS {
-        for (place, (caller, path)) in [(&mut near, "/stock"), (&mut far, "/s/order-desk/stock")]
-            .into_iter()
-            .enumerate()
+    // Alternates between both, so that they run under the same conditions.
+    for round in 0..WARM_UP_CALLS + LATENCY_CALLS {
+        for (index, (caller, path)) in [
+            (&mut direct, "/stock"),
+            (&mut through, "/s/order-desk/stock"),
+        ]
+        .into_iter()
+        .enumerate()
         {
             let began = Instant::now();
             caller.call("GET", path, String::new()).await;
-            if round >= WARM_UP {
-                times[place]
+            if round >= WARM_UP_CALLS {
+                times[index]
                     .record(began.elapsed().as_nanos() as u64)
                     .unwrap();
             }
         }
     }
     for quantile in [0.5, 0.99] {
-        let [near, far] = [0, 1].map(|n| times[n].value_at_quantile(quantile) as f64 / 1e6);
+        let [direct, through] = [0, 1].map(|n| times[n].value_at_quantile(quantile) as f64 / 1e6);
         println!(
-            "| p{} of one call after the other, ms | {near:.3} | {far:.3} | {:.3} ms added |",
+            "| p{} of one call after the other, ms | {direct:.3} | {through:.3} | {:.3} ms added |",
             quantile * 100.0,
-            far - near
+            through - direct
         );
     }
 }
 
-async fn rate(cluster: &Cluster, direct: SocketAddr, through: SocketAddr) {
-    let near = calls_per_second(direct, "/stock", Kept::Yes).await;
+async fn measure_call_rate(cluster: &Cluster, direct: SocketAddr, through: SocketAddr) {
+    let direct_rate = calls_per_second(direct, "/stock", KeepAlive::Yes).await;
     let names = ["entry-1", "desk-01"];
     let before = names.map(|name| cluster.processes[name].cpu_seconds());
-    let far = calls_per_second(through, "/s/order-desk/stock", Kept::Yes).await;
+    let through_rate = calls_per_second(through, "/s/order-desk/stock", KeepAlive::Yes).await;
     let after = names.map(|name| cluster.processes[name].cpu_seconds());
-    let fresh = calls_per_second(direct, "/stock", Kept::No).await;
+    let reconnecting_rate = calls_per_second(direct, "/stock", KeepAlive::No).await;
     println!(
-        "| calls/s over {CONNECTIONS} connections | {near:.0} | {far:.0} | {:.2} |",
-        far / near
+        "| calls/s over {CONNECTIONS} connections | {direct_rate:.0} | {through_rate:.0} | {:.2} |",
+        through_rate / direct_rate
     );
-    for (place, name) in ["entry", "agent"].into_iter().enumerate() {
-        let micros = (after[place] - before[place]) / (far * SPAN.as_secs_f64()) * 1e6;
+    for (index, name) in ["entry", "agent"].into_iter().enumerate() {
+        let micros =
+            (after[index] - before[index]) / (through_rate * LOAD_DURATION.as_secs_f64()) * 1e6;
         println!("| processor time of the {name} for each call, us | | {micros:.1} | |");
     }
     println!(
-        "| calls/s, a fresh connection for each call | {fresh:.0} | | {:.2} |",
-        fresh / near
+        "| calls/s, a fresh connection for each call | {reconnecting_rate:.0} | | {:.2} |",
+        reconnecting_rate / direct_rate
     );
 }
 
-/// Whether a caller keeps its connection between two calls.
+/// Whether a caller reuses its connection for the next call.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Kept {
+enum KeepAlive {
     Yes,
     No,
 }
 
-async fn calls_per_second(address: SocketAddr, path: &'static str, kept: Kept) -> f64 {
-    // Each connection takes a port for a minute after its end, and there are only so many.
-    let span = match kept {
-        Kept::Yes => SPAN,
-        Kept::No => SPAN / 4,
+async fn calls_per_second(address: SocketAddr, path: &'static str, keep_alive: KeepAlive) -> f64 {
+    // A closed connection occupies its port for a minute (TIME_WAIT), so a shorter run
+    // keeps the ports from running out.
+    let duration = match keep_alive {
+        KeepAlive::Yes => LOAD_DURATION,
+        KeepAlive::No => LOAD_DURATION / 4,
     };
-    let end = Instant::now() + span;
+    let deadline = Instant::now() + duration;
     let callers = (0..CONNECTIONS).map(|_| {
         tokio::spawn(async move {
             let mut caller = Caller::connect(address).await;
             let mut count = 0_u32;
-            while Instant::now() < end {
-                if kept == Kept::No {
+            while Instant::now() < deadline {
+                if keep_alive == KeepAlive::No {
                     caller = Caller::connect(address).await;
                 }
                 caller.call("GET", path, String::new()).await;
@@ -198,26 +203,26 @@
     for caller in callers.collect::<Vec<_>>() {
         total += caller.await.unwrap();
     }
-    total / span.as_secs_f64()
+    total / duration.as_secs_f64()
 }
 
-fn chat(tokens: usize, prompt: usize) -> String {
+fn chat_body(tokens: usize, prompt: usize) -> String {
     json!({"model": "burl-notes", "stream": true, "max_tokens": tokens,
            "messages": [{"role": "user", "content": format!("note {prompt}")}]})
     .to_string()
 }
 
-async fn frames(cluster: &Cluster, engine: SocketAddr, entry: SocketAddr) {
-    let near = frames_per_second(engine).await;
+async fn measure_frame_rate(cluster: &Cluster, engine: SocketAddr, entry: SocketAddr) {
+    let direct_rate = frames_per_second(engine).await;
     let before = cluster.processes["entry-1"].cpu_seconds();
     let agent_before = cluster.processes["advisor-01"].cpu_seconds();
-    let far = frames_per_second(entry).await;
+    let through_rate = frames_per_second(entry).await;
     let used = cluster.processes["entry-1"].cpu_seconds() - before;
     let agent_used = cluster.processes["advisor-01"].cpu_seconds() - agent_before;
     let count = (STREAMS * (TOKENS + 2)) as f64;
     println!(
-        "| stream frames/s, {STREAMS} streams | {near:.0} | {far:.0} | {:.2} |",
-        far / near
+        "| stream frames/s, {STREAMS} streams | {direct_rate:.0} | {through_rate:.0} | {:.2} |",
+        through_rate / direct_rate
     );
     println!(
         "| frames for each second of the entry's processor time | | {:.0} | |",
@@ -235,7 +240,7 @@
         tokio::spawn(async move {
             let mut caller = Caller::connect(address).await;
             caller
-                .call("POST", "/v1/chat/completions", chat(TOKENS, prompt))
+                .call("POST", "/v1/chat/completions", chat_body(TOKENS, prompt))
                 .await
         })
     });
@@ -245,24 +250,24 @@
     (STREAMS * (TOKENS + 2)) as f64 / began.elapsed().as_secs_f64()
 }
 
-async fn memory(cluster: &Cluster) {
+async fn measure_memory(cluster: &Cluster) {
     cluster.fault("advisor-01", "stall", "").await;
     let entry = cluster.http("entry-1");
     let before = ["entry-1", "advisor-01"].map(|name| cluster.processes[name].resident_bytes());
     let mut streams = Vec::new();
-    for prompt in 0..HELD {
+    for prompt in 0..OPEN_STREAMS {
         streams.push(tokio::spawn(async move {
             let mut caller = Caller::connect(entry).await;
             caller
-                .call("POST", "/v1/chat/completions", chat(8, prompt))
+                .call("POST", "/v1/chat/completions", chat_body(8, prompt))
                 .await
         }));
     }
     tokio::time::sleep(Duration::from_secs(3)).await;
     let after = ["entry-1", "advisor-01"].map(|name| cluster.processes[name].resident_bytes());
-    for (place, name) in ["entry", "agent"].into_iter().enumerate() {
-        let each = after[place].saturating_sub(before[place]) / HELD as u64;
-        println!("| bytes of the {name} for each open stream, {HELD} open | | {each} | |");
+    for (index, name) in ["entry", "agent"].into_iter().enumerate() {
+        let each = after[index].saturating_sub(before[index]) / OPEN_STREAMS as u64;
+        println!("| bytes of the {name} for each open stream, {OPEN_STREAMS} open | | {each} | |");
     }
     cluster.fault("advisor-01", "clear", "").await;
     for stream in streams {
--- a/crates/lovageramp/benches/users.rs
+++ b/crates/lovageramp/benches/users.rs
@@ -1,8 +1,8 @@
-//! Both users' mixes against a deployment of their size, each process its own: 3
-//! controls, 4 entries, 16 agents before engines and 3 before services. Each mix runs
-//! twice: undisturbed, and with an entry, an agent and the leader of the controls
-//! killed on the way. Prints the tables of `lovageramp bench` and fails when a call
-//! was lost, doubled or wrong.
+//! Runs the request mixes of both users against a deployment of their size, in separate
+//! processes: 3 controls, 4 entries, 16 agents for engines and 3 for services. Each mix
+//! runs twice: undisturbed, and with an entry, an agent and the leader of the controls
+//! killed during the load. Prints the tables of `lovageramp bench` and fails when a call
+//! was lost, ran twice or had a wrong response.
 //!
 //! `cargo bench -p lovageramp --bench users`; `LOAD_SECONDS` and `LOAD_RATE` change
 //! the load, `LOAD_PLOTS` names a folder for plots.
@@ -22,13 +22,13 @@
 const STEP_MS: u32 = 20;
 
 /// Accounts with four times the load of the others.
-const LARGE: [&str; 2] = ["huber", "maier"];
-const SMALL: [&str; 8] = [
+const LARGE_ACCOUNTS: [&str; 2] = ["huber", "maier"];
+const SMALL_ACCOUNTS: [&str; 8] = [
     "bauer", "lechner", "ritter", "seidl", "vogl", "wolf", "katalog", "presse",
 ];
 
-/// Time that a killed process stays away.
-const AWAY: Duration = Duration::from_secs(3);
+/// Time until a killed process is restarted.
+const DOWNTIME: Duration = Duration::from_secs(3);
 
 fn main() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
@@ -37,7 +37,7 @@
     }
 }
 
-fn number(variable: &str, default: u64) -> u64 {
+fn env_number(variable: &str, default: u64) -> u64 {
     let given = std::env::var(variable).ok();
     given.map_or(default, |text| text.parse().unwrap())
 }
@@ -52,20 +52,20 @@
     let mut cluster = Cluster::start(plan).await;
     cluster.offer().await;
     add_accounts(&cluster).await;
-    let mut right = true;
+    let mut all_passed = true;
     for (seed, mix) in [(1, "association"), (2, "hotline")] {
         println!("\n## {mix}, undisturbed\n");
-        right &= finish(play(&cluster, mix, seed, "undisturbed")).await;
+        all_passed &= wait_for_load(start_load(&cluster, mix, seed, "undisturbed")).await;
         println!("\n## {mix}, with an entry, an agent and the leader killed\n");
-        let load = play(&cluster, mix, seed + 10, "killed");
-        kill_three(&mut cluster).await;
-        right &= finish(load).await;
+        let load = start_load(&cluster, mix, seed + 10, "killed");
+        kill_and_restart(&mut cluster).await;
+        all_passed &= wait_for_load(load).await;
     }
-    right
+    all_passed
 }
 
 async fn add_accounts(cluster: &Cluster) {
-    let added: Vec<Value> = SMALL.into_iter().map(account_item).collect();
+    let added: Vec<Value> = SMALL_ACCOUNTS.into_iter().map(account_item).collect();
     let note = json!({"number": 2, "added": added});
     let note = &note;
     until("the accounts are in force everywhere", || async move {
@@ -80,20 +80,20 @@
 }
 
 /// Starts the load of one mix.
-fn play(cluster: &Cluster, mix: &str, seed: u64, case: &str) -> Child {
+fn start_load(cluster: &Cluster, mix: &str, seed: u64, case: &str) -> Child {
     let mut load = Command::new(CLIENT);
     load.args(["bench", "--mix", mix, "--model", "burl-notes"]);
     load.args(["--service", "order-desk", "--seed", &seed.to_string()]);
-    load.args(["--rate", &number("LOAD_RATE", 60).to_string()]);
-    load.args(["--seconds", &seconds().to_string()]);
+    load.args(["--rate", &env_number("LOAD_RATE", 60).to_string()]);
+    load.args(["--seconds", &load_seconds().to_string()]);
     for entry in 1..=cluster.plan.entries {
         let host = cluster.http(&format!("entry-{entry}"));
         load.args(["--host", &host.to_string()]);
     }
-    for account in LARGE {
+    for account in LARGE_ACCOUNTS {
         load.args(["--key", &format!("key-of-{account}*4")]);
     }
-    for account in SMALL {
+    for account in SMALL_ACCOUNTS {
         load.args(["--key", &format!("key-of-{account}")]);
     }
     for service in 1..=cluster.plan.services {
@@ -110,19 +110,19 @@
         .unwrap()
 }
 
-async fn finish(mut load: Child) -> bool {
+async fn wait_for_load(mut load: Child) -> bool {
     load.wait().await.unwrap().success()
 }
 
-fn seconds() -> u64 {
-    number("LOAD_SECONDS", 40)
+fn load_seconds() -> u64 {
+    env_number("LOAD_SECONDS", 40)
 }
 
-/// Kills an entry, an agent and the leader, a quarter of the load apart, and starts
-/// each of them again.
-async fn kill_three(cluster: &mut Cluster) {
-    let quarter = Duration::from_secs(seconds()) / 4;
-    let pause = quarter.saturating_sub(AWAY);
+/// Kills an entry, an agent and the leader at intervals of a quarter of the load, and
+/// restarts each of them.
+async fn kill_and_restart(cluster: &mut Cluster) {
+    let quarter = Duration::from_secs(load_seconds()) / 4;
+    let pause = quarter.saturating_sub(DOWNTIME);
     sleep(quarter).await;
     kill(cluster, "entry-2").await;
     cluster.start_entry(2).await;
@@ -139,7 +139,7 @@
 async fn kill(cluster: &mut Cluster, name: &str) {
     eprintln!("kill -9 {name}");
     cluster.processes.get_mut(name).unwrap().kill().await;
-    sleep(AWAY).await;
+    sleep(DOWNTIME).await;
     eprintln!("start {name}");
 }
 
