--- a/crates/lovageramp/src/bench/address_list.rs
+++ b/crates/lovageramp/src/bench/address_list.rs
@@ -10,7 +10,7 @@
 
 use super::http::{Client, SendResult};
 
-/// Shortest interval between two refreshes after failed connections.
+/// A failed connection triggers a refresh of the list, at most once per this interval.
 const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The list of entry addresses, refreshed when its time to live has passed.
--- a/crates/lovageramp/src/daemon/control.rs
+++ b/crates/lovageramp/src/daemon/control.rs
@@ -1,6 +1,6 @@
 //! The `lovageramp-control` daemon.
 
-use super::options::{Options, options, with_description};
+use super::options::{DaemonOptions, options, with_description};
 use super::ready_line::ReadyLine;
 use super::runner::{Daemon, bind, run};
 use super::signals::shutdown_signal;
@@ -23,7 +23,7 @@
 
 #[derive(Clone, Debug)]
 struct ControlOptions {
-    common: Options,
+    common: DaemonOptions,
     init: bool,
 }
 
--- a/crates/lovageramp/src/daemon/options.rs
+++ b/crates/lovageramp/src/daemon/options.rs
@@ -6,7 +6,7 @@
 
 /// Options shared by all daemons.
 #[derive(Clone, Debug)]
-pub(super) struct Options {
+pub(super) struct DaemonOptions {
     pub settings: PathBuf,
     pub check: bool,
     pub print_settings: bool,
@@ -16,7 +16,7 @@
 }
 
 /// Parser of the options shared by all daemons.
-pub(super) fn options() -> impl Parser<Options> {
+pub(super) fn options() -> impl Parser<DaemonOptions> {
     let settings = long("settings")
         .short('s')
         .help("JSON file with the settings; docs/SETTINGS.md lists the keys")
@@ -39,7 +39,7 @@
         .help("Export spans to this OTLP collector: http://127.0.0.1:4318/v1/traces")
         .argument::<String>("URL")
         .optional();
-    construct!(Options {
+    construct!(DaemonOptions {
         settings,
         check,
         print_settings,
--- a/crates/lovageramp/src/daemon/runner.rs
+++ b/crates/lovageramp/src/daemon/runner.rs
@@ -1,6 +1,6 @@
 //! Runs a daemon: reads its settings, starts it, and returns its exit code.
 
-use super::options::Options;
+use super::options::DaemonOptions;
 use eyre::WrapErr;
 use std::fs;
 use std::future::Future;
@@ -26,7 +26,7 @@
 }
 
 /// Reads the settings, then prints them, checks them or runs the daemon.
-pub(super) fn run<S, E, R, Fut>(options: &Options, daemon: Daemon<S, E, R>) -> ExitCode
+pub(super) fn run<S, E, R, Fut>(options: &DaemonOptions, daemon: Daemon<S, E, R>) -> ExitCode
 where
     E: FnOnce(&S) -> serde_json::Value,
     R: FnOnce(S) -> Fut,
@@ -64,7 +64,7 @@
 }
 
 fn run_daemon(
-    options: &Options,
+    options: &DaemonOptions,
     name: &str,
     future: impl Future<Output = eyre::Result<()>>,
 ) -> eyre::Result<()> {
--- a/crates/lovageramp/src/main.rs
+++ b/crates/lovageramp/src/main.rs
@@ -18,13 +18,13 @@
   lovageramp quarantine pardon 9f0c22 --host 10.0.0.1:8080
   lovageramp standalone --once
   lovageramp bench --host 10.0.0.1:8080 --key KEY --mix hotline --rate 50 --plot hotline.svg
-  Exit codes: 0 done, 1 refused or findings, 2 wrong usage, 3 no host answered.";
+  Exit codes: 0 done, 1 refused or findings, 2 usage error, 3 no host responded.";
 
 const BENCH_EXAMPLES: &str = "\
 Examples:
   lovageramp bench --host 10.0.0.1:8080 --key LARGE*4 --key SMALL --rate 100 --seconds 60
   lovageramp bench --host 127.0.0.1:8080 --key KEY --mix association --seen 127.0.0.1:9000 --json
-  Exit codes: 0 all calls came out right, 1 a call was lost, doubled or wrong, 2 wrong usage.";
+  Exit codes: 0 all guarantees held, 1 a call was lost, doubled or wrong, 2 usage error.";
 
 /// Width of the help text in columns.
 const HELP_WIDTH: usize = 100;
--- a/crates/lovageramp/src/standalone/smoke_test.rs
+++ b/crates/lovageramp/src/standalone/smoke_test.rs
@@ -31,15 +31,23 @@
     let run_count = deployment.service_call_count(IDEMPOTENCY_KEY, SERVICE_RESERVATIONS_PATH);
     println!("seen at the targets: the reservation ran {run_count} time(s)");
 
-    ensure!(chat.status == 200, "the model request got {}", chat.status);
+    ensure!(
+        chat.status == 200,
+        "the model request returned {}",
+        chat.status
+    );
     ensure!(
         chat.body.trim_end().ends_with(END_OF_STREAM),
         "the stream of the model request did not end in [DONE]"
     );
-    ensure!(first.status < 300, "the reservation got {}", first.status);
+    ensure!(
+        first.status < 300,
+        "the reservation returned {}",
+        first.status
+    );
     ensure!(
         first == repeated,
-        "the second answer differs from the first"
+        "the second response differs from the first"
     );
     ensure!(run_count == 1, "the reservation ran {run_count} times");
     Ok(())
