--- a/crates/lovageramp/src/bench/options.rs
+++ b/crates/lovageramp/src/bench/options.rs
@@ -10,7 +10,7 @@
 use super::mix::Mix;
 use crate::standalone::{DEMO_KEY, Deployment};
 
-/// Requests per second; more than one process can send.
+/// Highest rate in requests per second; more than one process can send.
 const MAX_RATE: f64 = 100_000.0;
 
 /// Options of `lovageramp bench`
--- a/crates/lovageramp/src/daemon/control.rs
+++ b/crates/lovageramp/src/daemon/control.rs
@@ -16,7 +16,7 @@
   lovageramp-control --settings control-1.json --init   (the first replica, once)
   lovageramp-control --settings control-1.json
 
-A replica with an empty data folder rejoins the cluster named in its settings; only
+A replica with an empty data folder rejoins the cluster of its settings; only
 --init creates a new cluster.
 
 Exit codes: 0 stopped by a signal, 1 findings in the settings or failure, 2 usage error.";
