--- a/crates/entry/tests/entry/calls.rs
+++ b/crates/entry/tests/entry/calls.rs
@@ -180,13 +180,13 @@
         tokio::spawn(async move { caller.reserve("lot-17", "{}").await })
     };
     eventually("the call runs", async || {
-        (service.count("lot-17", "/reservations") == 1).then_some(())
+        (service.request_count("lot-17", "/reservations") == 1).then_some(())
     })
     .await;
     call.abort();
     let again = caller.reserve("lot-17", "{}").await;
     assert_eq!(again.status, 200, "{}", again.text());
-    assert_eq!(service.count("lot-17", "/reservations"), 1);
+    assert_eq!(service.request_count("lot-17", "/reservations"), 1);
 }
 
 /// An entry and the agent's host crash together while a call runs. The new incarnation
--- a/crates/entry/tests/entry/subsets.rs
+++ b/crates/entry/tests/entry/subsets.rs
@@ -135,7 +135,7 @@
     caller.until_service_served().await;
     for (desk, relay) in &desks {
         if own.contains(desk.name.as_str()) {
-            relay.go_silent();
+            relay.black_hole();
         }
     }
     // Until the failure is detected, attempts may still be running.
--- a/crates/lovageramp/src/bench/mix.rs
+++ b/crates/lovageramp/src/bench/mix.rs
@@ -1,11 +1,11 @@
-//! What the users' callers ask for.
+//! Request mixes.
 
 use std::ops::RangeInclusive;
 use std::str::FromStr;
 
 use eyre::bail;
 
-/// What one user's callers ask for.
+/// Composition of the requests sent by the callers of one user.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Mix {
     /// Name of the mix.
@@ -14,28 +14,29 @@
     pub model: String,
     /// Plain service of the other calls.
     pub service: String,
-    /// Of a thousand requests, how many are streamed model requests.
-    pub chats: u32,
-    /// Of a thousand requests, how many are reads; the rest isn't repeatable.
-    pub reads: u32,
-    /// Tokens of an answer.
-    pub tokens: RangeInclusive<u32>,
-    /// Words of a prompt.
-    pub words: RangeInclusive<u32>,
-    /// Of a thousand non-repeatable calls, how many are sent again after
-    /// their answer, as if it had been lost.
-    pub resent: u32,
-    /// Of a thousand non-repeatable calls, how many are sent twice at once.
-    pub raced: u32,
-    /// Path of the reads, before a number.
+    /// Share of streamed model requests, per mille.
+    pub chat_per_mille: u32,
+    /// Share of reads, per mille; the rest are non-repeatable calls.
+    pub read_per_mille: u32,
+    /// Number of tokens in a response.
+    pub answer_tokens: RangeInclusive<u32>,
+    /// Number of words in a prompt.
+    pub prompt_words: RangeInclusive<u32>,
+    /// Share of the non-repeatable calls that are sent again after their
+    /// response, as if it had been lost, per mille.
+    pub resend_per_mille: u32,
+    /// Share of the non-repeatable calls that are sent twice concurrently, per
+    /// mille.
+    pub race_per_mille: u32,
+    /// Path prefix of the reads; a number is appended.
     pub read_path: &'static str,
     /// Path of the non-repeatable calls.
     pub write_path: &'static str,
 }
 
 impl Mix {
-    /// The association: advice with long answers, stock look-ups,
-    /// reservations.
+    /// The mix "association": model requests with long responses, stock look-ups
+    /// and reservations.
     ///
     /// ```
     /// assert_eq!(lovageramp::bench::Mix::association().model, "burl-notes");
@@ -46,18 +47,18 @@
             name: "association",
             model: "burl-notes".to_owned(),
             service: "order-desk".to_owned(),
-            chats: 500,
-            reads: 350,
-            tokens: 24..=96,
-            words: 40..=400,
-            resent: 150,
-            raced: 50,
+            chat_per_mille: 500,
+            read_per_mille: 350,
+            answer_tokens: 24..=96,
+            prompt_words: 40..=400,
+            resend_per_mille: 150,
+            race_per_mille: 50,
             read_path: "/lots/",
             write_path: "/reservations",
         }
     }
 
-    /// The hotline: short summaries that are needed at once, address look-ups,
+    /// The mix "hotline": latency-sensitive short summaries, address look-ups and
     /// crew dispatches.
     ///
     /// ```
@@ -69,12 +70,12 @@
             name: "hotline",
             model: "povzetki-klicev".to_owned(),
             service: "dezurna-aplikacija".to_owned(),
-            chats: 600,
-            reads: 250,
-            tokens: 16..=48,
-            words: 80..=250,
-            resent: 250,
-            raced: 100,
+            chat_per_mille: 600,
+            read_per_mille: 250,
+            answer_tokens: 16..=48,
+            prompt_words: 80..=250,
+            resend_per_mille: 250,
+            race_per_mille: 100,
             read_path: "/addresses/",
             write_path: "/dispatches",
         }
@@ -88,7 +89,7 @@
         match name {
             "association" => Ok(Mix::association()),
             "hotline" => Ok(Mix::hotline()),
-            _ => bail!("unknown mix {name:?}, known are association and hotline"),
+            _ => bail!("unknown mix {name:?}, expected association or hotline"),
         }
     }
 }
--- a/crates/lovageramp/src/daemon/options.rs
+++ b/crates/lovageramp/src/daemon/options.rs
@@ -1,12 +1,12 @@
-//! The options of a daemon.
+//! Command line options of a daemon.
 
 use bpaf::{OptionParser, Parser, construct, long};
 use std::path::PathBuf;
 use trace::LogFormat;
 
-/// Options that every daemon has.
+/// Options shared by all daemons.
 #[derive(Clone, Debug)]
-pub(super) struct Options {
+pub(super) struct DaemonOptions {
     pub settings: PathBuf,
     pub check: bool,
     pub print_settings: bool,
@@ -15,8 +15,8 @@
     pub otlp: Option<String>,
 }
 
-/// The parser of the options that every daemon has.
-pub(super) fn options() -> impl Parser<Options> {
+/// Parser of the options shared by all daemons.
+pub(super) fn options() -> impl Parser<DaemonOptions> {
     let settings = long("settings")
         .short('s')
         .help("JSON file with the settings; docs/SETTINGS.md lists the keys")
@@ -39,7 +39,7 @@
         .help("Export spans to this OTLP collector: http://127.0.0.1:4318/v1/traces")
         .argument::<String>("URL")
         .optional();
-    construct!(Options {
+    construct!(DaemonOptions {
         settings,
         check,
         print_settings,
@@ -49,15 +49,15 @@
     })
 }
 
-/// Puts a description and an example to a daemon's options.
-pub(super) fn described<T: 'static>(
+/// Adds a description and a footer with examples to the options of a daemon.
+pub(super) fn with_description<T: 'static>(
     parser: impl Parser<T> + 'static,
     about: &'static str,
-    example: &'static str,
+    footer: &'static str,
 ) -> OptionParser<T> {
     parser
         .to_options()
         .descr(about)
-        .footer(example)
+        .footer(footer)
         .version(env!("CARGO_PKG_VERSION"))
 }
