--- a/crates/lovageramp/tests/processes/at_most_once.rs
+++ b/crates/lovageramp/tests/processes/at_most_once.rs
@@ -1,5 +1,5 @@
-//! A call that may not be repeated runs at most once, and whoever resends it is told
-//! the truth.
+//! Non-repeatable calls run at most once, and a resent call gets the outcome of the
+//! first run.
 
 use crate::support::{Cluster, ClusterPlan, reserve, until};
 use std::time::Duration;
@@ -14,7 +14,7 @@
     }
 }
 
-/// The agent before which a call with this key runs.
+/// The agent whose target runs the call with this key.
 async fn runs_at(cluster: &Cluster, key: &str) -> String {
     cluster.until_runs(key).await;
     for agent in cluster.agents() {
@@ -22,17 +22,18 @@
             return agent;
         }
     }
-    unreachable!("it ran somewhere");
+    unreachable!("no agent reports that the call ran");
 }
 
-async fn stall(cluster: &Cluster, fault: &str) {
+/// Sets a fault at the targets of all agents.
+async fn set_fault(cluster: &Cluster, fault: &str) {
     for agent in cluster.agents() {
         cluster.fault(&agent, fault, "").await;
     }
 }
 
-/// A buyer's client sends one reservation to all entries at the same moment. It must
-/// run once, and all copies get the same answer.
+/// A caller sends one reservation to all entries concurrently. It must run once, and
+/// all copies get the same answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn reserve_same_key_at_all_entries() {
     let cluster = Cluster::start(plan(4)).await;
@@ -56,13 +57,13 @@
     }
 }
 
-/// An entry dies while a reservation runs. The buyer sends it again through another
-/// entry and must get the answer of the one run.
+/// An entry is killed while a reservation runs. The caller resends it through another
+/// entry and must get the answer of the first run.
 #[tokio::test(flavor = "multi_thread")]
 async fn reserve_entry_killed_while_running() {
     let mut cluster = Cluster::start(plan(2)).await;
     cluster.offer().await;
-    stall(&cluster, "stall").await;
+    set_fault(&cluster, "stall").await;
     let entry = cluster.http("entry-1");
     let lost = tokio::spawn(async move { reserve(entry, "huber", "lot-1", "burl").await });
     cluster.until_runs("lot-1").await;
@@ -71,15 +72,15 @@
     let entry = cluster.http("entry-2");
     let again = tokio::spawn(async move { reserve(entry, "huber", "lot-1", "burl").await });
     tokio::time::sleep(Duration::from_millis(300)).await;
-    stall(&cluster, "clear").await;
+    set_fault(&cluster, "clear").await;
     let again = again.await.unwrap().unwrap();
     assert_eq!(again.status, 200, "{}", again.text());
     assert_eq!(cluster.ran("lot-1").await, 1);
 }
 
-/// Entries die at all sorts of moments of a reservation: before the claim, after it,
-/// after the start, after the end, before the answer. Whatever the moment, it runs at
-/// most once, and resending it ends in its one answer.
+/// An entry is killed at different stages of a reservation: before or after the claim,
+/// after the start, after the end, before the answer. At every stage the reservation
+/// runs at most once, and resending it returns the same answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn reserve_entry_killed_at_any_moment() {
     let mut cluster = Cluster::start(plan(2)).await;
@@ -112,24 +113,25 @@
     }
 }
 
-/// The agent dies while a reservation runs at its service. Nobody can learn what came
-/// of it: the buyer must be told so, for good, and it must never run again.
+/// The agent is killed while a reservation runs at its service, so the outcome cannot be
+/// determined. The caller must get `unknown` as the final answer, and the reservation
+/// must never run again.
 #[tokio::test(flavor = "multi_thread")]
 async fn reserve_agent_killed_while_running() {
     let mut cluster = Cluster::start(plan(2)).await;
     cluster.offer().await;
-    stall(&cluster, "stall").await;
+    set_fault(&cluster, "stall").await;
     let entry = cluster.http("entry-1");
     let first = tokio::spawn(async move { reserve(entry, "huber", "lot-1", "burl").await });
     let agent = runs_at(&cluster, "lot-1").await;
     cluster.kill(&agent).await;
     cluster.start_agent(&agent).await;
-    stall(&cluster, "clear").await;
+    set_fault(&cluster, "clear").await;
     let first = first.await.unwrap().unwrap();
     assert_eq!(first.json()["ran"], "unknown", "{}", first.text());
     for entry in ["entry-1", "entry-2", "entry-1"] {
         let entry = cluster.http(entry);
-        until("told for good", || async {
+        until("the outcome is reported as final", || async {
             let again = reserve(entry, "huber", "lot-1", "burl").await.ok()?;
             assert_eq!(again.json()["ran"], "unknown", "{}", again.text());
             (again.header("retry-after").is_empty()).then_some(())
@@ -139,18 +141,18 @@
     assert_eq!(cluster.ran("lot-1").await, 1);
 }
 
-/// The service books the lot and its answer is lost. Running it again would sell the
-/// lot twice.
+/// The service completes the reservation and its answer is lost. Running it again would
+/// reserve the lot twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn reserve_answer_lost() {
     let cluster = Cluster::start(plan(2)).await;
     cluster.offer().await;
-    stall(&cluster, "lose-answer").await;
+    set_fault(&cluster, "lose-answer").await;
     let first = reserve(cluster.http("entry-1"), "huber", "lot-1", "burl")
         .await
         .unwrap();
     assert_eq!(first.json()["ran"], "unknown", "{}", first.text());
-    stall(&cluster, "clear").await;
+    set_fault(&cluster, "clear").await;
     for entry in ["entry-1", "entry-2"] {
         let again = reserve(cluster.http(entry), "huber", "lot-1", "burl")
             .await
@@ -160,19 +162,19 @@
     assert_eq!(cluster.ran("lot-1").await, 1);
 }
 
-/// The leading control dies while a reservation runs. The buyer gets the answer all the
-/// same, and resending it runs nothing.
+/// The leading control is killed while a reservation runs. The caller still gets the
+/// answer, and resending the reservation does not run it again.
 #[tokio::test(flavor = "multi_thread")]
 async fn reserve_leader_killed_while_running() {
     let mut cluster = Cluster::start(plan(2)).await;
     cluster.offer().await;
-    stall(&cluster, "stall").await;
+    set_fault(&cluster, "stall").await;
     let entry = cluster.http("entry-1");
     let first = tokio::spawn(async move { reserve(entry, "huber", "lot-1", "burl").await });
     cluster.until_runs("lot-1").await;
     let leader = cluster.leader().await;
     cluster.kill(&leader).await;
-    stall(&cluster, "clear").await;
+    set_fault(&cluster, "clear").await;
     let first = first.await.unwrap().unwrap();
     let again = until("the resent reservation has its answer", || async {
         let answer = reserve(cluster.http("entry-2"), "huber", "lot-1", "burl")
@@ -189,14 +191,15 @@
     assert_eq!(cluster.ran("lot-1").await, 1);
 }
 
-/// The connection between entry and agent goes silent while a reservation runs; new
-/// connections work. The buyer must get the answer of the one run.
+/// The connection between entry and agent stops delivering data in one or both directions
+/// while a reservation runs; new connections work. The caller must get the answer of the
+/// single run.
 #[tokio::test(flavor = "multi_thread")]
 async fn reserve_silent_connection() {
     for direction in 0..3 {
         let cluster = Cluster::start(plan(1)).await;
         cluster.offer().await;
-        stall(&cluster, "stall").await;
+        set_fault(&cluster, "stall").await;
         let entry = cluster.http("entry-1");
         let first = tokio::spawn(async move { reserve(entry, "huber", "lot-1", "burl").await });
         let agent = runs_at(&cluster, "lot-1").await;
@@ -207,7 +210,7 @@
         if direction != 1 {
             relay.swallow_back();
         }
-        stall(&cluster, "clear").await;
+        set_fault(&cluster, "clear").await;
         let first = first.await.unwrap().unwrap();
         assert_eq!(first.status, 200, "{}", first.text());
         assert_eq!(cluster.ran("lot-1").await, 1);
--- a/crates/lovageramp/tests/processes/claim_history.rs
+++ b/crates/lovageramp/tests/processes/claim_history.rs
@@ -1,5 +1,5 @@
-//! Histories of buyers who send few reservations through all entries at once while
-//! entries, agents, services and controls fail, checked for linearizability.
+//! Checks for linearizability the histories of concurrent callers that send the same few
+//! reservations through all entries while entries, agents, services and controls fail.
 
 use crate::support::{Answer, Cluster, ClusterPlan, bearer, request, until};
 use rand::rngs::StdRng;
@@ -17,77 +17,81 @@
 const SERVICES: usize = 3;
 const CALLERS: u64 = 6;
 const ROUNDS: usize = 14;
-/// Reservations that all buyers send in one round.
-const KEYS: usize = 5;
-/// For how long a buyer asks the system to try, and then waits for its answer.
+/// Reservations that all callers send in one round.
+const KEYS_PER_ROUND: usize = 5;
+/// Request timeout that a caller sets in the header.
 const TIMEOUT_MS: &str = "2500";
-const PATIENCE: Duration = Duration::from_secs(4);
+/// For how long a caller waits for its answer; longer than the request timeout.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What a buyer was told of a reservation.
+/// The outcome of a reservation as reported to a caller.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Told {
-    /// Its answer: how often the service had seen it then.
+enum Outcome {
+    /// Answered, with the number of times the service had received it by then.
     Answer(u64),
     /// It did not run.
     NotRun,
-    /// Nobody will ever learn whether it ran.
-    Lost,
-    /// Nothing yet, or no answer came: it may run at any time since, or never.
+    /// It cannot be determined whether it ran, and this is final.
+    Unknown,
+    /// No answer yet, or none arrived: it may run at any time after the call, or never.
     Open,
 }
 
-/// One reservation, as its buyers see it.
+/// Sequential specification of one reservation, as its callers observe it.
 struct Reservation;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Stand {
+enum ReservationState {
     Free,
-    /// Somebody's attempt may have run.
-    Taken,
+    /// An attempt may have run.
+    Claimed,
     Answered(u64),
 }
 
 impl Specification for Reservation {
-    type State = Stand;
-    type Operation = Told;
+    type State = ReservationState;
+    type Operation = Outcome;
 
-    fn init() -> Stand {
-        Stand::Free
+    fn init() -> ReservationState {
+        ReservationState::Free
     }
 
-    fn apply(told: &Told, stand: &Stand) -> (bool, Stand) {
-        match (*told, *stand) {
-            (Told::Answer(answer), Stand::Answered(first)) => (answer == first, *stand),
-            (Told::Answer(answer), _) => (true, Stand::Answered(answer)),
-            (Told::NotRun, _) => (*stand == Stand::Free, *stand),
-            // Once it has an answer, nobody may be told otherwise.
-            (Told::Lost, Stand::Answered(_)) => (false, *stand),
-            (Told::Open, Stand::Answered(_)) => (true, *stand),
-            (Told::Lost | Told::Open, _) => (true, Stand::Taken),
+    fn apply(outcome: &Outcome, state: &ReservationState) -> (bool, ReservationState) {
+        match (*outcome, *state) {
+            (Outcome::Answer(answer), ReservationState::Answered(first)) => {
+                (answer == first, *state)
+            }
+            (Outcome::Answer(answer), _) => (true, ReservationState::Answered(answer)),
+            (Outcome::NotRun, _) => (*state == ReservationState::Free, *state),
+            // Once it was answered, no caller may get another outcome.
+            (Outcome::Unknown, ReservationState::Answered(_)) => (false, *state),
+            (Outcome::Open, ReservationState::Answered(_)) => (true, *state),
+            (Outcome::Unknown | Outcome::Open, _) => (true, ReservationState::Claimed),
         }
     }
 }
 
 /// Calls and responses, each with the number of its operation.
-type Actions = Vec<(usize, Action<Told>)>;
+type Actions = Vec<(usize, Action<Outcome>)>;
 
-/// What all buyers and the troublemaker share.
+/// State shared by all callers and the fault injection.
 #[derive(Clone, Default)]
 struct Shared {
     entries: Arc<Mutex<Vec<SocketAddr>>>,
     round: Arc<AtomicUsize>,
     histories: Arc<Mutex<BTreeMap<String, Actions>>>,
     operations: Arc<AtomicUsize>,
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
 }
 
 impl Shared {
-    fn learn(&self, cluster: &Cluster) {
+    /// Reads the current addresses of the entries, which change at a restart.
+    fn update_entries(&self, cluster: &Cluster) {
         let entries = (1..=ENTRIES).map(|n| cluster.http(&format!("entry-{n}")));
         *self.entries.lock().unwrap() = entries.collect();
     }
 
-    fn push(&self, key: &str, id: usize, action: Action<Told>) {
+    fn push(&self, key: &str, id: usize, action: Action<Outcome>) {
         let mut histories = self.histories.lock().unwrap();
         histories
             .entry(key.to_owned())
@@ -95,37 +99,37 @@
             .push((id, action));
     }
 
-    fn respond(&self, key: &str, id: usize, told: Told) {
+    fn respond(&self, key: &str, id: usize, outcome: Outcome) {
         let mut histories = self.histories.lock().unwrap();
         let actions = histories.get_mut(key).unwrap();
-        actions.push((id, Action::Response(told)));
-        // The checker looks at the operation of the call.
+        actions.push((id, Action::Response(outcome)));
+        // The checker reads the operation from the call, not from the response.
         let call = actions.iter_mut().find(|(of, _)| *of == id).unwrap();
-        call.1 = Action::Call(told);
+        call.1 = Action::Call(outcome);
     }
 }
 
-fn told(answer: Option<Answer>) -> Told {
+fn outcome_of(answer: Option<Answer>) -> Outcome {
     let Some(answer) = answer.filter(|answer| !answer.broken) else {
-        return Told::Open;
+        return Outcome::Open;
     };
     if answer.status == 200 {
-        return Told::Answer(answer.json()["count"].as_u64().unwrap());
+        return Outcome::Answer(answer.json()["count"].as_u64().unwrap());
     }
     match answer.json()["ran"].as_str() {
-        Some("no") => Told::NotRun,
-        Some("unknown") if answer.status == 409 => Told::Lost,
+        Some("no") => Outcome::NotRun,
+        Some("unknown") if answer.status == 409 => Outcome::Unknown,
         other => {
             assert_eq!(other, Some("unknown"), "{}", answer.text());
-            Told::Open
+            Outcome::Open
         }
     }
 }
 
-/// Sends a reservation once and enters it into its history.
+/// Sends a reservation once and records the operation in its history.
 async fn send(shared: &Shared, entry: SocketAddr, key: &str) {
     let id = shared.operations.fetch_add(1, Ordering::Relaxed);
-    shared.push(key, id, Action::Call(Told::Open));
+    shared.push(key, id, Action::Call(Outcome::Open));
     let bearer = bearer("huber");
     let headers = [
         ("authorization", bearer.as_str()),
@@ -133,19 +137,24 @@
         ("x-request-timeout-ms", TIMEOUT_MS),
     ];
     let path = "/s/order-desk/reservations";
-    let sent = timeout(PATIENCE, request(entry, "POST", path, &headers, "burl")).await;
-    let told = told(sent.ok().and_then(Result::ok));
-    if told != Told::Open {
-        shared.respond(key, id, told);
+    let sent = timeout(
+        RESPONSE_TIMEOUT,
+        request(entry, "POST", path, &headers, "burl"),
+    )
+    .await;
+    let outcome = outcome_of(sent.ok().and_then(Result::ok));
+    if outcome != Outcome::Open {
+        shared.respond(key, id, outcome);
     }
 }
 
-/// Sends the round's reservations through any entry until the trouble is over.
-async fn buy(shared: Shared, seed: u64) {
+/// Sends the reservations of the current round through random entries until the test
+/// ends.
+async fn send_until_stopped(shared: Shared, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
-    while !shared.over.load(Ordering::Relaxed) {
+    while !shared.stopped.load(Ordering::Relaxed) {
         let round = shared.round.load(Ordering::Relaxed);
-        let key = format!("lot-{round}-{}", rng.random_range(0..KEYS));
+        let key = format!("lot-{round}-{}", rng.random_range(0..KEYS_PER_ROUND));
         let entry = {
             let entries = shared.entries.lock().unwrap();
             entries[rng.random_range(0..entries.len())]
@@ -155,21 +164,21 @@
     }
 }
 
-/// One fault and its end, while the buyers send a fresh set of reservations.
-async fn trouble(cluster: &mut Cluster, round: usize, rng: &mut StdRng) {
+/// Injects one fault and clears it, while the callers send the reservations of this round.
+async fn inject_fault(cluster: &mut Cluster, round: usize, rng: &mut StdRng) {
     let entry = rng.random_range(1..=ENTRIES);
     let entry_name = format!("entry-{entry}");
     let agent = format!("desk-{:02}", rng.random_range(1..=SERVICES));
-    let span = Duration::from_millis(rng.random_range(500..2500));
+    let duration = Duration::from_millis(rng.random_range(500..2500));
     match round % 7 {
         0 => {
             cluster.kill(&entry_name).await;
-            sleep(span).await;
+            sleep(duration).await;
             cluster.start_entry(entry).await;
         }
         1 => {
             cluster.fault(&agent, "stall", "").await;
-            sleep(span).await;
+            sleep(duration).await;
             cluster.kill(&agent).await;
             cluster.fault(&agent, "clear", "").await;
             cluster.start_agent(&agent).await;
@@ -177,22 +186,22 @@
         2 => {
             cluster.signal(&agent, "STOP").await;
             cluster.signal(&entry_name, "STOP").await;
-            sleep(span * 2).await;
+            sleep(duration * 2).await;
             cluster.signal(&agent, "CONT").await;
             cluster.signal(&entry_name, "CONT").await;
         }
         3 => {
             cluster.relays[&agent].cut();
             cluster.fault(&agent, "lose-answer", "").await;
-            sleep(span).await;
+            sleep(duration).await;
             cluster.relays[&agent].heal();
-            sleep(span).await;
+            sleep(duration).await;
             cluster.fault(&agent, "clear", "").await;
         }
         4 => {
             let leader = cluster.leader().await;
             cluster.kill(&leader).await;
-            sleep(span).await;
+            sleep(duration).await;
             let number = leader.rsplit('-').next().unwrap().parse().unwrap();
             cluster.start_control(number).await;
             cluster.until_repaired().await;
@@ -202,7 +211,7 @@
             for agent in &agents {
                 cluster.relays[agent].cut();
             }
-            sleep(span * 3).await;
+            sleep(duration * 3).await;
             for agent in &agents {
                 cluster.relays[agent].heal();
             }
@@ -215,26 +224,25 @@
                 cluster.relays[relay].cut();
             }
             cluster.relays[&agent].swallow_back();
-            sleep(span * 2).await;
+            sleep(duration * 2).await;
             for relay in &cut {
                 cluster.relays[relay].heal();
             }
         }
     }
-    sleep(span / 2).await;
+    sleep(duration / 2).await;
 }
 
-/// Ends the operations without an answer at the end of the history.
+/// Appends an open response for each operation without an answer.
 fn complete(actions: &Actions) -> Actions {
     let ended = |id: usize| actions.iter().filter(|(of, _)| *of == id).count() == 2;
     let open = actions.iter().filter(|(id, _)| !ended(*id));
-    let ends = open.map(|(id, _)| (*id, Action::Response(Told::Open)));
+    let ends = open.map(|(id, _)| (*id, Action::Response(Outcome::Open)));
     actions.iter().cloned().chain(ends).collect()
 }
 
-/// A reservation that runs twice, one that runs though a buyer was told "not run", two
-/// different answers, an answer after which a buyer is told that nobody knows: each
-/// would show here.
+/// Detects a reservation that runs twice, one that runs although a caller was told that
+/// it did not, two different answers, and an answer followed by an unknown outcome.
 #[tokio::test(flavor = "multi_thread")]
 async fn reservations_linearizable_under_faults() {
     let mut cluster = Cluster::start(ClusterPlan {
@@ -247,36 +255,39 @@
     .await;
     cluster.offer().await;
     let shared = Shared::default();
-    shared.learn(&cluster);
-    let mut buyers = JoinSet::new();
+    shared.update_entries(&cluster);
+    let mut callers = JoinSet::new();
     for seed in 0..CALLERS {
-        buyers.spawn(buy(shared.clone(), seed));
+        callers.spawn(send_until_stopped(shared.clone(), seed));
     }
     let mut rng = StdRng::seed_from_u64(4711);
     for round in 0..ROUNDS {
         shared.round.store(round, Ordering::Relaxed);
-        trouble(&mut cluster, round, &mut rng).await;
-        shared.learn(&cluster);
+        inject_fault(&mut cluster, round, &mut rng).await;
+        shared.update_entries(&cluster);
     }
-    shared.over.store(true, Ordering::Relaxed);
-    while let Some(ended) = buyers.join_next().await {
+    shared.stopped.store(true, Ordering::Relaxed);
+    while let Some(ended) = callers.join_next().await {
         ended.unwrap();
     }
-    send_all_again(&cluster, &shared).await;
+    resend_until_final(&cluster, &shared).await;
     check(&cluster, &shared).await;
 }
 
-/// At the end every reservation is sent until somebody knows what came of it.
-async fn send_all_again(cluster: &Cluster, shared: &Shared) {
+/// Resends every reservation until its outcome is final.
+async fn resend_until_final(cluster: &Cluster, shared: &Shared) {
     let keys: Vec<String> = shared.histories.lock().unwrap().keys().cloned().collect();
     let entry = cluster.http("entry-1");
     for key in &keys {
-        until("somebody knows", || async {
+        until("the outcome is final", || async {
             send(shared, entry, key).await;
             let histories = shared.histories.lock().unwrap();
             let (_, last) = histories[key].last().unwrap();
-            let is_known = matches!(last, Action::Response(Told::Answer(_) | Told::Lost));
-            is_known.then_some(())
+            let is_final = matches!(
+                last,
+                Action::Response(Outcome::Answer(_) | Outcome::Unknown)
+            );
+            is_final.then_some(())
         })
         .await;
     }
@@ -284,31 +295,34 @@
 
 async fn check(cluster: &Cluster, shared: &Shared) {
     let histories = shared.histories.lock().unwrap().clone();
-    let (mut answered, mut not_run, mut lost, mut open) = (0, 0, 0, 0);
+    let (mut answered, mut not_run, mut unknown, mut open) = (0, 0, 0, 0);
     for (key, actions) in &histories {
         let ran = cluster.ran(key).await;
         assert!(ran <= 1, "{key} ran {ran} times: {actions:?}");
         let mut has_answer = false;
         for (_, action) in actions {
             match action {
-                Action::Response(Told::Answer(_)) => {
+                Action::Response(Outcome::Answer(_)) => {
                     answered += 1;
                     has_answer = true;
                 }
-                Action::Response(Told::NotRun) => not_run += 1,
-                Action::Response(Told::Lost) => lost += 1,
-                Action::Response(Told::Open) => {}
-                Action::Call(told) => open += u32::from(*told == Told::Open),
+                Action::Response(Outcome::NotRun) => not_run += 1,
+                Action::Response(Outcome::Unknown) => unknown += 1,
+                Action::Response(Outcome::Open) => {}
+                Action::Call(outcome) => open += u32::from(*outcome == Outcome::Open),
             }
         }
-        assert!(!has_answer || ran == 1, "{key} was answered and ran {ran}");
+        assert!(
+            !has_answer || ran == 1,
+            "{key} was answered but ran {ran} times"
+        );
         let history = History::from_actions(complete(actions));
         let linearizable = WGLChecker::<Reservation>::is_linearizable(history);
         assert!(linearizable, "{key}: {actions:?}");
     }
     let keys = histories.len();
     println!(
-        "{keys} reservations: {answered} answers, {not_run} not run, {lost} lost, {open} open"
+        "{keys} reservations: {answered} answers, {not_run} not run, {unknown} unknown, {open} open"
     );
     assert!(keys > ROUNDS, "only {keys} reservations were sent");
 }
--- a/crates/lovageramp/tests/processes/ledger.rs
+++ b/crates/lovageramp/tests/processes/ledger.rs
@@ -1,16 +1,16 @@
-//! Records of non-repeatable calls: how long they stand, and what frees them.
+//! Ledger records of non-repeatable calls: how long they are kept, and what removes them.
 
 use crate::support::{Answer, Cluster, ClusterPlan, reserve, until};
 use serde_json::{Value, json};
 
 const RUNNING_MS: u64 = 1500;
-/// Long enough for a slow machine to ask again within it.
+/// Long enough for a resend within it on a slow host.
 const KEEP_MS: u64 = 8000;
-/// Longer than any record stands that time alone frees.
-const LIFE_MS: u64 = RUNNING_MS + KEEP_MS + 1000;
+/// Longer than the lifetime of any record that expires by time alone.
+const EXPIRED_MS: u64 = RUNNING_MS + KEEP_MS + 1000;
 
-/// A deployment whose records are due soon.
-async fn cluster() -> Cluster {
+/// A deployment whose ledger records expire soon.
+async fn start_cluster() -> Cluster {
     let cluster = Cluster::start(ClusterPlan {
         controls: 3,
         entries: 2,
@@ -30,9 +30,9 @@
         .ok()
 }
 
-/// Sends a call again and again until so much time of the ledger has passed.
+/// Resends a call until `time_ms` has passed on the ledger's clock.
 async fn resend_for(cluster: &Cluster, key: &str, time_ms: u64) {
-    let end = until("the time of the ledger", || cluster.ledger_time_ms()).await + time_ms;
+    let end = until("the ledger's clock", || cluster.ledger_time_ms()).await + time_ms;
     until("the time has passed", || async {
         resend(cluster, key).await;
         (cluster.ledger_time_ms().await? >= end).then_some(())
@@ -54,13 +54,12 @@
     serde_json::from_slice(&output.stdout).unwrap()
 }
 
-/// An agent has taken a reservation and its host stands still before the service has
-/// read a byte of it. The buyer asks again for longer than any record is kept. When the
-/// host goes on, so does the reservation: were the key free meanwhile, the burl would be
-/// sold twice.
+/// An agent is paused after it accepted a reservation and before the service has read a
+/// byte of it. The caller resends for longer than any record is kept. When the agent
+/// resumes, so does the reservation: had the record expired meanwhile, it would run twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn reserve_agent_stopped_before_write() {
-    let cluster = cluster().await;
+    let cluster = start_cluster().await;
     let relays: Vec<String> = cluster
         .agents()
         .iter()
@@ -77,7 +76,7 @@
     for relay in relays.iter().filter(|relay| **relay != held) {
         cluster.relays[relay].release();
     }
-    resend_for(&cluster, "lot-1", LIFE_MS).await;
+    resend_for(&cluster, "lot-1", EXPIRED_MS).await;
     cluster.signal(agent, "CONT").await;
     cluster.relays[&held].release();
     until("the service reads it", || async {
@@ -95,12 +94,12 @@
     }
 }
 
-/// An agent is killed while its service books a lot, and nobody can learn what came of
-/// it. The key stays taken for good; an operator who has looked at the service's books
-/// frees it, and may give that word twice.
+/// An agent is killed while its service runs a reservation, so the outcome cannot be
+/// determined and the record never expires. An operator who has checked the service's own
+/// records can remove it; removing it a second time fails.
 #[tokio::test(flavor = "multi_thread")]
 async fn forget_after_agent_killed() {
-    let mut cluster = cluster().await;
+    let mut cluster = start_cluster().await;
     for agent in cluster.agents() {
         cluster.fault(&agent, "stall", "").await;
     }
@@ -114,7 +113,7 @@
     }
     let first = first.await.unwrap().unwrap();
     assert_eq!(first.json()["ran"], "unknown", "{}", first.text());
-    resend_for(&cluster, "lot-1", LIFE_MS).await;
+    resend_for(&cluster, "lot-1", EXPIRED_MS).await;
     assert_eq!(cluster.ran("lot-1").await, 1);
 
     let list = client(&cluster, &["ledger", "list", "--json"]).await;
@@ -139,19 +138,19 @@
     assert_eq!(twice.status.code(), Some(1));
 }
 
-/// A buyer's client sends a reservation again long after it was answered. While the
-/// record stands it gets the same answer; the stated time later it is a new call.
+/// A caller resends a reservation after it was answered. While the record is kept it gets
+/// the same answer; after the retention time it counts as a new call.
 #[tokio::test(flavor = "multi_thread")]
 async fn reserve_sent_again_late() {
-    let cluster = cluster().await;
+    let cluster = start_cluster().await;
     let first = until_answered(&cluster, "lot-1").await;
-    let answered = until("the time of the ledger", || cluster.ledger_time_ms()).await;
+    let answered = until("the ledger's clock", || cluster.ledger_time_ms()).await;
     let again = resend(&cluster, "lot-1").await.unwrap();
     let still = cluster.ledger_time_ms().await.unwrap();
     if still < answered + KEEP_MS / 2 {
         assert_eq!(again.body, first.body);
         assert_eq!(cluster.ran("lot-1").await, 1);
     }
-    resend_for(&cluster, "lot-1", LIFE_MS).await;
+    resend_for(&cluster, "lot-1", EXPIRED_MS).await;
     assert_eq!(cluster.ran("lot-1").await, 2);
 }
