--- a/crates/lovageramp/tests/processes/durable.rs
+++ b/crates/lovageramp/tests/processes/durable.rs
@@ -1,4 +1,4 @@
-//! What was acknowledged survives lost processes and lost disks.
+//! Acknowledged entries survive killed processes and lost disks.
 
 use crate::support::{Cluster, ClusterPlan, account_item, reserve, until};
 use serde_json::json;
@@ -13,7 +13,7 @@
     }
 }
 
-async fn note(cluster: &Cluster, number: u64) {
+async fn send_note(cluster: &Cluster, number: u64) {
     let note = json!({"number": number, "added": [account_item(&format!("account-{number}"))]});
     until("the note is accepted", || async {
         let answer = cluster
@@ -24,13 +24,13 @@
     .await;
 }
 
-/// All three controls are killed at once and come back. Nothing that was acknowledged
-/// may be gone.
+/// All three controls are killed and restarted. Everything that was acknowledged must be
+/// retained.
 #[tokio::test(flavor = "multi_thread")]
 async fn state_survives_all_killed() {
     let mut cluster = Cluster::start(plan()).await;
     cluster.offer().await;
-    note(&cluster, 2).await;
+    send_note(&cluster, 2).await;
     let first = reserve(cluster.http("entry-1"), "huber", "lot-1", "burl")
         .await
         .unwrap();
@@ -50,12 +50,12 @@
     .await;
     assert_eq!(again.body, first.body);
     assert_eq!(cluster.ran("lot-1").await, 1);
-    note(&cluster, 3).await;
+    send_note(&cluster, 3).await;
 }
 
-/// A control's disk is lost and comes back blank; as soon as its repair is reported
-/// complete, a second control loses its disk too. A majority of what is left must still
-/// hold every acknowledged entry.
+/// A control loses its disk and restarts with a blank one; as soon as its repair is
+/// reported complete, the next control loses its disk. Each time the remaining majority
+/// must still hold every acknowledged entry.
 #[tokio::test(flavor = "multi_thread")]
 async fn state_survives_second_lost_after_repair() {
     let mut cluster = Cluster::start(plan()).await;
@@ -66,7 +66,7 @@
         .unwrap();
     assert_eq!(first.status, 200, "{}", first.text());
     for (round, number) in [1_usize, 2, 3].into_iter().enumerate() {
-        note(&cluster, 2 + round as u64).await;
+        send_note(&cluster, 2 + round as u64).await;
         cluster.lose_disk(number).await;
         cluster.start_control(number).await;
         cluster.until_repaired().await;
@@ -80,5 +80,5 @@
     .await;
     assert_eq!(again.body, first.body);
     assert_eq!(cluster.ran("lot-1").await, 1);
-    note(&cluster, 5).await;
+    send_note(&cluster, 5).await;
 }
--- a/crates/lovageramp/tests/processes/durable_alarms.rs
+++ b/crates/lovageramp/tests/processes/durable_alarms.rs
@@ -1,5 +1,5 @@
-//! The alarms of the operators' page that concern controls, disks, notes and leases, each
-//! provoked and read where the page says to look.
+//! The documented alarms about controls, disks, notes and leases: each is triggered and
+//! read from the metric, status or log that the operators' documentation names.
 
 use crate::support::disks::DiskFault;
 use crate::support::{Cluster, ClusterPlan, Process, account_item, bearer, get, reserve, until};
@@ -32,8 +32,8 @@
     std::fs::read_to_string(path).unwrap()
 }
 
-/// Two of three controls are gone. The one that is left shows that it has no leader, none
-/// leads, it isn't ready, and the entry refuses callers once its lease is over.
+/// Two of three controls are killed. The remaining one reports that it has no leader, does
+/// not lead and isn't ready, and the entry refuses callers once its lease has expired.
 #[tokio::test(flavor = "multi_thread")]
 async fn alarms_majority_gone() {
     let mut cluster = Cluster::start(plan()).await;
@@ -66,23 +66,26 @@
     assert!(ready.text().contains("no leader"), "{}", ready.text());
     let bearer = bearer("huber");
     let headers = [("authorization", bearer.as_str())];
-    until("the entry counts a refusal for want of a lease", || async {
-        let entry = cluster.http("entry-1");
-        get(entry, "/s/order-desk/stock", &headers).await.ok()?;
-        let metrics = get(entry, "/metrics", &[]).await.ok()?.text();
-        let mut lines = metrics.lines();
-        lines
-            .any(|line| {
-                line.starts_with("lovageramp_entry_refused_total") && line.contains("no_lease")
-            })
-            .then_some(())
-    })
+    until(
+        "the entry counts a refusal because it has no lease",
+        || async {
+            let entry = cluster.http("entry-1");
+            get(entry, "/s/order-desk/stock", &headers).await.ok()?;
+            let metrics = get(entry, "/metrics", &[]).await.ok()?.text();
+            let mut lines = metrics.lines();
+            lines
+                .any(|line| {
+                    line.starts_with("lovageramp_entry_refused_total") && line.contains("no_lease")
+                })
+                .then_some(())
+        },
+    )
     .await;
 }
 
-/// The disk of a follower is full. It falls behind the others and stays so until there is
-/// room: its applied entries and its note differ from theirs, the repair isn't complete,
-/// and the ledger grows at the others.
+/// The disk of a follower is full. It lags behind the others until disk space is freed:
+/// its applied index and its note are lower than theirs, the repair isn't complete, and
+/// only the others' ledgers grow.
 #[tokio::test(flavor = "multi_thread")]
 async fn alarms_follower_stuck() {
     let cluster = Cluster::start(plan()).await;
@@ -114,8 +117,8 @@
     assert!((note.unwrap() - 1.0).abs() < f64::EPSILON);
     until("the status names it", || async {
         let status = cluster.status("entry-1").await?;
-        // A replica that waits for room doesn't answer its leader either, mostly
-        // before what it lacks is due.
+        // A replica that waits for disk space doesn't answer its leader either, so it
+        // usually counts as silent before it counts as behind.
         let repair = ["behind", "silent"].map(|repair| format!("{stuck}: {repair}"));
         let named = status["repair"].as_str()?.to_owned();
         repair.contains(&named).then_some(())
@@ -129,8 +132,9 @@
     cluster.until_repaired().await;
 }
 
-/// Somebody dials a control with a wrong cluster key, and an entry is started twice under
-/// one name. The control counts the one and its leader's log names the other.
+/// A peer dials a control with a wrong cluster key, and two entries are started under the
+/// same name. The control counts the refused connection, and the leader's log reports the
+/// duplicate name.
 #[tokio::test(flavor = "multi_thread")]
 async fn alarms_wrong_key_and_double_name() {
     let cluster = Cluster::start(ClusterPlan {
--- a/crates/lovageramp/tests/processes/durable_disk.rs
+++ b/crates/lovageramp/tests/processes/durable_disk.rs
@@ -1,4 +1,4 @@
-//! Controls whose disks are full or fail their syncs, as processes of their own.
+//! Controls, run as separate processes, whose disks are full or fail to sync.
 
 use crate::support::disks::{self, DiskFault};
 use crate::support::notes::Operators;
@@ -8,7 +8,8 @@
 const REFUSED: &str = "lovageramp_control_refused_commands_total";
 const FULL: &str = "lovageramp_control_disk_full";
 
-/// The control that the other tests of this file start: this executable once more.
+/// Entry point of the control process that the other tests of this file start from this
+/// test executable.
 #[test]
 fn control_process_with_faults() {
     disks::be_control();
@@ -43,9 +44,9 @@
     control.rsplit('-').next().unwrap().parse().unwrap()
 }
 
-/// The disk of the leader is full. An operator's note and a reservation are refused at
-/// once with the reason and with when to come back; everybody reads on. When somebody
-/// has made room, the system goes on by itself and has kept what it promised.
+/// The disk of the leader is full. Notes and reservations are refused at once with the
+/// reason and a `retry-after`; reads still work. Once disk space is freed, writes resume
+/// without intervention and everything acknowledged is retained.
 #[tokio::test(flavor = "multi_thread")]
 async fn disk_full_leader() {
     let cluster = Cluster::start(plan()).await;
@@ -55,12 +56,12 @@
     assert_eq!(first.status, 200, "{}", first.text());
     let leader = cluster.leader().await;
     cluster.fail_disk(&leader, DiskFault::Full);
-    // The write that finds the disk full: the other controls may have it already.
+    // The first write that fails on the full disk may already be replicated to the others.
     let found = send(&cluster, &leader, 2).await;
     assert!([200, 503].contains(&found.status), "{}", found.text());
     cluster.until_metric(&leader, FULL, 1.0).await;
 
-    // Refused once, so the answer was not held back to ask again.
+    // The counter rises by one, so the refusal was passed on without an internal retry.
     for (round, host) in ["entry-1", &leader].into_iter().enumerate() {
         let before = cluster.metric(&leader, REFUSED).await.unwrap();
         let refused = send(&cluster, host, 3).await;
@@ -77,7 +78,7 @@
     let call = reserve(entry, "huber", "lot-2", "burl").await.unwrap();
     assert_eq!(call.status, 503, "{}", call.text());
     assert_eq!(cluster.ran("lot-2").await, 0);
-    reads_go_on(&cluster, &leader).await;
+    check_reads_work(&cluster, &leader).await;
 
     cluster.mend_disk(&leader, DiskFault::Full);
     cluster.until_metric(&leader, FULL, 0.0).await;
@@ -91,7 +92,7 @@
     assert_eq!(cluster.ran("lot-2").await, 1);
 }
 
-async fn reads_go_on(cluster: &Cluster, leader: &str) {
+async fn check_reads_work(cluster: &Cluster, leader: &str) {
     let status = cluster.status("entry-1").await.unwrap();
     assert_eq!(status["disk_full"], true);
     assert_eq!(status["leader"], leader);
@@ -107,9 +108,9 @@
     assert_eq!(stock.status, 200, "{}", stock.text());
 }
 
-/// A sync fails at the leader. Its process ends and says why, and can't be started on
-/// that disk again as if nothing had been; the others go on with all that was
-/// acknowledged, and the host joins anew with a blank disk.
+/// A sync fails at the leader. Its process exits with the reason and refuses to start on
+/// that disk again; the others continue with everything that was acknowledged, and the
+/// host rejoins with a blank disk.
 #[tokio::test(flavor = "multi_thread")]
 async fn sync_fails_at_leader() {
     let mut cluster = Cluster::start(plan()).await;
@@ -130,11 +131,11 @@
     assert_ne!(other, leader);
     until_accepted(&cluster, "entry-1", 3).await;
 
-    // The next syncs would report success.
+    // Later syncs would succeed although data of the failed one may be lost.
     cluster.mend_disk(&leader, DiskFault::Sync);
     for _ in 0..2 {
-        let said = cluster.start_and_end(&leader).await;
-        assert!(said.contains("a sync failed here"), "{said}");
+        let output = cluster.start_and_end(&leader).await;
+        assert!(output.contains("a sync failed here"), "{output}");
     }
     cluster.replace_disk(number_of(&leader)).await;
     cluster.until_repaired().await;
@@ -144,9 +145,9 @@
     until_accepted(&cluster, "entry-1", 4).await;
 }
 
-/// Operators race for the same numbers while disks fill up and fail under leaders and
-/// followers. Nobody may be told that a note was accepted which is not there later, or
-/// that one was not sent which is.
+/// Operators concurrently send notes with the same numbers while disks of leaders and
+/// followers fill up and fail. A note reported as accepted must not be missing later, and
+/// one reported as not sent must not exist.
 #[tokio::test(flavor = "multi_thread")]
 async fn disks_fail_while_operators_race() {
     let mut cluster = Cluster::start(ClusterPlan {
@@ -181,8 +182,8 @@
             DiskFault::Sync => {
                 assert!(!cluster.until_ended(&name).await);
                 cluster.mend_disk(&name, fault);
-                let said = cluster.start_and_end(&name).await;
-                assert!(said.contains("a sync failed here"), "{said}");
+                let output = cluster.start_and_end(&name).await;
+                assert!(output.contains("a sync failed here"), "{output}");
                 cluster.replace_disk(number_of(&name)).await;
                 operators.shared.learn(&cluster, &name);
             }
--- a/crates/lovageramp/tests/processes/durable_history.rs
+++ b/crates/lovageramp/tests/processes/durable_history.rs
@@ -1,5 +1,5 @@
-//! Histories of operators who send and read notes while controls are killed, frozen,
-//! cut off and lose their disks, checked for linearizability.
+//! Checks for linearizability the histories of operators that send and read notes while
+//! controls are killed, paused, partitioned and lose their disks.
 
 use crate::support::notes::{Operators, Shared};
 use crate::support::{Cluster, ClusterPlan, until};
@@ -18,10 +18,10 @@
             let Some(status) = cluster.status(&format!("control-{number}")).await else {
                 continue;
             };
-            let whole = status["replicas"]
+            let is_complete = status["replicas"]
                 .as_array()
                 .is_some_and(|rows| rows.len() == CONTROLS);
-            if whole && status["leads"] == true && status["repair"] == "complete" {
+            if is_complete && status["leads"] == true && status["repair"] == "complete" {
                 return Some(());
             }
         }
@@ -40,33 +40,37 @@
     None
 }
 
-/// One fault and its end.
-async fn trouble(cluster: &mut Cluster, shared: &Shared, round: usize, rng: &mut StdRng) {
+/// Injects one fault and clears it.
+async fn inject_fault(cluster: &mut Cluster, shared: &Shared, round: usize, rng: &mut StdRng) {
     let any = rng.random_range(1..=CONTROLS);
     let number = match leader(cluster).await {
         Some(leader) if rng.random_range(0..3) > 0 => leader,
         _ => any,
     };
     let name = format!("control-{number}");
-    let span = Duration::from_millis(rng.random_range(500..2500));
+    let duration = Duration::from_millis(rng.random_range(500..2500));
     match round % 4 {
         0 => {
             cluster.kill(&name).await;
-            sleep(span).await;
+            sleep(duration).await;
             cluster.start_control(number).await;
         }
         1 => {
             cluster.signal(&name, "STOP").await;
-            sleep(span * 2).await;
+            sleep(duration * 2).await;
             cluster.signal(&name, "CONT").await;
         }
         2 => {
-            let near = |relay: &str| relay.starts_with(&name) || relay.ends_with(&name);
-            let cut: Vec<&String> = cluster.relays.keys().filter(|relay| near(relay)).collect();
+            let is_adjacent = |relay: &str| relay.starts_with(&name) || relay.ends_with(&name);
+            let cut: Vec<&String> = cluster
+                .relays
+                .keys()
+                .filter(|relay| is_adjacent(relay))
+                .collect();
             for relay in &cut {
                 cluster.relays[*relay].cut();
             }
-            sleep(span * 2).await;
+            sleep(duration * 2).await;
             for relay in &cut {
                 cluster.relays[*relay].heal();
             }
@@ -78,11 +82,11 @@
         }
     }
     shared.learn(cluster, &name);
-    sleep(span / 2).await;
+    sleep(duration / 2).await;
 }
 
-/// Two notes under one number, a note that was accepted and is gone, or an old state
-/// read from a control that believes that it leads: each would show here.
+/// Detects two notes with the same number, an accepted note that is lost, and a stale read
+/// from a control that still considers itself the leader.
 #[tokio::test(flavor = "multi_thread")]
 async fn notes_linearizable_under_faults() {
     let mut cluster = Cluster::start(ClusterPlan {
@@ -97,7 +101,7 @@
     let operators = Operators::start(&cluster, OPERATORS, 0);
     let mut rng = StdRng::seed_from_u64(4711);
     for round in 0..FAULTS {
-        trouble(&mut cluster, &operators.shared, round, &mut rng).await;
+        inject_fault(&mut cluster, &operators.shared, round, &mut rng).await;
     }
     until_repaired(&cluster).await;
     let accepted = operators.end(&cluster).await;
--- a/crates/lovageramp/tests/processes/durable_lag.rs
+++ b/crates/lovageramp/tests/processes/durable_lag.rs
@@ -1,15 +1,15 @@
-//! Controls that lag: killed while they catch up, frozen for long, with operators who
-//! talk to them.
+//! Lagging controls: killed while they catch up, or paused for long while operators send
+//! them requests.
 
 use crate::support::notes::Operators;
 use crate::support::{Cluster, ClusterPlan, account_item, chat, until};
 use serde_json::{Value, json};
 
 const NOTES: u64 = 300;
-/// What comes before the link is cut: more than one message, far from all.
-const PART_BYTES: u64 = 600_000;
+/// Bytes delivered before the link is cut: more than one message, far less than all notes.
+const PARTIAL_BYTES: u64 = 600_000;
 
-/// A note of some 10 kB, so that catching up takes several messages.
+/// A note of about 10 kB, so that catching up takes several messages.
 fn long_note(number: u64) -> Value {
     let versions: Vec<String> = (0..200).map(|n| format!("{number:010}-{n:030}")).collect();
     let model = json!({"kind": "model", "name": format!("model-{number}"), "versions": versions});
@@ -29,15 +29,15 @@
     .await;
 }
 
-/// Newest note that a control has itself.
+/// Number of the newest note that this control has accepted.
 async fn note_at(cluster: &Cluster, control: &str) -> Option<u64> {
     let status = cluster.status(control).await?;
     status["notes"]["accepted"].as_u64()
 }
 
-/// A control was down for 300 notes and is killed while it catches up, again and again,
-/// each time with a part of what it lacks. In the end it must hold all of them: with the
-/// former leader gone it is half of the majority.
+/// A control that missed 300 notes is killed repeatedly while it catches up, each time
+/// after a part of them was delivered. In the end it must hold all of them, because with
+/// the former leader killed it is one of the two controls that form the majority.
 async fn killed_while_catching_up(snapshot_entries: u64) {
     let mut cluster = Cluster::start(ClusterPlan {
         controls: 3,
@@ -56,25 +56,29 @@
         send(&cluster, &leader, &long_note(number)).await;
     }
     if snapshot_entries < NOTES {
-        // What was appended lately is kept in memory and sent as entries. After a start
-        // only the snapshot holds it.
+        // Recently appended entries are kept in memory and sent as entries. After a restart
+        // only the snapshot holds them.
         for number in (1..=3).filter(|n| *n != number_of(&behind)) {
             cluster.kill(&format!("control-{number}")).await;
             cluster.start_control(number).await;
         }
         cluster.leader().await;
     }
-    let mut had = 0;
+    let mut received = 0;
     for _ in 0..4 {
         for (name, relay) in &cluster.relays {
             if name.ends_with(&format!(">{behind}")) {
-                relay.cut_after(PART_BYTES);
+                relay.cut_after(PARTIAL_BYTES);
             }
         }
         cluster.start_control(number_of(&behind)).await;
-        // By log it gets on; a snapshot counts only as a whole.
-        let enough = if snapshot_entries < NOTES { 0 } else { had + 1 };
-        had = until("a part has come", || async {
+        // With log entries each round makes progress; a snapshot is applied only when complete.
+        let enough = if snapshot_entries < NOTES {
+            0
+        } else {
+            received + 1
+        };
+        received = until("a part was delivered", || async {
             let cut = cluster
                 .relays
                 .iter()
@@ -83,7 +87,7 @@
             (cut && note >= enough).then_some(note)
         })
         .await;
-        assert!(had < NOTES, "it has all of it already");
+        assert!(received < NOTES, "the control has already caught up");
         cluster.kill(&behind).await;
     }
     for relay in cluster.relays.values() {
@@ -106,23 +110,23 @@
     }
 }
 
-/// As told above, where entries of the log are sent.
+/// `killed_while_catching_up` with log entries sent.
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_while_catching_up_by_log() {
     killed_while_catching_up(10_000).await;
 }
 
-/// As told above, where a snapshot is sent first.
+/// `killed_while_catching_up` with a snapshot sent first.
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_while_catching_up_by_snapshot() {
     killed_while_catching_up(50).await;
 }
 
-/// The leader's host stands still for long and goes on as if nothing had been, with
-/// operators' requests waiting at it and an entry that reaches no other control. In the
-/// meantime another leads and an account was withdrawn: nobody may be served by the old
-/// note or read an old state, and a note that the old leader still takes must stand like
-/// any other.
+/// The leader's process is paused for long and resumed, with operators' requests queued at
+/// it and an entry that reaches no other control. Meanwhile another control leads and an
+/// account was withdrawn: no caller may be served by the old note, no operator may read
+/// stale state, and a note that the old leader still accepts must be as durable as any
+/// other.
 #[tokio::test(flavor = "multi_thread")]
 async fn old_leader_frozen_for_long() {
     let cluster = Cluster::start(ClusterPlan {
--- a/crates/lovageramp/tests/processes/durable_zones.rs
+++ b/crates/lovageramp/tests/processes/durable_zones.rs
@@ -1,4 +1,5 @@
-//! Five controls in three availability zones: a whole zone is lost, a region is cut off.
+//! Five controls in three availability zones: a whole zone is lost, or is partitioned from
+//! the others.
 
 use crate::support::callers::Callers;
 use crate::support::notes::Operators;
@@ -45,8 +46,8 @@
     .await;
 }
 
-/// Waits until a control's row at the leader shows a voter that has all of the log, on
-/// another disk than the lost ones.
+/// Waits until the leader's status shows the control as a fully repaired voter on a disk
+/// other than the lost ones.
 async fn until_voter(cluster: &Cluster, host: &str, control: &str) {
     until(&format!("{control} is a voter again"), || async {
         let status = cluster.status(host).await?;
@@ -58,10 +59,10 @@
     .await;
 }
 
-/// A whole availability zone is gone at once, with the leader, one of its two or three
-/// controls' majority, an entry and a target's agent. The others go on, a note is in
-/// force within the lease, and what was reserved stays so. One of the zone's controls
-/// comes back with a blank disk while the rest of the zone is still gone.
+/// The availability zone of the leader is lost, with its controls, an entry and an agent.
+/// The other zones continue, a new note comes into force within the lease, and completed
+/// reservations keep their answers. One of the zone's controls comes back with a blank
+/// disk while the rest of the zone is still down.
 #[tokio::test(flavor = "multi_thread")]
 async fn zone_lost() {
     let mut cluster = Cluster::start(plan()).await;
@@ -102,10 +103,11 @@
     assert!(operators.end(&cluster).await > 1);
 }
 
-/// A region is cut off with its controls, its entry, its targets, operators and callers:
-/// first the leader's zone, then one while a control of the rest loses its disk. The
-/// rest goes on; the region takes no new work once the note is in force everywhere, and
-/// comes back by itself, by the newest note.
+/// A zone is partitioned from the others with its controls, entry, targets, operators and
+/// callers: first the leader's zone, then another while a control outside it loses its
+/// disk. The other zones continue; the isolated zone accepts no new work once the next
+/// note is in force everywhere, and after the partition heals it resumes without
+/// intervention under the newest note.
 #[tokio::test(flavor = "multi_thread")]
 async fn region_cut_off() {
     let mut cluster = Cluster::start(plan()).await;
@@ -114,7 +116,7 @@
     let callers = Callers::start(&cluster);
     let leaders = zone_of(&cluster.leader().await);
     cut_off_and_heal(&mut cluster, &operators, leaders, None).await;
-    // Zone oberpfalz has one control: with another one's disk lost, three are left.
+    // Zone oberpfalz has one control: with the disk of another lost, three of five remain.
     cut_off_and_heal(&mut cluster, &operators, "oberpfalz", Some(4)).await;
     assert!(callers.end(&cluster).await > 0);
     assert!(operators.end(&cluster).await > 1);
@@ -146,7 +148,7 @@
     cluster.until_in_force(&outside, number).await;
     until_serves(cluster, &outside, "huber").await;
     for round in 0..10 {
-        // Who was withdrawn, and who was not: the region can't tell.
+        // The isolated zone can't know which accounts are withdrawn, so it serves none.
         assert_ne!(stock(cluster, &inside, &account).await, 200);
         assert_ne!(stock(cluster, &inside, "huber").await, 200);
         let key = format!("cut-off-{zone}-{round}");
