--- a/crates/lovageramp/tests/processes/bench.rs
+++ b/crates/lovageramp/tests/processes/bench.rs
@@ -1,4 +1,5 @@
-//! The plan of the load, the cutting of streams, and whether it finds what went wrong.
+//! The load generator: its request plan, its parsing of event streams, and its detection
+//! of lost and duplicated calls.
 #![allow(
     clippy::needless_pass_by_value,
     reason = "quickcheck gives its arguments by value"
@@ -32,12 +33,12 @@
 
 #[test]
 fn plan_own_keys_and_prompts() {
-    // Two requests of a plan with one key or one prompt couldn't be told apart
-    // at the targets, and a doubled call would pass for two.
+    // Two requests of a plan with the same key or prompt would be indistinguishable at
+    // the targets, and a duplicated call would be counted as two calls.
     let mut seen = BTreeSet::new();
     let mut resent = 0;
     for planned in Plan::new(Mix::hotline(), &[1], 100.0, 9).take(5_000) {
-        let own = match planned.call {
+        let identity = match planned.call {
             Call::Chat { body, .. } => body.to_vec(),
             Call::Read { .. } => continue,
             Call::Write { key, resend, .. } => {
@@ -45,15 +46,15 @@
                 key.into_bytes()
             }
         };
-        assert!(seen.insert(own));
+        assert!(seen.insert(identity));
     }
     assert!(resent > 100, "{resent}");
 }
 
 #[test]
 fn events_any_cut() {
-    // A stream arrives in pieces that end anywhere. An event cut in two must be
-    // counted once, when it is whole.
+    // A stream arrives in chunks with arbitrary boundaries. An event split across chunks
+    // must be counted once, when it is complete.
     fn property(cuts: Vec<usize>) -> bool {
         let stream = b"data: {\"a\":1}\n\nid: 7\ndata: two\ndata: lines\n\ndata: [DONE]\n\n";
         let mut ends: Vec<usize> = cuts.iter().map(|cut| cut % stream.len()).collect();
@@ -77,8 +78,9 @@
 
 const CLIENT: &str = env!("CARGO_BIN_EXE_lovageramp");
 
-/// Runs the load against a small deployment; its figures and its exit code.
-async fn play(cluster: &Cluster, fake: SocketAddr, seed: &str) -> (Value, Option<i32>) {
+/// Runs the load generator against a small deployment and returns its figures and its
+/// exit code.
+async fn run_bench(cluster: &Cluster, fake: SocketAddr, seed: &str) -> (Value, Option<i32>) {
     let bench = tokio::process::Command::new(CLIENT)
         .args([
             "bench",
@@ -100,9 +102,9 @@
 
 #[tokio::test]
 async fn run_finds_doubled_and_lost() {
-    // The load is the judge of every other run. Were it blind, a doubled
-    // reservation would pass for a clean table; so calls are doubled and lost
-    // behind its back here, and it must say so and fail.
+    // Other runs rely on the load generator to detect duplicated and lost calls. Here
+    // calls are duplicated and lost without its knowledge, and it must report them and
+    // exit with an error.
     let cluster = Cluster::start(ClusterPlan {
         controls: 1,
         entries: 1,
@@ -113,7 +115,7 @@
     .await;
     cluster.offer().await;
     let service = cluster.http("fake-desk-01");
-    let (figures, code) = play(&cluster, service, "3").await;
+    let (figures, code) = run_bench(&cluster, service, "3").await;
     assert_eq!(code, Some(0), "{figures}");
     assert_eq!(
         (&figures["lost"], &figures["doubled"]),
@@ -132,14 +134,14 @@
             crate::support::request(service, "POST", "/reservations", &headers, String::new());
         assert_eq!(sent.await.unwrap().status, 200);
     }
-    let (figures, code) = play(&cluster, service, "4").await;
+    let (figures, code) = run_bench(&cluster, service, "4").await;
     assert_eq!(code, Some(1), "{figures}");
     assert!(figures["doubled"].as_u64() > Some(0), "{figures}");
 
-    // Another service saw none of the reservations.
+    // This service has received none of the reservations, so all of them count as lost.
     let log = cluster.folder.path().join("other.log");
     let other = Process::start(CLIENT, &["fake", "service"], &log).await;
-    let (figures, code) = play(&cluster, other.http, "5").await;
+    let (figures, code) = run_bench(&cluster, other.http, "5").await;
     assert_eq!(code, Some(1), "{figures}");
     assert!(figures["lost"].as_u64() > Some(0), "{figures}");
 }
--- a/crates/lovageramp/tests/processes/cli.rs
+++ b/crates/lovageramp/tests/processes/cli.rs
@@ -1,11 +1,12 @@
-//! The operators' client and the daemons' options against real processes.
+//! The operators' command-line client and the daemons' options, run against real
+//! processes.
 
 use std::process::{Command, Output};
 
 use crate::support::{Cluster, ClusterPlan, bearer, get, until};
 use serde_json::{Value, json};
 
-async fn small() -> Cluster {
+async fn start_cluster() -> Cluster {
     let cluster = Cluster::start(ClusterPlan {
         entries: 2,
         engines: 1,
@@ -40,9 +41,9 @@
 
 #[tokio::test]
 async fn client_any_host() {
-    // An operator names whichever host is at hand. Each entry and each control
-    // must answer, the followers among them, and say the same.
-    let cluster = small().await;
+    // An operator may name any host. Each entry and each control, followers included,
+    // must answer, and all answers must agree.
+    let cluster = start_cluster().await;
     for host in ["control-1", "control-2", "control-3", "entry-1", "entry-2"] {
         let status = cluster.client(host, &["note", "status"]).await;
         assert_eq!(text(&status), "note 1 is in force everywhere\n", "{host}");
@@ -59,9 +60,9 @@
 
 #[tokio::test]
 async fn send_same_number_at_once() {
-    // Two operators send different notes with one number at the same moment,
-    // through different hosts. One must win, and the other must learn who did.
-    let cluster = small().await;
+    // Two operators concurrently send different notes with the same number through
+    // different hosts. One must be accepted, and the other must be told whose was.
+    let cluster = start_cluster().await;
     for number in 2..=6 {
         let one = note_file(
             &cluster,
@@ -91,16 +92,17 @@
         } else {
             (&one, "boris")
         };
-        let told = format!("another note holds number {number}, sent by \"{winner}\"");
-        assert!(text(lost).contains(&told), "{}", text(lost));
+        let expected = format!("another note holds number {number}, sent by \"{winner}\"");
+        assert!(text(lost).contains(&expected), "{}", text(lost));
     }
 }
 
 #[tokio::test]
 async fn send_again_after_lost_majority() {
-    // Two of three controls die and an operator sends a note again. She must hear
-    // that nobody can take it now, and get the first answer once they are back.
-    let mut cluster = small().await;
+    // Two of three controls are killed and an operator resends a note. The client must
+    // report that no host can accept it now, and return the first answer once the
+    // controls are back.
+    let mut cluster = start_cluster().await;
     let note = note_file(&cluster, "2.json", &model(2, "late"));
     let args = ["note", "send", &note, "--wait", "60"];
     let first = cluster.client("entry-1", &args).await;
@@ -122,9 +124,9 @@
 
 #[tokio::test]
 async fn drain_and_undo() {
-    // A target is drained for repair. Its service must stop to reach it within
-    // seconds, and go on when the operator takes it back.
-    let cluster = small().await;
+    // A drained target must stop receiving requests within seconds, and receive them
+    // again when the operator undoes the drain.
+    let cluster = start_cluster().await;
     let entry = cluster.http("entry-2");
     let bearer = bearer("huber");
     let reads = |status: u16| {
@@ -157,7 +159,7 @@
 
 #[tokio::test]
 async fn quarantine_empty() {
-    let cluster = small().await;
+    let cluster = start_cluster().await;
     let list = cluster.client("entry-1", &["quarantine", "list"]).await;
     assert_eq!(text(&list), "no request is in quarantine\n");
     let pardon = cluster
@@ -200,8 +202,8 @@
 
 #[test]
 fn check_all_findings() {
-    // A settings file has three slips. Were only the first reported, each start
-    // would show one more.
+    // A settings file has three errors. All must be reported at once, so that the operator
+    // does not find them one start at a time.
     let folder = tempfile::tempdir().unwrap();
     for (program, name, address) in DAEMONS {
         let json = std::fs::read_to_string(example(name)).unwrap();
--- a/crates/lovageramp/tests/processes/export.rs
+++ b/crates/lovageramp/tests/processes/export.rs
@@ -29,11 +29,11 @@
     ("lovageramp-agent", "engine"),
 ];
 
-/// What reached a collector.
+/// Spans that reached the collector.
 type Seen = Arc<Mutex<Vec<ResourceSpans>>>;
 
 /// One entry and one service, whose daemons export to `url`.
-async fn exporting(url: String) -> Cluster {
+async fn start_exporting(url: String) -> Cluster {
     let mut cluster = Cluster::start(ClusterPlan {
         controls: 1,
         entries: 1,
@@ -52,7 +52,7 @@
     cluster
 }
 
-async fn look_up(cluster: &Cluster) -> u16 {
+async fn get_stock(cluster: &Cluster) -> u16 {
     let bearer = bearer("huber");
     let headers = [
         ("authorization", bearer.as_str()),
@@ -101,9 +101,9 @@
     names
 }
 
-/// A slow summary is looked into with the traces of all hosts. Each hop's span must
-/// reach the collector from its own process, in the caller's trace; the spans of the
-/// actors' library would bury them.
+/// Each hop's span must reach the collector from its own process, in the caller's trace, so
+/// that a slow request can be traced across hosts. Spans of the actor library must not be
+/// exported, because they would far outnumber these.
 #[tokio::test(flavor = "multi_thread")]
 async fn export_each_hop() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -117,9 +117,9 @@
             }
         }
     });
-    let cluster = exporting(format!("http://{address}/v1/traces")).await;
-    assert_eq!(look_up(&cluster).await, 200);
-    until("a span of each hop has come", || async {
+    let cluster = start_exporting(format!("http://{address}/v1/traces")).await;
+    assert_eq!(get_stock(&cluster).await, 200);
+    until("a span of each hop has arrived", || async {
         let [_, ours] = names(&seen);
         let hop = |(service, name): &(&str, &str)| {
             ours.contains(&((*service).to_owned(), (*name).to_owned()))
@@ -135,29 +135,29 @@
     assert_eq!(foreign.collect::<Vec<_>>(), Vec::<&(String, String)>::new());
 }
 
-/// The collector hangs: it takes connections and never answers. Callers must not
-/// notice, however many spans wait for it.
+/// The collector accepts connections and never answers. Requests must still succeed,
+/// however many spans are queued for it.
 #[tokio::test(flavor = "multi_thread")]
 async fn export_collector_hangs() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let cluster = exporting(format!("http://{address}/v1/traces")).await;
-    // More spans than the exporter's queue has room for.
+    let cluster = start_exporting(format!("http://{address}/v1/traces")).await;
+    // More spans than the exporter's queue holds.
     for _ in 0..1000 {
-        assert_eq!(look_up(&cluster).await, 200);
+        assert_eq!(get_stock(&cluster).await, 200);
     }
     let (_hung, _) = listener.accept().await.unwrap();
-    assert_eq!(look_up(&cluster).await, 200);
+    assert_eq!(get_stock(&cluster).await, 200);
 }
 
-/// Nothing listens where the collector should be.
+/// The collector refuses connections. Requests must still succeed.
 #[tokio::test(flavor = "multi_thread")]
 async fn export_collector_down() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
-    let cluster = exporting(format!("http://{address}/v1/traces")).await;
+    let cluster = start_exporting(format!("http://{address}/v1/traces")).await;
     for _ in 0..1000 {
-        assert_eq!(look_up(&cluster).await, 200);
+        assert_eq!(get_stock(&cluster).await, 200);
     }
 }
