--- a/crates/lovageramp/tests/processes/cli.rs
+++ b/crates/lovageramp/tests/processes/cli.rs
@@ -61,7 +61,7 @@
 #[tokio::test]
 async fn send_same_number_at_once() {
     // Two operators concurrently send different notes with the same number through
-    // different hosts. One must be accepted, and the other must be told whose was.
+    // different hosts. One must be accepted, and the other must be told who sent it.
     let cluster = start_cluster().await;
     for number in 2..=6 {
         let one = note_file(
--- a/crates/lovageramp/tests/processes/durable_alarms.rs
+++ b/crates/lovageramp/tests/processes/durable_alarms.rs
@@ -85,7 +85,7 @@
 
 /// The disk of a follower is full. It lags behind the others until disk space is freed:
 /// its applied index and its note are lower than theirs, the repair isn't complete, and
-/// only the others' ledgers grow.
+/// the ledger grows at the others.
 #[tokio::test(flavor = "multi_thread")]
 async fn alarms_follower_stuck() {
     let cluster = Cluster::start(plan()).await;
@@ -147,9 +147,9 @@
     let refused = "lovageramp_control_links_refused_total";
     let before = cluster.metric(&leader, refused).await.unwrap();
     let key = ClusterKey::from_bytes(b"the key of another cluster").unwrap();
-    let me = Identity::new(Role::Entry, "entry-1", 7);
+    let identity = Identity::new(Role::Entry, "entry-1", 7);
     let address = cluster.processes[&leader].links.unwrap();
-    let dialled = wire::dial(address, &me, &key, &LinkSettings::default()).await;
+    let dialled = wire::dial(address, &identity, &key, &LinkSettings::default()).await;
     assert!(dialled.is_err());
     until("the control counts it", || async {
         let count = cluster.metric(&leader, refused).await?;
@@ -160,8 +160,8 @@
     let entry = env!("CARGO_BIN_EXE_lovageramp-entry");
     let settings = cluster.folder.path().join("entry-1.json");
     let log = cluster.folder.path().join("entry-1-twice.log");
-    let twice = ["--settings", settings.to_str().unwrap()];
-    let second = Process::start(entry, &twice, &log).await;
+    let args = ["--settings", settings.to_str().unwrap()];
+    let second = Process::start(entry, &args, &log).await;
     let alarm = "no lease for entry-1: a later incarnation of this name was seen";
     until("the leader's log names it", || async {
         log_of(&cluster, &leader).contains(alarm).then_some(())
--- a/crates/lovageramp/tests/processes/durable_disk.rs
+++ b/crates/lovageramp/tests/processes/durable_disk.rs
@@ -40,7 +40,7 @@
     .await
 }
 
-fn number_of(control: &str) -> usize {
+fn control_number(control: &str) -> usize {
     control.rsplit('-').next().unwrap().parse().unwrap()
 }
 
@@ -137,7 +137,7 @@
         let output = cluster.start_and_end(&leader).await;
         assert!(output.contains("a sync failed here"), "{output}");
     }
-    cluster.replace_disk(number_of(&leader)).await;
+    cluster.replace_disk(control_number(&leader)).await;
     cluster.until_repaired().await;
     let again = reserve(entry, "huber", "lot-1", "burl").await.unwrap();
     assert_eq!((again.status, again.body), (200, first.body));
@@ -184,7 +184,7 @@
                 cluster.mend_disk(&name, fault);
                 let output = cluster.start_and_end(&name).await;
                 assert!(output.contains("a sync failed here"), "{output}");
-                cluster.replace_disk(number_of(&name)).await;
+                cluster.replace_disk(control_number(&name)).await;
                 operators.shared.learn(&cluster, &name);
             }
         }
--- a/crates/lovageramp/tests/processes/durable_history.rs
+++ b/crates/lovageramp/tests/processes/durable_history.rs
@@ -42,10 +42,10 @@
 
 /// Injects one fault and clears it.
 async fn inject_fault(cluster: &mut Cluster, shared: &Shared, round: usize, rng: &mut StdRng) {
-    let any = rng.random_range(1..=CONTROLS);
+    let random = rng.random_range(1..=CONTROLS);
     let number = match leader(cluster).await {
         Some(leader) if rng.random_range(0..3) > 0 => leader,
-        _ => any,
+        _ => random,
     };
     let name = format!("control-{number}");
     let duration = Duration::from_millis(rng.random_range(500..2500));
--- a/crates/lovageramp/tests/processes/durable_lag.rs
+++ b/crates/lovageramp/tests/processes/durable_lag.rs
@@ -16,7 +16,7 @@
     json!({"number": number, "added": [model]})
 }
 
-fn number_of(name: &str) -> usize {
+fn control_number(name: &str) -> usize {
     name.rsplit('-').next().unwrap().parse().unwrap()
 }
 
@@ -30,7 +30,7 @@
 }
 
 /// Number of the newest note that this control has accepted.
-async fn note_at(cluster: &Cluster, control: &str) -> Option<u64> {
+async fn newest_note(cluster: &Cluster, control: &str) -> Option<u64> {
     let status = cluster.status(control).await?;
     status["notes"]["accepted"].as_u64()
 }
@@ -58,7 +58,7 @@
     if snapshot_entries < NOTES {
         // Recently appended entries are kept in memory and sent as entries. After a restart
         // only the snapshot holds them.
-        for number in (1..=3).filter(|n| *n != number_of(&behind)) {
+        for number in (1..=3).filter(|n| *n != control_number(&behind)) {
             cluster.kill(&format!("control-{number}")).await;
             cluster.start_control(number).await;
         }
@@ -71,9 +71,9 @@
                 relay.cut_after(PARTIAL_BYTES);
             }
         }
-        cluster.start_control(number_of(&behind)).await;
+        cluster.start_control(control_number(&behind)).await;
         // With log entries each round makes progress; a snapshot is applied only when complete.
-        let enough = if snapshot_entries < NOTES {
+        let min_note = if snapshot_entries < NOTES {
             0
         } else {
             received + 1
@@ -83,8 +83,8 @@
                 .relays
                 .iter()
                 .any(|(name, relay)| name.ends_with(&format!(">{behind}")) && relay.is_used_up());
-            let note = note_at(&cluster, &behind).await?;
-            (cut && note >= enough).then_some(note)
+            let note = newest_note(&cluster, &behind).await?;
+            (cut && note >= min_note).then_some(note)
         })
         .await;
         assert!(received < NOTES, "the control has already caught up");
@@ -93,9 +93,9 @@
     for relay in cluster.relays.values() {
         relay.heal();
     }
-    cluster.start_control(number_of(&behind)).await;
+    cluster.start_control(control_number(&behind)).await;
     until("it has caught up", || async {
-        (note_at(&cluster, &behind).await? == NOTES).then_some(())
+        (newest_note(&cluster, &behind).await? == NOTES).then_some(())
     })
     .await;
     cluster.until_repaired().await;
--- a/crates/lovageramp/tests/processes/durable_zones.rs
+++ b/crates/lovageramp/tests/processes/durable_zones.rs
@@ -28,11 +28,11 @@
     entries.find(|entry| zone_of(entry) != zone).unwrap()
 }
 
-fn number_of(name: &str) -> usize {
+fn control_number(name: &str) -> usize {
     name.rsplit('-').next().unwrap().parse().unwrap()
 }
 
-async fn stock(cluster: &Cluster, entry: &str, account: &str) -> u16 {
+async fn stock_status(cluster: &Cluster, entry: &str, account: &str) -> u16 {
     let bearer = bearer(account);
     let headers = [("authorization", bearer.as_str())];
     let answer = get(cluster.http(entry), "/s/order-desk/stock", &headers).await;
@@ -41,7 +41,7 @@
 
 async fn until_serves(cluster: &Cluster, entry: &str, account: &str) {
     until(&format!("{entry} serves {account}"), || async {
-        (stock(cluster, entry, account).await == 200).then_some(())
+        (stock_status(cluster, entry, account).await == 200).then_some(())
     })
     .await;
 }
@@ -71,25 +71,25 @@
     let callers = Callers::start(&cluster);
     let zone = zone_of(&cluster.leader().await);
     let lost = cluster.in_zone(zone);
-    let stays = entry_outside(zone);
-    let first = reserve(cluster.http(&stays), "maier", "lot-1", "burl").await;
+    let survivor = entry_outside(zone);
+    let first = reserve(cluster.http(&survivor), "maier", "lot-1", "burl").await;
     let first = first.unwrap();
     assert_eq!(first.status, 200, "{}", first.text());
     cluster.lose_zone(zone).await;
 
     let note = json!({"added": [account_item("late")]});
-    let number = operators.send_next(&cluster, &stays, note).await;
-    cluster.until_in_force(&stays, number).await;
-    until_serves(&cluster, &stays, "late").await;
-    let again = reserve(cluster.http(&stays), "maier", "lot-1", "burl").await;
+    let number = operators.send_next(&cluster, &survivor, note).await;
+    cluster.until_in_force(&survivor, number).await;
+    until_serves(&cluster, &survivor, "late").await;
+    let again = reserve(cluster.http(&survivor), "maier", "lot-1", "burl").await;
     let again = again.unwrap();
     assert_eq!((again.status, again.body), (200, first.body));
 
     let blank = lost.iter().find(|name| name.starts_with("control"));
     let blank = blank.unwrap();
-    cluster.replace_disk(number_of(blank)).await;
+    cluster.replace_disk(control_number(blank)).await;
     operators.shared.learn(&cluster, blank);
-    until_voter(&cluster, &stays, blank).await;
+    until_voter(&cluster, &survivor, blank).await;
     for name in lost.iter().filter(|name| *name != blank) {
         cluster.start_again(name).await;
         if name.starts_with("control") {
@@ -114,8 +114,8 @@
     cluster.offer().await;
     let operators = Operators::start(&cluster, 3, 1);
     let callers = Callers::start(&cluster);
-    let leaders = zone_of(&cluster.leader().await);
-    cut_off_and_heal(&mut cluster, &operators, leaders, None).await;
+    let leader_zone = zone_of(&cluster.leader().await);
+    cut_off_and_heal(&mut cluster, &operators, leader_zone, None).await;
     // Zone oberpfalz has one control: with the disk of another lost, three of five remain.
     cut_off_and_heal(&mut cluster, &operators, "oberpfalz", Some(4)).await;
     assert!(callers.end(&cluster).await > 0);
@@ -149,17 +149,17 @@
     until_serves(cluster, &outside, "huber").await;
     for round in 0..10 {
         // The isolated zone can't know which accounts are withdrawn, so it serves none.
-        assert_ne!(stock(cluster, &inside, &account).await, 200);
-        assert_ne!(stock(cluster, &inside, "huber").await, 200);
+        assert_ne!(stock_status(cluster, &inside, &account).await, 200);
+        assert_ne!(stock_status(cluster, &inside, "huber").await, 200);
         let key = format!("cut-off-{zone}-{round}");
         let call = reserve(cluster.http(&inside), "huber", &key, "burl").await;
         assert_eq!(call.unwrap().status, 503);
         assert_eq!(cluster.ran(&key).await, 0);
-        assert_eq!(stock(cluster, &outside, &account).await, 401);
+        assert_eq!(stock_status(cluster, &outside, &account).await, 401);
     }
 
     cluster.heal_all();
     until_serves(cluster, &inside, "huber").await;
-    assert_eq!(stock(cluster, &inside, &account).await, 401);
+    assert_eq!(stock_status(cluster, &inside, &account).await, 401);
     cluster.until_repaired().await;
 }
--- a/crates/lovageramp/tests/processes/export.rs
+++ b/crates/lovageramp/tests/processes/export.rs
@@ -30,7 +30,7 @@
 ];
 
 /// Spans that reached the collector.
-type Seen = Arc<Mutex<Vec<ResourceSpans>>>;
+type ReceivedSpans = Arc<Mutex<Vec<ResourceSpans>>>;
 
 /// One entry and one service, whose daemons export to `url`.
 async fn start_exporting(url: String) -> Cluster {
@@ -63,13 +63,13 @@
     answer.unwrap().status
 }
 
-async fn collect(stream: TcpStream, seen: Seen) {
+async fn collect(stream: TcpStream, received: ReceivedSpans) {
     let service = service_fn(move |req: Request<Incoming>| {
-        let seen = Arc::clone(&seen);
+        let received = Arc::clone(&received);
         async move {
             let body = req.into_body().collect().await.unwrap().to_bytes();
             let batch = ExportTraceServiceRequest::decode(body).unwrap();
-            seen.lock().unwrap().extend(batch.resource_spans);
+            received.lock().unwrap().extend(batch.resource_spans);
             Ok::<_, Infallible>(Response::new(Full::new(Bytes::new())))
         }
     });
@@ -87,9 +87,9 @@
 }
 
 /// Process and name of all spans, and of those in the caller's trace.
-fn names(seen: &Seen) -> [BTreeSet<(String, String)>; 2] {
+fn names(received: &ReceivedSpans) -> [BTreeSet<(String, String)>; 2] {
     let mut names = [BTreeSet::new(), BTreeSet::new()];
-    for resource in seen.lock().unwrap().iter() {
+    for resource in received.lock().unwrap().iter() {
         let service = service_of(resource);
         for span in resource.scope_spans.iter().flat_map(|scope| &scope.spans) {
             names[0].insert((service.clone(), span.name.clone()));
@@ -108,31 +108,34 @@
 async fn export_each_hop() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let seen = Seen::default();
+    let received = ReceivedSpans::default();
     tokio::spawn({
-        let seen = Arc::clone(&seen);
+        let received = Arc::clone(&received);
         async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(collect(stream, Arc::clone(&seen)));
+                tokio::spawn(collect(stream, Arc::clone(&received)));
             }
         }
     });
     let cluster = start_exporting(format!("http://{address}/v1/traces")).await;
     assert_eq!(get_stock(&cluster).await, 200);
     until("a span of each hop has arrived", || async {
-        let [_, ours] = names(&seen);
+        let [_, in_trace] = names(&received);
         let hop = |(service, name): &(&str, &str)| {
-            ours.contains(&((*service).to_owned(), (*name).to_owned()))
+            in_trace.contains(&((*service).to_owned(), (*name).to_owned()))
         };
         HOPS.iter().all(hop).then_some(())
     })
     .await;
-    let [all, _] = names(&seen);
-    let foreign = all.iter().filter(|(_, name)| {
+    let [all, _] = names(&received);
+    let unexpected = all.iter().filter(|(_, name)| {
         let known = HOPS.iter().any(|(_, hop)| hop == name);
         !known
     });
-    assert_eq!(foreign.collect::<Vec<_>>(), Vec::<&(String, String)>::new());
+    assert_eq!(
+        unexpected.collect::<Vec<_>>(),
+        Vec::<&(String, String)>::new()
+    );
 }
 
 /// The collector accepts connections and never answers. Requests must still succeed,
--- a/crates/lovageramp/tests/processes/ledger.rs
+++ b/crates/lovageramp/tests/processes/ledger.rs
@@ -32,10 +32,10 @@
 
 /// Resends a call until `time_ms` has passed on the ledger's clock.
 async fn resend_for(cluster: &Cluster, key: &str, time_ms: u64) {
-    let end = until("the ledger's clock", || cluster.ledger_time_ms()).await + time_ms;
+    let end_ms = until("the ledger's clock", || cluster.ledger_time_ms()).await + time_ms;
     until("the time has passed", || async {
         resend(cluster, key).await;
-        (cluster.ledger_time_ms().await? >= end).then_some(())
+        (cluster.ledger_time_ms().await? >= end_ms).then_some(())
     })
     .await;
 }
@@ -144,10 +144,10 @@
 async fn reserve_sent_again_late() {
     let cluster = start_cluster().await;
     let first = until_answered(&cluster, "lot-1").await;
-    let answered = until("the ledger's clock", || cluster.ledger_time_ms()).await;
+    let answered_ms = until("the ledger's clock", || cluster.ledger_time_ms()).await;
     let again = resend(&cluster, "lot-1").await.unwrap();
-    let still = cluster.ledger_time_ms().await.unwrap();
-    if still < answered + KEEP_MS / 2 {
+    let now_ms = cluster.ledger_time_ms().await.unwrap();
+    if now_ms < answered_ms + KEEP_MS / 2 {
         assert_eq!(again.body, first.body);
         assert_eq!(cluster.ran("lot-1").await, 1);
     }
