--- a/crates/lovageramp/tests/processes/durable_zones.rs
+++ b/crates/lovageramp/tests/processes/durable_zones.rs
@@ -1,4 +1,5 @@
-//! Five controls in three availability zones: a whole zone is lost, a region is cut off.
+//! Five controls in three availability zones: a whole zone is lost, or is partitioned from
+//! the others.
 
 use crate::support::callers::Callers;
 use crate::support::notes::Operators;
@@ -27,11 +28,11 @@
     entries.find(|entry| zone_of(entry) != zone).unwrap()
 }
 
-fn number_of(name: &str) -> usize {
+fn control_number(name: &str) -> usize {
     name.rsplit('-').next().unwrap().parse().unwrap()
 }
 
-async fn stock(cluster: &Cluster, entry: &str, account: &str) -> u16 {
+async fn stock_status(cluster: &Cluster, entry: &str, account: &str) -> u16 {
     let bearer = bearer(account);
     let headers = [("authorization", bearer.as_str())];
     let answer = get(cluster.http(entry), "/s/order-desk/stock", &headers).await;
@@ -40,13 +41,13 @@
 
 async fn until_serves(cluster: &Cluster, entry: &str, account: &str) {
     until(&format!("{entry} serves {account}"), || async {
-        (stock(cluster, entry, account).await == 200).then_some(())
+        (stock_status(cluster, entry, account).await == 200).then_some(())
     })
     .await;
 }
 
-/// Waits until a control's row at the leader shows a voter that has all of the log, on
-/// another disk than the lost ones.
+/// Waits until the leader's status shows the control as a fully repaired voter on a disk
+/// other than the lost ones.
 async fn until_voter(cluster: &Cluster, host: &str, control: &str) {
     until(&format!("{control} is a voter again"), || async {
         let status = cluster.status(host).await?;
@@ -58,10 +59,10 @@
     .await;
 }
 
-/// A whole availability zone is gone at once, with the leader, one of its two or three
-/// controls' majority, an entry and a target's agent. The others go on, a note is in
-/// force within the lease, and what was reserved stays so. One of the zone's controls
-/// comes back with a blank disk while the rest of the zone is still gone.
+/// The availability zone of the leader is lost, with its controls, an entry and an agent.
+/// The other zones continue, a new note comes into force within the lease, and completed
+/// reservations keep their answers. One of the zone's controls comes back with a blank
+/// disk while the rest of the zone is still down.
 #[tokio::test(flavor = "multi_thread")]
 async fn zone_lost() {
     let mut cluster = Cluster::start(plan()).await;
@@ -70,25 +71,25 @@
     let callers = Callers::start(&cluster);
     let zone = zone_of(&cluster.leader().await);
     let lost = cluster.in_zone(zone);
-    let stays = entry_outside(zone);
-    let first = reserve(cluster.http(&stays), "maier", "lot-1", "burl").await;
+    let survivor = entry_outside(zone);
+    let first = reserve(cluster.http(&survivor), "maier", "lot-1", "burl").await;
     let first = first.unwrap();
     assert_eq!(first.status, 200, "{}", first.text());
     cluster.lose_zone(zone).await;
 
     let note = json!({"added": [account_item("late")]});
-    let number = operators.send_next(&cluster, &stays, note).await;
-    cluster.until_in_force(&stays, number).await;
-    until_serves(&cluster, &stays, "late").await;
-    let again = reserve(cluster.http(&stays), "maier", "lot-1", "burl").await;
+    let number = operators.send_next(&cluster, &survivor, note).await;
+    cluster.until_in_force(&survivor, number).await;
+    until_serves(&cluster, &survivor, "late").await;
+    let again = reserve(cluster.http(&survivor), "maier", "lot-1", "burl").await;
     let again = again.unwrap();
     assert_eq!((again.status, again.body), (200, first.body));
 
     let blank = lost.iter().find(|name| name.starts_with("control"));
     let blank = blank.unwrap();
-    cluster.replace_disk(number_of(blank)).await;
+    cluster.replace_disk(control_number(blank)).await;
     operators.shared.learn(&cluster, blank);
-    until_voter(&cluster, &stays, blank).await;
+    until_voter(&cluster, &survivor, blank).await;
     for name in lost.iter().filter(|name| *name != blank) {
         cluster.start_again(name).await;
         if name.starts_with("control") {
@@ -102,19 +103,20 @@
     assert!(operators.end(&cluster).await > 1);
 }
 
-/// A region is cut off with its controls, its entry, its targets, operators and callers:
-/// first the leader's zone, then one while a control of the rest loses its disk. The
-/// rest goes on; the region takes no new work once the note is in force everywhere, and
-/// comes back by itself, by the newest note.
+/// A zone is partitioned from the others with its controls, entry, targets, operators and
+/// callers: first the leader's zone, then another while a control outside it loses its
+/// disk. The other zones continue; the isolated zone accepts no new work once the next
+/// note is in force everywhere, and after the partition heals it resumes without
+/// intervention under the newest note.
 #[tokio::test(flavor = "multi_thread")]
 async fn region_cut_off() {
     let mut cluster = Cluster::start(plan()).await;
     cluster.offer().await;
     let operators = Operators::start(&cluster, 3, 1);
     let callers = Callers::start(&cluster);
-    let leaders = zone_of(&cluster.leader().await);
-    cut_off_and_heal(&mut cluster, &operators, leaders, None).await;
-    // Zone oberpfalz has one control: with another one's disk lost, three are left.
+    let leader_zone = zone_of(&cluster.leader().await);
+    cut_off_and_heal(&mut cluster, &operators, leader_zone, None).await;
+    // Zone oberpfalz has one control: with the disk of another lost, three of five remain.
     cut_off_and_heal(&mut cluster, &operators, "oberpfalz", Some(4)).await;
     assert!(callers.end(&cluster).await > 0);
     assert!(operators.end(&cluster).await > 1);
@@ -146,18 +148,18 @@
     cluster.until_in_force(&outside, number).await;
     until_serves(cluster, &outside, "huber").await;
     for round in 0..10 {
-        // Who was withdrawn, and who was not: the region can't tell.
-        assert_ne!(stock(cluster, &inside, &account).await, 200);
-        assert_ne!(stock(cluster, &inside, "huber").await, 200);
+        // The isolated zone can't know which accounts are withdrawn, so it serves none.
+        assert_ne!(stock_status(cluster, &inside, &account).await, 200);
+        assert_ne!(stock_status(cluster, &inside, "huber").await, 200);
         let key = format!("cut-off-{zone}-{round}");
         let call = reserve(cluster.http(&inside), "huber", &key, "burl").await;
         assert_eq!(call.unwrap().status, 503);
         assert_eq!(cluster.ran(&key).await, 0);
-        assert_eq!(stock(cluster, &outside, &account).await, 401);
+        assert_eq!(stock_status(cluster, &outside, &account).await, 401);
     }
 
     cluster.heal_all();
     until_serves(cluster, &inside, "huber").await;
-    assert_eq!(stock(cluster, &inside, &account).await, 401);
+    assert_eq!(stock_status(cluster, &inside, &account).await, 401);
     cluster.until_repaired().await;
 }
