--- a/crates/lovageramp/tests/processes/maps.rs
+++ b/crates/lovageramp/tests/processes/maps.rs
@@ -1,4 +1,4 @@
-//! One expert map in every step, through separate processes.
+//! All ranks use the same expert map in every step; run with separate processes.
 
 use crate::support::{AGENTS, EXPERT_BYTES, MapGroup, TRIES, until};
 use serde_json::{Value, json};
@@ -6,14 +6,14 @@
 use std::ops::Range;
 
 const COORDINATOR: &str = AGENTS[0];
-/// After so many calls a restarted agent knows what its engine has promised.
-const LOOKS: u64 = 40;
+/// Calls after which a restarted agent has read from its engine whether it holds a promise.
+const ENGINE_POLLS: u64 = 40;
 /// Experts of each layer.
 const EXPERTS: usize = 8;
 
-/// Waits until another agent than the coordinator has got the group to go on.
-async fn until_succeeded(group: &MapGroup, fencing: u64) {
-    until("another agent coordinates", || async {
+/// Waits until another agent has taken over as coordinator and released its engine.
+async fn until_coordinator_replaced(group: &MapGroup, fencing: u64) {
+    until("another agent has taken over as coordinator", || async {
         let map = group.map(AGENTS[1]).await;
         let higher = map["fencing"].as_u64()? > fencing;
         (higher && map["held"].is_null()).then_some(())
@@ -30,28 +30,28 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn switch_coordinator_killed_before_decision() {
-    // All ranks have promised to stop before a barrier when the agent that
-    // coordinates dies, and nothing is decided. The group stands still, and
-    // every answer with it, until the next coordinator aborts the switch and
-    // the dead agent is started again.
+    // All ranks have promised to stop before a barrier when the coordinating
+    // agent is killed, and nothing is decided. The group and all its answers are
+    // blocked until the next coordinator aborts the switch and the killed agent
+    // is restarted.
     let mut group = MapGroup::start(&[]).await;
     group.until_undecided().await;
     let fencing = group.fencing(AGENTS[1]).await;
     group.cluster.kill(COORDINATOR).await;
     group.heal_control(COORDINATOR);
-    until_succeeded(&group, fencing).await;
+    until_coordinator_replaced(&group, fencing).await;
     group.cluster.start_agent(COORDINATOR).await;
     group.until_switches(2).await;
     group.assert_one_map();
 }
 
-/// Keeps the coordinator from hearing of its decision; false if that came too early
-/// or not at all.
-async fn decided_unheard(group: &MapGroup) -> bool {
-    // The last promise takes as long as an order whose answer is lost.
-    let last = &group.cluster.relays["fake-advisor-03"];
+/// Prevents the coordinator from learning its own decision. Returns false if the decision
+/// reached it first or was not made.
+async fn withhold_decision(group: &MapGroup) -> bool {
+    // Losing the answer delays the last promise by the timeout of an order.
+    let last_engine = &group.cluster.relays["fake-advisor-03"];
     group.until_staged().await;
-    last.lose_answers("POST /map/hold");
+    last_engine.lose_answers("POST /map/hold");
     until("the other engines have promised", || async {
         let maps = group.maps().await;
         let held = |map: &Value| map["held"].is_u64();
@@ -59,36 +59,38 @@
     })
     .await;
     group.mute_control(COORDINATOR);
-    let decided = until("a decision, or none can get through", || async {
-        let maps = group.maps().await;
-        let version = &maps[0]["staged"];
-        if maps[0]["held"].is_null() {
-            return Some(false);
-        }
-        if maps[1]["next"] == *version || maps[1]["version"] == *version {
-            return Some(true);
-        }
-        let held = |map: &Value| map["held"].is_u64();
-        let undecided = maps.iter().all(held) && group.is_redialled(COORDINATOR);
-        undecided.then_some(false)
-    })
+    let decided = until(
+        "a decision is made, or none can be committed any more",
+        || async {
+            let maps = group.maps().await;
+            let version = &maps[0]["staged"];
+            if maps[0]["held"].is_null() {
+                return Some(false);
+            }
+            if maps[1]["next"] == *version || maps[1]["version"] == *version {
+                return Some(true);
+            }
+            let held = |map: &Value| map["held"].is_u64();
+            let undecided = maps.iter().all(held) && group.is_redialled(COORDINATOR);
+            undecided.then_some(false)
+        },
+    )
     .await;
-    last.lose_answers("");
+    last_engine.lose_answers("");
     decided
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn switch_coordinator_killed_in_decision() {
-    // The decision is committed, but the coordinator never learns it and
-    // dies. Its own engine waits at the barrier while the others could go on
-    // with the new map: if it went on with the former one, callers would get
-    // nonsense.
+    // The decision is committed, but the coordinator is killed before it learns
+    // it. Its own engine waits at the barrier while the others may continue with
+    // the new map. If it continued with the previous map, answers would be wrong.
     let mut group = MapGroup::start(&[]).await;
     let mut tries = 0..TRIES;
-    while !decided_unheard(&group).await {
+    while !withhold_decision(&group).await {
         tries
             .next()
-            .expect("no decision was kept from the coordinator");
+            .expect("the coordinator learned every decision");
         group.heal_control(COORDINATOR);
         group.until_switches(1).await;
     }
@@ -102,27 +104,29 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn switch_coordinator_killed_after_decision() {
-    // The coordinator has told some of the decision and dies before it told
-    // all. An agent that was never told finds it in the durable state; until
-    // then its engine waits at the barrier, and the group with it.
+    // The coordinator has sent the decision to some agents and is killed before it
+    // reached all. An agent that didn't get it reads it from the durable state;
+    // until then its engine waits at the barrier, and the group with it.
     let mut group = MapGroup::start(&[]).await;
     let mut tries = 0..TRIES;
     loop {
-        tries.next().expect("nobody was kept from hearing");
-        let deaf = AGENTS[2];
-        // The last promise takes as long as an order whose answer is lost.
-        let last = &group.cluster.relays["fake-advisor-02"];
+        tries
+            .next()
+            .expect("the decision always reached every agent");
+        let isolated = AGENTS[2];
+        // Losing the answer delays the last promise by the timeout of an order.
+        let last_engine = &group.cluster.relays["fake-advisor-02"];
         group.until_staged().await;
-        last.lose_answers("POST /map/hold");
+        last_engine.lose_answers("POST /map/hold");
         until("all engines have promised", || async {
             let maps = group.maps().await;
             let held = |map: &Value| map["held"].is_u64();
             maps.iter().all(held).then_some(())
         })
         .await;
-        last.lose_answers("");
-        group.cut_off(deaf);
-        let told = until("the others are told, or all are", || async {
+        last_engine.lose_answers("");
+        group.cut_off(isolated);
+        let partly_delivered = until("the decision reaches the other agents, or all", || async {
             let maps = group.maps().await;
             let version = &maps[2]["staged"];
             if maps[2]["held"].is_null() {
@@ -132,15 +136,15 @@
             if maps[..2].iter().all(decided) {
                 return Some(true);
             }
-            // Its promise was lost, and the switch with it.
-            let given_up = |map: &Value| map["staged"].is_null() && !decided(map);
-            maps[..2].iter().all(given_up).then_some(false)
+            // The promise was lost, so the switch was aborted.
+            let aborted = |map: &Value| map["staged"].is_null() && !decided(map);
+            maps[..2].iter().all(aborted).then_some(false)
         })
         .await;
-        if told {
+        if partly_delivered {
             break;
         }
-        group.heal(deaf);
+        group.heal(isolated);
     }
     group.cluster.kill(COORDINATOR).await;
     group.heal(AGENTS[2]);
@@ -150,14 +154,14 @@
     group.assert_one_map();
 }
 
-/// The coordinator is frozen with its decision unsent, another one takes over, and it
-/// thaws.
-async fn coordinator_frozen(group: &MapGroup) {
+/// Stops the coordinator process before its decision is sent, lets another agent take
+/// over, resumes the process and asserts that all ranks still use one map.
+async fn assert_frozen_coordinator_harmless(group: &MapGroup) {
     group.until_undecided().await;
     let fencing = group.fencing(AGENTS[1]).await;
     group.cluster.signal(COORDINATOR, "STOP").await;
     group.heal_control(COORDINATOR);
-    until_succeeded(group, fencing).await;
+    until_coordinator_replaced(group, fencing).await;
     group.cluster.signal(COORDINATOR, "CONT").await;
     group.until_switches(2).await;
     group.assert_one_map();
@@ -165,27 +169,27 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn switch_coordinator_frozen_engines_ignore_fencing() {
-    // The agent that coordinates is frozen for so long that another one takes
-    // over and releases the ranks. Then it goes on, believing to be in
-    // charge, and the engines obey whatever order comes: an order under its
+    // The coordinating agent is stopped for so long that another one takes over
+    // and releases the ranks. It then resumes and believes that it still
+    // coordinates, and the engines don't check fencing numbers: an order with its
     // old number would put its rank on a map that the others never used.
     let group = MapGroup::start(&[]).await;
-    coordinator_frozen(&group).await;
+    assert_frozen_coordinator_harmless(&group).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn switch_coordinator_frozen_engines_check_fencing() {
-    // The same with engines that refuse old numbers: the group would stand
-    // still if the outcome came under the number of the frozen coordinator.
+    // The same with engines that refuse old fencing numbers: the group would block
+    // if the outcome were sent with the number of the stopped coordinator.
     let group = MapGroup::start(&["--checks-fencing"]).await;
-    coordinator_frozen(&group).await;
+    assert_frozen_coordinator_harmless(&group).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn switch_rank_hears_nothing() {
-    // One agent is cut off from everything but its engine while a map is
-    // staged. Its engine runs on with the others: if they switched without
-    // it, it would run their steps on the former map.
+async fn switch_agent_partitioned() {
+    // One agent is partitioned from everything but its engine while a map is
+    // staged. Its engine keeps stepping with the others: if they switched without
+    // it, it would run their steps on the previous map.
     let group = MapGroup::start(&[]).await;
     group.until_staged().await;
     group.cut_off(AGENTS[2]);
@@ -198,9 +202,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn switch_order_answer_lost() {
-    // The engine obeys an order, but the answer never comes. An agent that
-    // took the order for lost, or gave it again after the next one, would
-    // leave its engine on another map than the others, or waiting for ever.
+    // The engine executes an order, but the answer is lost. An agent that assumed
+    // that the order was lost, or resent it after the next one, would leave its
+    // engine on another map than the others, or waiting for ever.
     let group = MapGroup::start(&[]).await;
     let to_engine = &group.cluster.relays["fake-advisor-02"];
     to_engine.lose_answers("POST /map");
@@ -212,18 +216,18 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn switch_agent_restarted_while_held() {
-    // An agent dies when its engine has promised to stop and the decision is
-    // on its way, and is started again. It knows nothing; if it let its engine
-    // go, that would pass the barrier on the former map.
+    // An agent is killed when its engine has promised to stop and the decision is
+    // in transit, and is restarted without any state. If it released its engine,
+    // the engine would pass the barrier on the previous map.
     let mut group = MapGroup::start(&[]).await;
     group.until_undecided().await;
     group.cluster.kill(AGENTS[1]).await;
     let relay = "fake-advisor-02";
     let before = group.cluster.relays[relay].connections();
     group.cluster.start_agent(AGENTS[1]).await;
-    until("it has looked at its engine", || async {
-        let looks = group.cluster.relays[relay].connections() - before;
-        (looks >= LOOKS).then_some(())
+    until("the restarted agent has polled its engine", || async {
+        let polls = group.cluster.relays[relay].connections() - before;
+        (polls >= ENGINE_POLLS).then_some(())
     })
     .await;
     group.heal_control(COORDINATOR);
@@ -231,7 +235,7 @@
     group.assert_one_map();
 }
 
-/// Kills an engine and starts it again, on the map that it is started with.
+/// Kills an engine and restarts it, which puts it back on its initial map.
 async fn restart_engine(group: &mut MapGroup, agent: &str) {
     group.cluster.kill(&format!("fake-{agent}")).await;
     group.cluster.start_fake(agent).await;
@@ -239,9 +243,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn join_engine_restarted() {
-    // An engine crashes and comes back on its own, on the map that it was
-    // started with, while the others use another one. A step on both would
-    // send tokens to experts that aren't there.
+    // An engine crashes and is restarted without its agent, on its initial map,
+    // while the others use another one. A step with both maps would send tokens
+    // to ranks that don't hold the expert.
     let mut group = MapGroup::start(&[]).await;
     for agent in [AGENTS[1], AGENTS[0]] {
         restart_engine(&mut group, agent).await;
@@ -253,10 +257,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn join_engine_restarted_while_held() {
-    // An engine promises to stop before a barrier, and the decision is on its
-    // way when it crashes and comes back without its promise. If it joined
-    // before that is settled, it would pass the barrier on the former map
-    // while the others switch.
+    // An engine promises to stop before a barrier, and the decision is in transit
+    // when it crashes and is restarted without its promise. If it joined before
+    // the switch is decided, it would pass the barrier on the previous map while
+    // the others switch.
     let mut group = MapGroup::start(&[]).await;
     group.until_undecided().await;
     restart_engine(&mut group, AGENTS[1]).await;
@@ -267,8 +271,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn join_host_restarted_while_held() {
-    // The whole host is lost at that moment: nobody is left who knows of the
-    // promise.
+    // Agent and engine of a host are both lost after the engine has promised to
+    // stop, so that neither process knows of the promise any more.
     let mut group = MapGroup::start(&[]).await;
     group.until_undecided().await;
     group.cluster.kill(AGENTS[2]).await;
@@ -279,33 +283,35 @@
     group.assert_one_map();
 }
 
-/// Whether ranks hold every expert, by the map that an engine uses.
-async fn is_whole(group: &MapGroup, agent: &str, ranks: Range<usize>) -> bool {
+/// Whether `ranks` together hold every expert of each layer in the map that the engine uses.
+async fn has_all_experts(group: &MapGroup, agent: &str, ranks: Range<usize>) -> bool {
     let layers = group.used(agent).await;
-    let whole = |layer: &Vec<Vec<Option<u64>>>| {
+    let complete = |layer: &Vec<Vec<Option<u64>>>| {
         let held = layer[ranks.clone()].iter().flatten().flatten();
         held.collect::<BTreeSet<_>>().len() == EXPERTS
     };
-    !layers.is_empty() && layers.iter().all(whole)
+    !layers.is_empty() && layers.iter().all(complete)
 }
 
-/// Waits until the ranks that step have every expert.
+/// Waits until `ranks` together hold every expert.
 async fn until_repaired(group: &MapGroup, agent: &str, ranks: Range<usize>) {
     until("every expert has a copy", || async {
-        is_whole(group, agent, ranks.clone()).await.then_some(())
+        has_all_experts(group, agent, ranks.clone())
+            .await
+            .then_some(())
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn repair_host_lost() {
-    // A host is lost for good, with the only copies of some experts. The
-    // other engines form without it and go on, but whatever goes to these
-    // experts gets nonsense until another rank has them.
+    // A host is lost for good, with the only copies of some experts. The other
+    // engines form a group without it and continue, but tokens routed to these
+    // experts get wrong results until another rank has loaded them.
     let mut group = MapGroup::start(&[]).await;
     group.cluster.kill(AGENTS[2]).await;
     group.cluster.kill("fake-advisor-03").await;
-    assert!(!is_whole(&group, AGENTS[0], 0..4).await);
+    assert!(!has_all_experts(&group, AGENTS[0], 0..4).await);
     group.lose_ranks(AGENTS[2]);
     until_repaired(&group, AGENTS[0], 0..4).await;
     group.until_switches(1).await;
@@ -314,15 +320,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn repair_coordinator_lost_and_back() {
-    // The host of the agent that coordinates is lost while a switch hangs.
-    // The next one first lets the others go, then repairs; when the host is
-    // back, it joins on the map of the others.
+    // The host of the coordinating agent is lost while a switch is undecided. The
+    // next coordinator first releases the other ranks, then repairs the map. When
+    // the host is back, it joins on the map of the others.
     let mut group = MapGroup::start(&[]).await;
     group.until_undecided().await;
     group.cluster.kill(COORDINATOR).await;
     group.cluster.kill("fake-advisor-01").await;
     group.heal_control(COORDINATOR);
-    assert!(!is_whole(&group, AGENTS[1], 2..6).await);
+    assert!(!has_all_experts(&group, AGENTS[1], 2..6).await);
     group.lose_ranks(COORDINATOR);
     until_repaired(&group, AGENTS[1], 2..6).await;
     group.cluster.start_fake(COORDINATOR).await;
@@ -334,9 +340,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn repair_not_before_the_engines_say_so() {
-    // The agent of a host is lost, but not its engine, which steps along. To
-    // take it for lost would leave it on the former map.
+async fn repair_agent_lost_engine_stepping() {
+    // The agent of a host is lost, but not its engine, which keeps stepping. If the
+    // rank were treated as lost, its engine would stay on the previous map.
     let mut group = MapGroup::start(&[]).await;
     group.cluster.kill(AGENTS[2]).await;
     until("the agent is missing", || async {
@@ -357,7 +363,7 @@
 /// Experts by layer, rank and slot.
 type Layers = Vec<Vec<Vec<Option<u64>>>>;
 
-/// Layer and number of the experts on each of these ranks.
+/// Layer, rank and expert number of each copy on these ranks.
 fn held(layers: &Layers, ranks: Range<usize>) -> BTreeSet<(usize, usize, u64)> {
     let mut held = BTreeSet::new();
     for (layer, all) in layers.iter().enumerate() {
@@ -371,10 +377,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn repair_within_weight_store_rate() {
-    // A host is lost with the only copies of some experts, and the weight
-    // store gives out an expert each second and no more. If other moves were
-    // loaded along, or the switch were given up after its usual second and
-    // begun anew, answers would be wrong for much longer.
+    // A host is lost with the only copies of some experts, and the weight store
+    // serves only one expert per second. If other moves were loaded as well, or
+    // the switch were aborted after its usual second and restarted, answers would
+    // be wrong for much longer.
     let maps = json!({"expert_bytes": EXPERT_BYTES, "store_bytes_per_s": EXPERT_BYTES,
         "attempt_ms": 1000});
     let group = MapGroup::start_with(&["--drift-steps", "0"], &maps, 1e6).await;
@@ -383,7 +389,7 @@
     group.cluster.kill(AGENTS[2]).await;
     group.cluster.kill("fake-advisor-03").await;
     let before = group.used(AGENTS[0]).await;
-    assert!(!is_whole(&group, AGENTS[0], 0..4).await);
+    assert!(!has_all_experts(&group, AGENTS[0], 0..4).await);
     let served = group.weights.served_bytes();
     group.weights.set_rate(EXPERT_BYTES);
     group.lose_ranks(AGENTS[2]);
@@ -392,7 +398,7 @@
         (after != before).then_some(after)
     })
     .await;
-    assert!(is_whole(&group, AGENTS[0], 0..4).await);
+    assert!(has_all_experts(&group, AGENTS[0], 0..4).await);
     let loaded: Vec<_> = held(&after, 0..4)
         .difference(&held(&before, 0..4))
         .map(|(layer, _, expert)| (*layer, *expert))
