--- a/crates/lovageramp/tests/processes/silent.rs
+++ b/crates/lovageramp/tests/processes/silent.rs
@@ -1,4 +1,4 @@
-//! Connections that go silent for good while new ones work.
+//! Established connections that silently drop all bytes while new connections work.
 
 use crate::support::{
     Cluster, ClusterPlan, Relay, bearer, chat, open_stream, request, reserve, rest, some, until,
@@ -7,24 +7,24 @@
 use serde_json::json;
 use std::net::SocketAddr;
 
-/// Which bytes a connection loses.
+/// Direction in which a connection drops bytes; the server is the side that accepted it.
 #[derive(Clone, Copy)]
-enum Lost {
-    There,
-    Back,
+enum LostDirection {
+    ToServer,
+    FromServer,
     Both,
 }
 
-fn swallow(relay: &Relay, lost: Lost) {
-    if matches!(lost, Lost::There | Lost::Both) {
+fn drop_bytes(relay: &Relay, lost: LostDirection) {
+    if matches!(lost, LostDirection::ToServer | LostDirection::Both) {
         relay.swallow_there();
     }
-    if matches!(lost, Lost::Back | Lost::Both) {
+    if matches!(lost, LostDirection::FromServer | LostDirection::Both) {
         relay.swallow_back();
     }
 }
 
-/// Longer than what an agent sends ahead of the progress that it hears of.
+/// Asks for an answer longer than what an agent sends ahead of acknowledged progress.
 fn body(prompt: &str) -> String {
     json!({"model": "burl-notes", "stream": true, "max_tokens": 1600,
            "messages": [{"role": "user", "content": prompt}]})
@@ -41,7 +41,7 @@
     res.into_body()
 }
 
-async fn cluster(engines: usize) -> Cluster {
+async fn start_cluster(engines: usize) -> Cluster {
     let plan = ClusterPlan {
         entries: 1,
         engines,
@@ -54,54 +54,58 @@
     cluster
 }
 
-/// A stream whose link goes silent is whole in the end.
-async fn link_silent(lost: Lost) {
-    let cluster = cluster(1).await;
+/// Asserts that a caller's stream is complete although the link drops bytes.
+async fn link_silent(lost: LostDirection) {
+    let cluster = start_cluster(1).await;
     let entry = cluster.http("entry-1");
     let mut stream = open(entry, "figure of a burl").await;
-    let got = some(&mut stream, 2_000).await;
-    swallow(&cluster.relays["advisor-01"], lost);
-    let whole = rest(stream, got).await;
+    let received = some(&mut stream, 2_000).await;
+    drop_bytes(&cluster.relays["advisor-01"], lost);
+    let full_body = rest(stream, received).await;
     let bearer = bearer("huber");
     let headers = [("authorization", bearer.as_str())];
     let fake = cluster.http("fake-advisor-01");
     let path = "/v1/chat/completions";
-    let truth = request(fake, "POST", path, &headers, body("figure of a burl")).await;
-    assert_eq!(whole, truth.unwrap().body);
+    let expected = request(fake, "POST", path, &headers, body("figure of a burl")).await;
+    assert_eq!(full_body, expected.unwrap().body);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn link_silent_there() {
-    // What the entry sends to the agent is lost, and what comes back isn't.
-    // The caller's stream must go on over a fresh link.
-    link_silent(Lost::There).await;
+async fn link_silent_to_agent() {
+    // Bytes from the entry to the agent are lost; the other direction works.
+    // The caller's stream must continue over a new link.
+    link_silent(LostDirection::ToServer).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn link_silent_back() {
-    // What the agent sends to the entry is lost. The caller would wait for
-    // ever, since nothing ever fails on such a connection.
-    link_silent(Lost::Back).await;
+async fn link_silent_from_agent() {
+    // Bytes from the agent to the entry are lost. Without a timeout the caller
+    // would wait for ever, since such a connection reports no error.
+    link_silent(LostDirection::FromServer).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn link_silent_both_ways() {
-    // A middle box has lost track of the link in both directions.
-    link_silent(Lost::Both).await;
+    // Both directions are lost, as when a middlebox drops its connection state.
+    link_silent(LostDirection::Both).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn reservation_over_silent_link() {
-    // The link goes silent just before a reservation is sent over it. Nobody
-    // can tell at first whether it arrived; in the end it ran once, and its
-    // caller has the answer or asks again and gets it.
-    let cluster = cluster(1).await;
+    // The link drops bytes just before a reservation is sent over it, so that it
+    // is at first unknown whether it arrived. It must run exactly once, and the
+    // caller gets the answer, if need be by a retry.
+    let cluster = start_cluster(1).await;
     let entry = cluster.http("entry-1");
-    for (number, lost) in [Lost::There, Lost::Back, Lost::Both]
-        .into_iter()
-        .enumerate()
+    for (number, lost) in [
+        LostDirection::ToServer,
+        LostDirection::FromServer,
+        LostDirection::Both,
+    ]
+    .into_iter()
+    .enumerate()
     {
-        swallow(&cluster.relays["desk-01"], lost);
+        drop_bytes(&cluster.relays["desk-01"], lost);
         let key = format!("lot-{number}");
         let answer = until("an answer to the reservation", || async {
             let answer = reserve(entry, "huber", &key, "maple burl").await.ok()?;
@@ -115,25 +119,29 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn control_links_silent() {
-    // The links of entry and agent to control go silent. Both must dial afresh
-    // before their leases run out, or all work would stop.
-    let cluster = cluster(1).await;
+    // The links of entry and agent to control drop bytes. Both must reconnect
+    // before their leases expire, or no request could be served.
+    let cluster = start_cluster(1).await;
     let entry = cluster.http("entry-1");
-    for lost in [Lost::There, Lost::Back, Lost::Both] {
+    for lost in [
+        LostDirection::ToServer,
+        LostDirection::FromServer,
+        LostDirection::Both,
+    ] {
         let to_control = cluster
             .relays
             .iter()
             .filter(|(name, _)| name.starts_with("entry-1>") || name.starts_with("advisor-01>"));
         for (_, relay) in to_control {
-            swallow(relay, lost);
+            drop_bytes(relay, lost);
         }
         let before = cluster.relays["entry-1>control-1"].connections();
-        until("a fresh connection", || async {
+        until("a new connection to control", || async {
             let now = cluster.relays["entry-1>control-1"].connections();
             (now > before).then_some(())
         })
         .await;
-        until("work goes on", || async {
+        until("requests are served", || async {
             let answer = chat(entry, "huber", "hello", false).await.ok()?;
             (answer.status == 200).then_some(())
         })
@@ -143,16 +151,20 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn engine_connection_silent() {
-    // The connection between an agent and its engine goes silent in
-    // mid-stream. The caller's stream goes on, at this target or another one.
-    let cluster = cluster(2).await;
+    // The connection between an agent and its engine drops bytes in
+    // mid-stream. The caller's stream continues, at this target or another one.
+    let cluster = start_cluster(2).await;
     let entry = cluster.http("entry-1");
-    for lost in [Lost::There, Lost::Back, Lost::Both] {
+    for lost in [
+        LostDirection::ToServer,
+        LostDirection::FromServer,
+        LostDirection::Both,
+    ] {
         let mut stream = open(entry, "knots and bark").await;
-        let got = some(&mut stream, 2_000).await;
-        swallow(&cluster.relays["fake-advisor-01"], lost);
-        swallow(&cluster.relays["fake-advisor-02"], lost);
-        let whole = rest(stream, got).await;
-        assert!(whole.ends_with(b"data: [DONE]\n\n"));
+        let received = some(&mut stream, 2_000).await;
+        drop_bytes(&cluster.relays["fake-advisor-01"], lost);
+        drop_bytes(&cluster.relays["fake-advisor-02"], lost);
+        let full_body = rest(stream, received).await;
+        assert!(full_body.ends_with(b"data: [DONE]\n\n"));
     }
 }
--- a/crates/lovageramp/tests/processes/silent_callers.rs
+++ b/crates/lovageramp/tests/processes/silent_callers.rs
@@ -1,20 +1,20 @@
-//! Callers that go silent in the middle of a request, before a real entry.
+//! Callers that stop sending or reading in the middle of a request, at a real entry.
 
 use crate::support::{Cluster, ClusterPlan, bearer, chat, until};
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Silent callers of each kind.
-const EACH: usize = 40;
-/// Tokens of an answer that no socket's buffers hold.
-const TOKENS: usize = 200_000;
-/// Bytes that one silent caller may cost its entry: the window of an answer, the events
-/// and bytes that wait for its socket, and what a connection takes.
-const MOST_EACH: u64 = 1 << 20;
+/// Stalled callers of each kind.
+const CALLERS_PER_KIND: usize = 40;
+/// Tokens of an answer: more than the socket buffers hold.
+const ANSWER_TOKENS: usize = 200_000;
+/// Memory that one stalled caller may take at its entry: the window of an answer, the
+/// events and bytes queued for its socket, and the connection itself.
+const MAX_BYTES_PER_CALLER: u64 = 1 << 20;
 
-/// Half the head of a request.
-const HALF_A_HEAD: &str = "POST /v1/chat/completions HTTP/1.1\r\nhost: entry\r\nauthoriz";
+/// An incomplete request head.
+const PARTIAL_HEAD: &str = "POST /v1/chat/completions HTTP/1.1\r\nhost: entry\r\nauthoriz";
 
 fn stalled_body() -> String {
     let bearer = bearer("huber");
@@ -24,11 +24,12 @@
     )
 }
 
-/// A request for a long stream, which is then not read.
+/// A request for a long stream, which the caller doesn't read.
 fn unread_stream() -> String {
     let bearer = bearer("huber");
-    let body =
-        format!(r#"{{"model":"burl-notes","stream":true,"max_tokens":{TOKENS},"messages":[]}}"#);
+    let body = format!(
+        r#"{{"model":"burl-notes","stream":true,"max_tokens":{ANSWER_TOKENS},"messages":[]}}"#
+    );
     let length = body.len();
     format!(
         "POST /v1/chat/completions HTTP/1.1\r\nhost: entry\r\nauthorization: {bearer}\r\n\
@@ -42,18 +43,19 @@
     stream
 }
 
-/// Reads until the entry ends the connection; what it said.
-async fn until_ended(mut stream: TcpStream) -> String {
+/// Reads until the entry closes the connection and returns what was received.
+async fn read_until_closed(mut stream: TcpStream) -> String {
     let mut read = Vec::new();
-    // A reset ends it too.
+    // A reset closes the connection too.
     let _ = stream.read_to_end(&mut read).await;
     String::from_utf8_lossy(&read).into_owned()
 }
 
-/// Callers go silent for good: with half a head sent, with half a body, and in the middle
-/// of an answer that they don't read. Each would hold its connection, its memory and its
-/// place at a target for ever, and after enough of them nobody got in. The others are
-/// served meanwhile, and the silent ones are given up within the entry's times.
+/// Callers stall for good: with an incomplete head, with an incomplete body, and while
+/// they don't read an answer. Without timeouts each would hold its connection, its memory
+/// and its concurrency slot at a target for ever, until no other caller was served.
+/// Other callers must be served meanwhile, and the entry must close the stalled
+/// connections within `receive_ms` and `stall_ms`.
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_callers_given_up() {
     let mut cluster = Cluster::start(ClusterPlan {
@@ -75,11 +77,11 @@
     let before = cluster.processes["entry-1"].resident_bytes();
 
     let (mut heads, mut bodies, mut unread) = (Vec::new(), Vec::new(), Vec::new());
-    for _ in 0..EACH {
-        heads.push(send(entry, HALF_A_HEAD).await);
+    for _ in 0..CALLERS_PER_KIND {
+        heads.push(send(entry, PARTIAL_HEAD).await);
         bodies.push(send(entry, &stalled_body()).await);
         let mut stream = send(entry, &unread_stream()).await;
-        // It runs once the answer has begun.
+        // The request runs once the answer has begun.
         stream.read_exact(&mut [0; 8]).await.unwrap();
         unread.push(stream);
     }
@@ -87,26 +89,32 @@
         let answer = chat(entry, "maier", "hello", true).await.unwrap();
         assert_eq!(answer.status, 200, "{}", answer.text());
     }
-    let held = cluster.processes["entry-1"].resident_bytes();
-    let each = held.saturating_sub(before) / (3 * EACH as u64);
-    assert!(each < MOST_EACH, "{each} bytes for each silent caller");
+    let resident = cluster.processes["entry-1"].resident_bytes();
+    let bytes_per_caller = resident.saturating_sub(before) / (3 * CALLERS_PER_KIND as u64);
+    assert!(
+        bytes_per_caller < MAX_BYTES_PER_CALLER,
+        "{bytes_per_caller} bytes for each stalled caller"
+    );
 
-    // Nothing is read from these until the engine has been told to stop.
-    until("no silent stream runs at the engine any more", || async {
+    // The streams are not read before the engine has been told to stop.
+    until("no stalled stream runs at the engine any more", || async {
         (cluster.open_at("advisor-01").await == 0).then_some(())
     })
     .await;
     for stream in unread {
-        let said = until_ended(stream).await;
-        assert!(!said.contains("[DONE]"), "a broken stream taken for whole");
+        let response = read_until_closed(stream).await;
+        assert!(
+            !response.contains("[DONE]"),
+            "a truncated stream ended as if it were complete"
+        );
     }
     for stream in bodies {
-        let said = until_ended(stream).await;
-        assert!(said.starts_with("HTTP/1.1 408"), "{said:?}");
-        assert!(said.contains("\"ran\":\"no\""), "{said:?}");
+        let response = read_until_closed(stream).await;
+        assert!(response.starts_with("HTTP/1.1 408"), "{response:?}");
+        assert!(response.contains("\"ran\":\"no\""), "{response:?}");
     }
     for stream in heads {
-        until_ended(stream).await;
+        read_until_closed(stream).await;
     }
     let answer = chat(entry, "maier", "hello", true).await.unwrap();
     assert_eq!(answer.status, 200);
