--- a/crates/lovageramp/tests/processes/moments.rs
+++ b/crates/lovageramp/tests/processes/moments.rs
@@ -1,14 +1,14 @@
-//! An entry is killed at exact moments of a reservation, which a relay forces by holding
-//! bytes between two processes. Whatever the moment, the reservation runs at most once,
-//! and the buyer who sends it again through another entry learns what came of it.
+//! An entry is killed at a defined step of a reservation, which a relay forces by holding
+//! bytes between two processes. At each step the reservation must run at most once, and
+//! the caller who retries it through another entry must get its result.
 
 use crate::support::{Answer, Cluster, ClusterPlan, Relay, get, reserve, until};
 use serde_json::json;
 
 const KEY: &str = "lot-1";
-/// What the buyer sends; the answer repeats it.
+/// Body of the request, which the answer echoes.
 const BODY: &str = "burl-4711";
-/// Bytes that only the answer has.
+/// Bytes that occur only in the answer.
 const ANSWER: &str = r#""body":"burl-4711""#;
 
 fn plan() -> ClusterPlan {
@@ -21,28 +21,29 @@
     }
 }
 
-async fn cluster() -> Cluster {
+async fn start_cluster() -> Cluster {
     let cluster = Cluster::start(plan()).await;
     cluster.offer().await;
     cluster
 }
 
 /// The relays between entry-1 and all controls.
-fn before_controls(cluster: &Cluster) -> Vec<String> {
+fn control_relays(cluster: &Cluster) -> Vec<String> {
     let relays = cluster.relays.keys();
     let relays = relays.filter(|name| name.starts_with("entry-1>"));
     relays.cloned().collect()
 }
 
 /// The relays between each agent and its service.
-fn before_services(cluster: &Cluster) -> Vec<String> {
+fn service_relays(cluster: &Cluster) -> Vec<String> {
     let agents = cluster.agents().into_iter();
     agents.map(|agent| format!("fake-{agent}")).collect()
 }
 
-/// Sends a reservation to entry-1 and kills that entry once one of the relays holds what
-/// `arm` has told it to. Nothing else is held any more. Returns the one that holds.
-async fn kill_when_held(cluster: &mut Cluster, relays: &[String], arm: fn(&Relay)) -> String {
+/// Sends a reservation to entry-1 and kills that entry once one of the relays holds the
+/// bytes selected by `arm`. Afterwards no relay holds other bytes. Returns the name of the
+/// relay that holds them.
+async fn kill_entry_when_held(cluster: &mut Cluster, relays: &[String], arm: fn(&Relay)) -> String {
     for relay in relays {
         arm(&cluster.relays[relay]);
     }
@@ -58,9 +59,9 @@
     held
 }
 
-/// Sends the reservation again through the other entry until it has its answer.
-async fn until_answered(cluster: &Cluster) -> Answer {
-    let answer = until("the reservation has its answer", || async {
+/// Retries the reservation through the other entry until it is answered with 200.
+async fn retry_until_answered(cluster: &Cluster) -> Answer {
+    let answer = until("the reservation is answered", || async {
         let answer = reserve(cluster.http("entry-2"), "huber", KEY, BODY).await;
         let answer = answer.unwrap();
         if answer.status != 200 {
@@ -73,51 +74,51 @@
     answer
 }
 
-/// What is held goes on at last. It must change nothing.
-async fn assert_once_after_release(cluster: &Cluster, held: &str, answer: &Answer) {
+/// Releases the held bytes, which must change nothing.
+async fn assert_ran_once_after_release(cluster: &Cluster, held: &str, answer: &Answer) {
     cluster.relays[held].release();
-    let again = until_answered(cluster).await;
+    let again = retry_until_answered(cluster).await;
     assert_eq!(again.body, answer.body);
     assert_eq!(cluster.ran(KEY).await, 1);
 }
 
-/// Killed while its claim is on the way to control: nothing is recorded. The claim comes
+/// Killed while its claim is in transit to control: nothing is recorded. The claim arrives
 /// after the reservation was made through the other entry.
 #[tokio::test(flavor = "multi_thread")]
 async fn entry_killed_before_claim() {
-    let mut cluster = cluster().await;
-    let relays = before_controls(&cluster);
-    let held = kill_when_held(&mut cluster, &relays, |relay| relay.hold_there(KEY)).await;
+    let mut cluster = start_cluster().await;
+    let relays = control_relays(&cluster);
+    let held = kill_entry_when_held(&mut cluster, &relays, |relay| relay.hold_there(KEY)).await;
     assert_eq!(cluster.ran(KEY).await, 0);
-    let answer = until_answered(&cluster).await;
-    assert_once_after_release(&cluster, &held, &answer).await;
+    let answer = retry_until_answered(&cluster).await;
+    assert_ran_once_after_release(&cluster, &held, &answer).await;
 }
 
-/// Killed after its claim is committed, while the start is on the way to the agent. The
-/// key is held by an attempt that nobody starts, until the other entry bars it.
+/// Killed after its claim is committed, while the start message is in transit to the agent.
+/// The key is held by an attempt that is never started, until the other entry bars it.
 #[tokio::test(flavor = "multi_thread")]
 async fn entry_killed_after_claim() {
-    let mut cluster = cluster().await;
+    let mut cluster = start_cluster().await;
     let relays = cluster.agents();
-    let held = kill_when_held(&mut cluster, &relays, |relay| relay.hold_there(KEY)).await;
+    let held = kill_entry_when_held(&mut cluster, &relays, |relay| relay.hold_there(KEY)).await;
     assert_eq!(cluster.ran(KEY).await, 0);
-    let answer = until_answered(&cluster).await;
-    assert_once_after_release(&cluster, &held, &answer).await;
+    let answer = retry_until_answered(&cluster).await;
+    assert_ran_once_after_release(&cluster, &held, &answer).await;
 }
 
-/// Killed after the agent has taken the start, before the service has read the call. The
-/// other entry waits for the run that is under way.
+/// Killed after the agent has accepted the start, before the service has read the call. The
+/// other entry waits for the run in progress.
 #[tokio::test(flavor = "multi_thread")]
 async fn entry_killed_after_start() {
-    let mut cluster = cluster().await;
-    let relays = before_services(&cluster);
-    let held = kill_when_held(&mut cluster, &relays, |relay| relay.hold_there(KEY)).await;
+    let mut cluster = start_cluster().await;
+    let relays = service_relays(&cluster);
+    let held = kill_entry_when_held(&mut cluster, &relays, |relay| relay.hold_there(KEY)).await;
     assert_eq!(cluster.ran(KEY).await, 0);
     let entry = cluster.http("entry-2");
     let again = tokio::spawn(async move { reserve(entry, "huber", KEY, BODY).await });
     cluster.relays[&held].release();
     let again = again.await.unwrap().unwrap();
-    let answer = until_answered(&cluster).await;
+    let answer = retry_until_answered(&cluster).await;
     if again.status == 200 {
         assert_eq!(again.body, answer.body);
     } else {
@@ -126,43 +127,43 @@
     assert_eq!(cluster.ran(KEY).await, 1);
 }
 
-/// Killed after the run is over, while the answer is on the way from the agent: nothing
-/// of it is recorded, and the other entry fetches it from the agent.
+/// Killed after the run has ended, while the answer is in transit from the agent: the
+/// answer is not recorded, and the other entry fetches it from the agent.
 #[tokio::test(flavor = "multi_thread")]
 async fn entry_killed_before_answer_comes() {
-    let mut cluster = cluster().await;
+    let mut cluster = start_cluster().await;
     let relays = cluster.agents();
-    let held = kill_when_held(&mut cluster, &relays, |relay| relay.hold_back(ANSWER)).await;
+    let held = kill_entry_when_held(&mut cluster, &relays, |relay| relay.hold_back(ANSWER)).await;
     assert_eq!(cluster.ran(KEY).await, 1);
-    let answer = until_answered(&cluster).await;
-    assert_once_after_release(&cluster, &held, &answer).await;
+    let answer = retry_until_answered(&cluster).await;
+    assert_ran_once_after_release(&cluster, &held, &answer).await;
 }
 
-/// Killed while its record of the answer is on the way to control. The same answer is
-/// recorded twice in the end, and the reservation made once.
+/// Killed while its record of the answer is in transit to control. In the end the same
+/// answer is recorded twice, and the reservation made once.
 #[tokio::test(flavor = "multi_thread")]
 async fn entry_killed_before_finish() {
-    let mut cluster = cluster().await;
-    let relays = before_controls(&cluster);
-    let held = kill_when_held(&mut cluster, &relays, |relay| relay.hold_there(ANSWER)).await;
+    let mut cluster = start_cluster().await;
+    let relays = control_relays(&cluster);
+    let held = kill_entry_when_held(&mut cluster, &relays, |relay| relay.hold_there(ANSWER)).await;
     assert_eq!(cluster.ran(KEY).await, 1);
-    let answer = until_answered(&cluster).await;
-    assert_once_after_release(&cluster, &held, &answer).await;
+    let answer = retry_until_answered(&cluster).await;
+    assert_ran_once_after_release(&cluster, &held, &answer).await;
 }
 
-/// Killed when the answer is recorded and the word of that is on the way back from
-/// control: the buyer hears nothing, and gets the recorded answer from the other entry.
+/// Killed after the answer is recorded, while the confirmation is in transit from control:
+/// the caller gets no answer, and gets the recorded one from the other entry.
 #[tokio::test(flavor = "multi_thread")]
 async fn entry_killed_before_caller_is_answered() {
-    let mut cluster = cluster().await;
-    let relays = before_controls(&cluster);
-    let held = kill_when_held(&mut cluster, &relays, |relay| relay.hold_back(ANSWER)).await;
+    let mut cluster = start_cluster().await;
+    let relays = control_relays(&cluster);
+    let held = kill_entry_when_held(&mut cluster, &relays, |relay| relay.hold_back(ANSWER)).await;
     assert_eq!(cluster.ran(KEY).await, 1);
-    let answer = until_answered(&cluster).await;
-    assert_once_after_release(&cluster, &held, &answer).await;
+    let answer = retry_until_answered(&cluster).await;
+    assert_ran_once_after_release(&cluster, &held, &answer).await;
 }
 
-/// How many attempts an agent remembers.
+/// The agent's `agent_attempts_remembered` metric.
 async fn remembered(cluster: &Cluster, agent: &str) -> Option<u64> {
     let metrics = get(cluster.http(agent), "/metrics", &[]).await.ok()?.text();
     let mut lines = metrics.lines();
@@ -170,9 +171,9 @@
     line?.trim().parse().ok()
 }
 
-/// An entry stands still between its claim and its start. Meanwhile the other entry has
-/// the attempt barred and makes the reservation, and the agent forgets the bar, as it does
-/// after its time. When the entry goes on it must not start its attempt.
+/// An entry is stopped between its claim and its start. Meanwhile the other entry has the
+/// attempt barred and makes the reservation, and the agent forgets the bar after
+/// `remember_ms`. When the entry resumes it must not start its attempt.
 #[tokio::test(flavor = "multi_thread")]
 async fn entry_stopped_before_start() {
     let cluster = Cluster::start(ClusterPlan {
@@ -181,7 +182,7 @@
     })
     .await;
     cluster.offer().await;
-    let relays = before_controls(&cluster);
+    let relays = control_relays(&cluster);
     for relay in &relays {
         cluster.relays[relay].hold_there(KEY);
     }
@@ -192,7 +193,7 @@
     for relay in &relays {
         cluster.relays[relay].release();
     }
-    let answer = until_answered(&cluster).await;
+    let answer = retry_until_answered(&cluster).await;
     for agent in cluster.agents() {
         until("the bar is forgotten", || async {
             let remembered = remembered(&cluster, &agent).await?;
--- a/crates/lovageramp/tests/processes/not_run.rs
+++ b/crates/lovageramp/tests/processes/not_run.rs
@@ -1,4 +1,4 @@
-//! "Not run" told to callers, compared with what the targets saw.
+//! Compares the `ran` value reported to callers with the calls that the targets received.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -7,27 +7,27 @@
 
 use crate::support::{Cluster, ClusterPlan, bearer, request, reserve, until};
 
-/// What a caller was told of one call.
-struct Told {
+/// What the answer to one call reported.
+struct Reported {
     key: String,
     status: u16,
     ran: String,
 }
 
-/// Callers that reserve lots, each under a key of its own, until told to stop.
+/// Callers that make reservations, each with a new idempotency key, until stopped.
 struct Callers {
-    told: Arc<Mutex<Vec<Told>>>,
+    reported: Arc<Mutex<Vec<Reported>>>,
     stop: Arc<AtomicBool>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
 }
 
 impl Callers {
     fn start(entries: &Arc<Mutex<Vec<SocketAddr>>>) -> Callers {
-        let told: Arc<Mutex<Vec<Told>>> = Arc::default();
+        let reported: Arc<Mutex<Vec<Reported>>> = Arc::default();
         let stop = Arc::new(AtomicBool::new(false));
         let next = Arc::new(AtomicU64::new(0));
         let tasks = (0..8).map(|_| {
-            let (told, stop) = (Arc::clone(&told), Arc::clone(&stop));
+            let (reported, stop) = (Arc::clone(&reported), Arc::clone(&stop));
             let (next, entries) = (Arc::clone(&next), Arc::clone(entries));
             tokio::spawn(async move {
                 while !stop.load(Ordering::Relaxed) {
@@ -36,35 +36,39 @@
                         let entries = entries.lock().unwrap();
                         entries[usize::try_from(number).unwrap() % entries.len()]
                     };
-                    call(entry, format!("lot-{number}"), &told).await;
+                    call(entry, format!("lot-{number}"), &reported).await;
                 }
             })
         });
         let tasks = tasks.collect();
-        Callers { told, stop, tasks }
+        Callers {
+            reported,
+            stop,
+            tasks,
+        }
     }
 
-    /// Waits until so many more calls were answered.
+    /// Waits until `more` further calls are answered.
     async fn answered(&self, more: usize) {
-        let goal = self.told.lock().unwrap().len() + more;
+        let goal = self.reported.lock().unwrap().len() + more;
         until("calls are answered", || async {
-            (self.told.lock().unwrap().len() >= goal).then_some(())
+            (self.reported.lock().unwrap().len() >= goal).then_some(())
         })
         .await;
     }
 
-    async fn finish(self) -> Vec<Told> {
+    async fn finish(self) -> Vec<Reported> {
         self.stop.store(true, Ordering::Relaxed);
         for task in self.tasks {
             task.await.unwrap();
         }
-        std::mem::take(&mut *self.told.lock().unwrap())
+        std::mem::take(&mut *self.reported.lock().unwrap())
     }
 }
 
-async fn call(entry: SocketAddr, key: String, told: &Mutex<Vec<Told>>) {
+async fn call(entry: SocketAddr, key: String, reported: &Mutex<Vec<Reported>>) {
     let Ok(answer) = reserve(entry, "huber", &key, "{}").await else {
-        // The entry was killed: it told nothing.
+        // The entry was killed before it answered.
         tokio::time::sleep(Duration::from_millis(20)).await;
         return;
     };
@@ -74,15 +78,15 @@
         answer.json()["ran"].as_str().unwrap_or("-").to_owned()
     };
     let status = answer.status;
-    told.lock().unwrap().push(Told { key, status, ran });
+    reported.lock().unwrap().push(Reported { key, status, ran });
     if status != 200 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Agents and entries are killed, stopped and cut off while buyers reserve
-/// lots. A buyer who is told "not run" reserves again under another key: had
-/// the first call run, the burl would be sold twice.
+/// Agents and entries are killed, stopped and partitioned while callers make
+/// reservations. A caller that gets `"ran": "no"` may retry with another key, so if the
+/// first call had run after all, the same lot would be reserved twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn reserve_told_not_run() {
     let plan = ClusterPlan {
@@ -114,7 +118,7 @@
     callers.answered(30).await;
     cluster.start_agent("desk-01").await;
 
-    // A service runs calls and its answers are lost.
+    // A service runs calls, but its answers are lost.
     cluster.fault("desk-03", "lose-answer", "").await;
     callers.answered(40).await;
     cluster.fault("desk-03", "clear", "").await;
@@ -147,35 +151,35 @@
     let leader = cluster.leader().await;
     cluster.kill(&leader).await;
     callers.answered(30).await;
-    let told = callers.finish().await;
+    let reported = callers.finish().await;
 
-    // What was told is compared once nothing runs any more.
-    let (mut yes, mut no) = (0, 0);
-    for told in &told {
-        let ran = cluster.ran(&told.key).await;
-        let Told {
+    // The reports are compared once no call runs any more.
+    let (mut ran_count, mut not_run_count) = (0, 0);
+    for reported in &reported {
+        let ran = cluster.ran(&reported.key).await;
+        let Reported {
             key,
             status,
-            ran: word,
-        } = told;
+            ran: claim,
+        } = reported;
         assert!(ran <= 1, "{key} ran {ran} times");
-        match word.as_str() {
+        match claim.as_str() {
             "yes" => assert_eq!(ran, 1, "{key} answered with {status}"),
-            "no" => assert_eq!(ran, 0, "{key} told not run, with {status}"),
+            "no" => assert_eq!(ran, 0, "{key} reported as not run with {status}"),
             other => assert_eq!(other, "unknown", "{key} with {status}"),
         }
-        yes += u32::from(word == "yes");
-        no += u32::from(word == "no");
+        ran_count += u32::from(claim == "yes");
+        not_run_count += u32::from(claim == "no");
     }
-    let all = told.len();
-    println!("{all} calls answered: {yes} ran, {no} told not run");
-    assert!(yes > 100);
+    let all = reported.len();
+    println!("{all} calls answered: {ran_count} ran, {not_run_count} reported as not run");
+    assert!(ran_count > 100);
 }
 
-/// Path, headers and the status that is expected.
-type Refused<'a> = (&'a str, &'a [(&'a str, &'a str)], u16);
+/// Path, headers and expected status.
+type RefusedCall<'a> = (&'a str, &'a [(&'a str, &'a str)], u16);
 
-/// Requests that are refused before anything is sent, each told "not run".
+/// Requests that are refused before anything is sent to a target report `"ran": "no"`.
 #[tokio::test(flavor = "multi_thread")]
 async fn refused_before_sent() {
     let plan = ClusterPlan {
@@ -189,24 +193,24 @@
     let entry = cluster.http("entry-1");
     let before = cluster.ran_at("desk-01", "").await;
     let key = bearer("huber");
-    let known = ("authorization", key.as_str());
-    let calls: [Refused; 5] = [
+    let credentials = ("authorization", key.as_str());
+    let calls: [RefusedCall; 5] = [
         ("/s/order-desk/reservations", &[], 401),
         (
             "/s/order-desk/reservations",
             &[("authorization", "Bearer x")],
             401,
         ),
-        ("/s/order-desk/reservations", &[known], 400),
+        ("/s/order-desk/reservations", &[credentials], 400),
         (
             "/s/no-such-desk/reservations",
-            &[known, ("idempotency-key", "k")],
+            &[credentials, ("idempotency-key", "k")],
             404,
         ),
         (
             "/s/order-desk/x",
             &[
-                known,
+                credentials,
                 ("idempotency-key", "k"),
                 ("x-request-timeout-ms", "-1"),
             ],
