--- a/crates/lovageramp/tests/processes/release_notes.rs
+++ b/crates/lovageramp/tests/processes/release_notes.rs
@@ -10,8 +10,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Few processes: what is shown here is between controls, entries and agents.
-fn small() -> ClusterPlan {
+/// A small deployment: these tests concern controls, entries and agents, not targets.
+fn small_plan() -> ClusterPlan {
     ClusterPlan {
         controls: 3,
         entries: 2,
@@ -25,17 +25,17 @@
     json!({"number": number, "added": [account_item(name)]})
 }
 
-/// What an operator did, with what came back.
+/// An operation of an operator and its result.
 #[derive(Clone, Debug)]
 enum Op {
-    /// Sent a note of this number with this content.
-    Submit(u64, u64, Submitted),
-    /// Asked for the newest number.
+    /// Submits a note: number, content and outcome.
+    Submit(u64, u64, SubmitOutcome),
+    /// Reads the newest accepted number.
     Newest(Option<u64>),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Submitted {
+enum SubmitOutcome {
     Accepted,
     Repeated,
     Conflict,
@@ -44,7 +44,7 @@
     Unknown,
 }
 
-/// The sequential model: a list of notes, by number.
+/// The sequential specification: a list of notes, by number.
 struct Notes;
 
 impl Specification for Notes {
@@ -59,35 +59,35 @@
         let newest = notes.len() as u64;
         match op {
             Op::Newest(seen) => (*seen == Some(newest), notes.clone()),
-            Op::Submit(number, content, what) => {
-                let held = notes.get(usize::try_from(*number - 1).unwrap());
-                let truth = match held {
-                    Some(held) if held == content => Submitted::Repeated,
-                    Some(_) => Submitted::Conflict,
-                    None if *number == newest + 1 => Submitted::Accepted,
-                    None => Submitted::Gap,
+            Op::Submit(number, content, outcome) => {
+                let existing = notes.get(usize::try_from(*number - 1).unwrap());
+                let expected = match existing {
+                    Some(existing) if existing == content => SubmitOutcome::Repeated,
+                    Some(_) => SubmitOutcome::Conflict,
+                    None if *number == newest + 1 => SubmitOutcome::Accepted,
+                    None => SubmitOutcome::Gap,
                 };
                 let mut after = notes.clone();
-                if truth == Submitted::Accepted {
+                if expected == SubmitOutcome::Accepted {
                     after.push(*content);
                 }
-                // The host that took the note sends it on again when the leader's
-                // answer is lost: then the one who sent it is told "repeated" for
-                // what was accepted by his own sending. Either way his note stands.
-                let resent = *what == Submitted::Repeated && truth == Submitted::Accepted;
-                let valid = *what == Submitted::Unknown || *what == truth || resent;
+                // The host that received the note resends it to the leader when the
+                // leader's answer is lost. The operator then gets "repeated" although
+                // the note was accepted by this very call. Either way the note stands.
+                let resent =
+                    *outcome == SubmitOutcome::Repeated && expected == SubmitOutcome::Accepted;
+                let valid = *outcome == SubmitOutcome::Unknown || *outcome == expected || resent;
                 (valid, after)
             }
         }
     }
 }
 
-/// Several operators send notes with the same numbers through different hosts, and the
-/// leader is killed and comes back in between. Each must be told truly what became of
-/// his note, as if all had come one after the other.
+/// Several operators send notes with the same numbers through different hosts while the
+/// leader is killed and restarted. The outcomes reported to them must be linearizable.
 #[tokio::test(flavor = "multi_thread")]
 async fn notes_racing_operators_linearizable() {
-    let mut cluster = Cluster::start(small()).await;
+    let mut cluster = Cluster::start(small_plan()).await;
     cluster.offer().await;
     let hosts = ["entry-1", "entry-2"].map(|name| cluster.http(name));
     let history = Arc::new(Mutex::new(Vec::new()));
@@ -95,7 +95,7 @@
         .map(|operator| {
             let history = Arc::clone(&history);
             let host = hosts[operator % hosts.len()];
-            tokio::spawn(operate(operator, host, history))
+            tokio::spawn(run_operator(operator, host, history))
         })
         .collect();
     let leader = cluster.leader().await;
@@ -117,31 +117,31 @@
 
 type Actions = Arc<Mutex<Vec<(usize, Action<Op>)>>>;
 
-/// One operator: reads the newest number and sends a note with the next one, and sends
-/// it again each third time.
-async fn operate(process: usize, host: std::net::SocketAddr, history: Actions) {
-    let mut lost = Vec::new();
+/// Runs one operator, which reads the newest number and sends a note with the next one,
+/// and sends it a second time in each third round.
+async fn run_operator(process: usize, host: std::net::SocketAddr, history: Actions) {
+    let mut unanswered = Vec::new();
     for round in 0..6_u64 {
         let newest = newest(process, host, &history).await;
         let content = process as u64 * 100 + round;
         for _ in 0..=(round % 3 / 2) {
             let number = newest + 1;
-            let call = Action::Call(Op::Submit(number, content, Submitted::Unknown));
+            let call = Action::Call(Op::Submit(number, content, SubmitOutcome::Unknown));
             history.lock().unwrap().push((process, call));
-            let what = submit(host, number, content).await;
-            let response = Action::Response(Op::Submit(number, content, what));
-            if what == Submitted::Unknown {
-                // It may take effect at any later time: it is answered at the end.
-                lost.push(response);
+            let outcome = submit(host, number, content).await;
+            let response = Action::Response(Op::Submit(number, content, outcome));
+            if outcome == SubmitOutcome::Unknown {
+                // It may take effect at any later time, so its response is recorded at the end.
+                unanswered.push(response);
                 break;
             }
             history.lock().unwrap().push((process, response));
         }
-        if !lost.is_empty() {
+        if !unanswered.is_empty() {
             break;
         }
     }
-    for response in lost {
+    for response in unanswered {
         history.lock().unwrap().push((process, response));
     }
 }
@@ -170,30 +170,30 @@
     newest
 }
 
-async fn submit(host: std::net::SocketAddr, number: u64, content: u64) -> Submitted {
+async fn submit(host: std::net::SocketAddr, number: u64, content: u64) -> SubmitOutcome {
     let bearer = format!("Bearer {}", crate::support::TOKEN);
     let headers = [("authorization", bearer.as_str())];
     let note = add_account(number, &format!("account-{number}-{content}")).to_string();
     let Ok(answer) = request(host, "POST", "/v1/operator/notes", &headers, note).await else {
-        return Submitted::Unknown;
+        return SubmitOutcome::Unknown;
     };
     if answer.status == 503 {
-        return Submitted::Unknown;
+        return SubmitOutcome::Unknown;
     }
     match answer.json()["outcome"].as_str().unwrap() {
-        "accepted" => Submitted::Accepted,
-        "repeated" => Submitted::Repeated,
-        "conflict" => Submitted::Conflict,
-        "gap" => Submitted::Gap,
+        "accepted" => SubmitOutcome::Accepted,
+        "repeated" => SubmitOutcome::Repeated,
+        "conflict" => SubmitOutcome::Conflict,
+        "gap" => SubmitOutcome::Gap,
         other => panic!("{other}"),
     }
 }
 
-/// An entry, an agent and a control were down while 300 notes were accepted. They come
-/// back and must serve by the last one, not by anything in between.
+/// An entry, an agent and a control are down while 300 notes are accepted. Once restarted
+/// they must use the last one, not an intermediate one.
 #[tokio::test(flavor = "multi_thread")]
 async fn notes_down_for_hundreds() {
-    let mut cluster = Cluster::start(small()).await;
+    let mut cluster = Cluster::start(small_plan()).await;
     cluster.offer().await;
     let leader = cluster.leader().await;
     let follower = (1..=3).find(|n| format!("control-{n}") != leader).unwrap();
@@ -228,13 +228,13 @@
     .await;
 }
 
-/// The leader is cut off from the other controls, together with one entry and its
-/// callers, and still believes that it leads. A note withdraws an account elsewhere.
-/// Within seconds the cut-off entry must take no new work, and later it must never
-/// again serve by the old note.
+/// The leader is partitioned from the other controls, together with one entry and its
+/// callers, and still believes that it leads. The majority accepts a note that withdraws an
+/// account. Within seconds the partitioned entry must accept no new requests, and after the
+/// partition heals it must never again use the old note.
 #[tokio::test(flavor = "multi_thread")]
 async fn notes_leader_cut_off_with_an_entry() {
-    let cluster = Cluster::start(small()).await;
+    let cluster = Cluster::start(small_plan()).await;
     cluster.offer().await;
     let leader = cluster.leader().await;
     let majority: Vec<String> = (1..=3)
@@ -262,7 +262,7 @@
     })
     .await;
     cluster.until_in_force("entry-2", 2).await;
-    // Reported in force everywhere: from here on nobody may serve by note 1.
+    // The note is reported in force everywhere: from here on no entry may use note 1.
     for _ in 0..20 {
         let cut_off = chat(cluster.http("entry-1"), "maier", "hello", false)
             .await
@@ -276,7 +276,7 @@
     for relay in cluster.relays.values() {
         relay.heal();
     }
-    until("the entry serves by note 2", || async {
+    until("the entry uses note 2", || async {
         let answer = chat(cluster.http("entry-1"), "huber", "hello", false)
             .await
             .ok()?;
@@ -290,12 +290,12 @@
 }
 
 /// Sends a note to a host over a connection that is cut once the note is accepted, so
-/// that nothing of the answer arrives.
+/// that no byte of the answer arrives.
 async fn send_and_lose_answer(cluster: &Cluster, host: &str, note: &Value) {
     let relay = Relay::start().await.unwrap();
     relay.set_target(cluster.http(host));
     let mut stream = TcpStream::connect(relay.address).await.unwrap();
-    until("the connection is carried", || async {
+    until("the relay has connected", || async {
         (relay.connections() == 1).then_some(())
     })
     .await;
@@ -318,12 +318,12 @@
     assert!(answer.is_empty(), "{ended:?}: {answer:?}");
 }
 
-/// An operator's connection is cut after the note went out and before the answer came
-/// back, at a control and at an entry. She sends the same note again, elsewhere, and
-/// must get the first answer; somebody else's note under that number is refused by name.
+/// An operator's connection is cut after the note was sent and before the answer arrived,
+/// at a control and at an entry. Resent to any host, the note must get the outcome
+/// "repeated"; a different note with that number is refused, naming the first operator.
 #[tokio::test(flavor = "multi_thread")]
 async fn notes_resent_after_lost_answer() {
-    let cluster = Cluster::start(small()).await;
+    let cluster = Cluster::start(small_plan()).await;
     cluster.offer().await;
     let leader = cluster.leader().await;
     for (number, first) in [(2, leader.as_str()), (3, "entry-1")] {
@@ -348,12 +348,12 @@
     assert_eq!(status["notes"]["accepted"], 3);
 }
 
-/// An entry's link to the leader swallows the answers to a note that the entry hands on,
-/// and is then found dead. The entry asks again over another way; its operator gets one
-/// true answer and the note holds one number.
+/// An entry's link to the leader loses the answers to a note that the entry forwards, and
+/// is then detected as dead. The entry asks again over another link; its operator gets one
+/// correct answer and the note takes one number.
 #[tokio::test(flavor = "multi_thread")]
 async fn notes_answer_lost_behind_entry() {
-    let cluster = Cluster::start(small()).await;
+    let cluster = Cluster::start(small_plan()).await;
     cluster.offer().await;
     for number in 2..=4 {
         let leader = cluster.leader().await;
