--- a/crates/lovageramp/tests/processes/leaving.rs
+++ b/crates/lovageramp/tests/processes/leaving.rs
@@ -1,4 +1,4 @@
-//! Leaving targets and graceful shutdown.
+//! Withdrawal of targets and graceful shutdown.
 
 use crate::support::{Cluster, ClusterPlan, assert_whole, chat, get, long_stream, until};
 use serde_json::json;
@@ -13,8 +13,8 @@
     }
 }
 
-/// A target is withdrawn by a note while streams run on it. It gets nothing new after
-/// the note is in force everywhere, and what runs there ends whole.
+/// A release note withdraws a target while streams run on it. The target gets no new
+/// requests once the note is in force everywhere, and its running streams complete.
 #[tokio::test(flavor = "multi_thread")]
 async fn target_withdrawn_no_new_work() {
     let cluster = Cluster::start(plan()).await;
@@ -46,8 +46,8 @@
     }
 }
 
-/// An agent is asked to end, twice, while streams run. None may be cut off, and the
-/// agent ends by itself afterwards.
+/// An agent gets SIGTERM twice while streams run. No stream may be truncated, and the
+/// agent exits by itself once they have completed.
 #[tokio::test(flavor = "multi_thread")]
 async fn agent_shutdown_streams_end_whole() {
     let mut cluster = Cluster::start(plan()).await;
@@ -58,7 +58,7 @@
     }
     cluster.signal("advisor-01", "TERM").await;
     cluster.signal("advisor-01", "TERM").await;
-    until("new work goes on elsewhere", || async {
+    until("new requests are served by the other target", || async {
         let answer = chat(cluster.http("entry-1"), "huber", "hello", false)
             .await
             .ok()?;
@@ -72,9 +72,9 @@
     assert!(agent.ended().await);
 }
 
-/// An entry is asked to end, twice, while streams run and callers still hold its
-/// address. It leaves the address list, still serves who comes, cuts nothing off, and
-/// ends by itself.
+/// An entry gets SIGTERM twice while streams run and callers still know its address. It
+/// is removed from the address list, still serves requests that arrive, truncates no
+/// stream, and exits by itself.
 #[tokio::test(flavor = "multi_thread")]
 async fn entry_shutdown_streams_end_whole() {
     let mut cluster = Cluster::start(plan()).await;
@@ -83,7 +83,7 @@
     let stream = long_stream(&cluster, "entry-1").await;
     cluster.signal("entry-1", "TERM").await;
     cluster.signal("entry-1", "TERM").await;
-    until("it leaves the address list", || async {
+    until("the entry is removed from the address list", || async {
         let list = get(cluster.http("entry-2"), "/v1/addresses", &[])
             .await
             .ok()?;
@@ -99,8 +99,8 @@
     assert!(entry.ended().await);
 }
 
-/// The leading control is asked to end while streams run and new requests come. No
-/// request may be lost to it.
+/// The control that leads gets SIGTERM twice while streams run and new requests arrive.
+/// No request may fail because of it.
 #[tokio::test(flavor = "multi_thread")]
 async fn control_shutdown_streams_end_whole() {
     let mut cluster = Cluster::start(plan()).await;
--- a/crates/lovageramp/tests/processes/leaving_cut_off.rs
+++ b/crates/lovageramp/tests/processes/leaving_cut_off.rs
@@ -1,12 +1,13 @@
-//! Targets that leave while an entry is cut off from control and still has its callers.
+//! Withdrawal and shutdown of targets while an entry is partitioned from all controls but
+//! still reachable by its callers.
 
 use crate::support::{Caller, Cluster, ClusterPlan, assert_whole, chat, get, long_stream, until};
 use serde_json::json;
 
-/// Requests of each caller that are watched once the target has left.
-const WATCHED: u64 = 15;
+/// Requests that each caller completes while no new work may reach the leaving target.
+const REQUESTS_PER_CALLER: u64 = 15;
 
-async fn cluster() -> Cluster {
+async fn start_cluster() -> Cluster {
     let cluster = Cluster::start(ClusterPlan {
         controls: 3,
         entries: 2,
@@ -20,9 +21,9 @@
     cluster
 }
 
-/// The target that entry-1 prefers, which is to leave: the other one would hide that the
-/// entry still gives work to it.
-async fn preferred(cluster: &Cluster) -> String {
+/// The target that entry-1 sends most requests to. This one has to leave: with a target
+/// that the entry rarely selects, work sent to it by mistake would go unnoticed.
+async fn preferred_target(cluster: &Cluster) -> String {
     let agents = cluster.agents();
     let mut before = Vec::new();
     for agent in &agents {
@@ -33,15 +34,15 @@
         let answer = chat(cluster.http("entry-1"), "huber", &prompt, false).await;
         assert_eq!(answer.unwrap().status, 200);
     }
-    let mut more = Vec::new();
+    let mut added = Vec::new();
     for (agent, before) in agents.into_iter().zip(before) {
-        more.push((cluster.ran_at(&agent, "").await - before, agent));
+        added.push((cluster.ran_at(&agent, "").await - before, agent));
     }
-    more.into_iter().max().unwrap().1
+    added.into_iter().max().unwrap().1
 }
 
-/// Two streams through each entry, which lie on both targets.
-async fn streams(cluster: &Cluster) -> Vec<tokio::task::JoinHandle<Option<String>>> {
+/// Opens two streams through each entry, which run on both targets.
+async fn open_streams(cluster: &Cluster) -> Vec<tokio::task::JoinHandle<Option<String>>> {
     let mut streams = Vec::new();
     for entry in ["entry-1", "entry-2", "entry-1", "entry-2"] {
         streams.push(long_stream(cluster, entry).await);
@@ -49,8 +50,8 @@
     streams
 }
 
-/// A caller at each entry, and the target that is to leave has work from them.
-async fn callers(cluster: &Cluster, leaving: &str) -> [Caller; 2] {
+/// Starts a caller at each entry and waits until the leaving target gets requests of them.
+async fn start_callers(cluster: &Cluster, leaving: &str) -> [Caller; 2] {
     let callers = [
         Caller::start(cluster.http("entry-1")).await,
         Caller::start(cluster.http("entry-2")).await,
@@ -59,21 +60,21 @@
     for caller in &callers {
         caller.answered(5).await;
     }
-    until("the target has work", || async {
+    until("the target gets requests", || async {
         (cluster.ran_at(leaving, "").await > before + 3).then_some(())
     })
     .await;
     callers
 }
 
-/// Cuts entry-1 off from all controls; its callers and its agents stay connected.
+/// Partitions entry-1 from all controls; its callers and agents stay connected.
 fn cut_entry_off(cluster: &Cluster) {
     for control in 1..=3 {
         cluster.relays[&format!("entry-1>control-{control}")].cut();
     }
 }
 
-/// Withdraws the target and waits until that is in force everywhere.
+/// Withdraws the target and waits until the note is in force everywhere.
 async fn withdraw(cluster: &Cluster, leaving: &str) {
     send_withdrawal(cluster, leaving).await;
     cluster.until_in_force("entry-2", 2).await;
@@ -88,39 +89,39 @@
     .await;
 }
 
-/// The target sees nothing new while callers go on at both entries.
+/// Asserts that the target gets no new request while callers continue at both entries.
 async fn assert_no_new_work(cluster: &Cluster, leaving: &str, callers: &[Caller]) {
-    // What was taken before may reach the target a moment later.
+    // A request accepted earlier may still be on its way to the target.
     for caller in callers {
         caller.answered(1).await;
     }
     let before = cluster.ran_at(leaving, "").await;
     for caller in callers {
-        caller.answered(WATCHED).await;
+        caller.answered(REQUESTS_PER_CALLER).await;
     }
     assert_eq!(cluster.ran_at(leaving, "").await, before);
 }
 
-/// Everybody at the entry that is not cut off was served; those at the other were served
-/// or told when to come back.
+/// Asserts that all requests at the connected entry succeeded, and that those at the
+/// partitioned entry succeeded or were answered with 503 or 504.
 async fn assert_served([cut_off, other]: [Caller; 2]) {
     let statuses = cut_off.finish().await;
-    let known = statuses
+    let expected = statuses
         .iter()
         .all(|status| [200, 503, 504].contains(status));
-    assert!(known, "{statuses:?}");
+    assert!(expected, "{statuses:?}");
     let statuses = other.finish().await;
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
 }
 
-/// A note withdraws a target while an entry can't hear of it. That entry must not go on
-/// giving the target work for its callers, and must not cut off what runs there.
+/// A note withdraws a target while an entry is partitioned from the controls. That entry
+/// must stop sending the target new requests, and must not truncate its running streams.
 #[tokio::test(flavor = "multi_thread")]
 async fn withdrawn_entry_cut_off() {
-    let cluster = cluster().await;
-    let streams = streams(&cluster).await;
-    let leaving = preferred(&cluster).await;
-    let callers = callers(&cluster, &leaving).await;
+    let cluster = start_cluster().await;
+    let streams = open_streams(&cluster).await;
+    let leaving = preferred_target(&cluster).await;
+    let callers = start_callers(&cluster, &leaving).await;
     cut_entry_off(&cluster);
     withdraw(&cluster, &leaving).await;
     assert_no_new_work(&cluster, &leaving, &callers).await;
@@ -130,14 +131,14 @@
     }
 }
 
-/// The same while the target's agent can't hear of the note either: entry and agent both
-/// go by the former note, and agree on it.
+/// The same while the target's agent is partitioned as well: entry and agent both use the
+/// previous note, so neither sees a mismatch.
 #[tokio::test(flavor = "multi_thread")]
 async fn withdrawn_entry_and_agent_cut_off() {
-    let cluster = cluster().await;
-    let streams = streams(&cluster).await;
-    let leaving = preferred(&cluster).await;
-    let callers = callers(&cluster, &leaving).await;
+    let cluster = start_cluster().await;
+    let streams = open_streams(&cluster).await;
+    let leaving = preferred_target(&cluster).await;
+    let callers = start_callers(&cluster, &leaving).await;
     cut_entry_off(&cluster);
     for control in 1..=3 {
         cluster.relays[&format!("{leaving}>control-{control}")].cut();
@@ -150,13 +151,13 @@
     }
 }
 
-/// A note withdraws a target while its agent is restarted. The agent comes back to a
-/// target that isn't offered any more.
+/// A note withdraws a target while its agent is being restarted. The agent starts for a
+/// target that is no longer offered.
 #[tokio::test(flavor = "multi_thread")]
 async fn withdrawn_agent_restarted() {
-    let mut cluster = cluster().await;
-    let leaving = preferred(&cluster).await;
-    let callers = callers(&cluster, &leaving).await;
+    let mut cluster = start_cluster().await;
+    let leaving = preferred_target(&cluster).await;
+    let callers = start_callers(&cluster, &leaving).await;
     cut_entry_off(&cluster);
     cluster.kill(&leaving).await;
     send_withdrawal(&cluster, &leaving).await;
@@ -169,20 +170,20 @@
     }
 }
 
-/// A target's host is taken away for repair, and its agent asked to end, while an entry
-/// can't hear from control that it is leaving.
+/// An agent gets SIGTERM, as when its host is taken out of service for repair, while a
+/// partitioned entry can't learn from control that the target is leaving.
 #[tokio::test(flavor = "multi_thread")]
 async fn left_entry_cut_off() {
-    let mut cluster = cluster().await;
-    let streams = streams(&cluster).await;
-    let leaving = preferred(&cluster).await;
-    let callers = callers(&cluster, &leaving).await;
+    let mut cluster = start_cluster().await;
+    let streams = open_streams(&cluster).await;
+    let leaving = preferred_target(&cluster).await;
+    let callers = start_callers(&cluster, &leaving).await;
     cut_entry_off(&cluster);
     cluster.signal(&leaving, "TERM").await;
     let agent = cluster.http(&leaving);
     until("the agent is leaving", || async move {
         let Ok(answer) = get(agent, "/readyz", &[]).await else {
-            // It has ended already.
+            // The agent has exited already.
             return Some(());
         };
         (answer.status == 503).then_some(())
