--- a/crates/lovageramp/tests/processes/logs.rs
+++ b/crates/lovageramp/tests/processes/logs.rs
@@ -3,9 +3,9 @@
 use crate::support::{Cluster, ClusterPlan, bearer, request, until};
 use serde_json::{Map, Value};
 
-/// A caller complains and names the id that its answer carried. Whoever is on call
-/// looks for it in the logs of all hosts: each line must have it in a field of its own,
-/// where a search finds it, and say which target the request went to.
+/// An operator searches the logs of all hosts for the request id of an answer. Each log
+/// line must carry the id in a field of its own and name the target that the request was
+/// sent to.
 #[tokio::test(flavor = "multi_thread")]
 async fn logs_of_one_request() {
     let mut cluster = Cluster::start(ClusterPlan {
@@ -60,7 +60,7 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// The lines of one request at one host, without what differs from run to run.
+/// The log lines of one request at one host, with values that differ between runs redacted.
 fn lines_of(cluster: &Cluster, host: &str, request: &str) -> Vec<String> {
     let log = cluster.folder.path().join(format!("{host}.log"));
     let log = std::fs::read_to_string(log).unwrap();
--- a/crates/lovageramp/tests/processes/main.rs
+++ b/crates/lovageramp/tests/processes/main.rs
@@ -1,7 +1,7 @@
-//! Whole deployments as separate processes: the real binaries on loopback.
+//! Tests of complete deployments: the real binaries as separate processes on loopback.
 //!
-//! One test binary, so that tests of different topics run side by side. They
-//! mostly wait; `support` bounds how many deployments there are at a time.
+//! All are in one test binary, so that tests of different topics run in parallel. They
+//! mostly wait; `support` limits the number of concurrent deployments.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
--- a/crates/lovageramp/tests/processes/overload.rs
+++ b/crates/lovageramp/tests/processes/overload.rs
@@ -1,4 +1,4 @@
-//! More requests than the targets can do.
+//! More requests than the targets can serve.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -6,14 +6,14 @@
 
 use crate::support::{Cluster, ClusterPlan, chat, get, until};
 
-/// Pause of a caller that was refused.
-const PAUSE: Duration = Duration::from_millis(100);
-/// Callers of the large account, more than all places and the queue hold.
+/// Delay of a caller before it retries a refused request.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Callers of the large account: more than the concurrency limit and the queue admit.
 const CALLERS: u32 = 400;
 
-/// One large account sends as fast as it can; a small one sends now and then.
-/// In order of arrival the small one's callers would wait behind the flood,
-/// and whoever is refused must hear so at once with when to come back.
+/// One account sends as fast as it can; another one sends occasionally. With a FIFO
+/// queue the small account's callers would wait behind the flood. Refused callers must
+/// be answered immediately and with `retry-after`.
 #[tokio::test(flavor = "multi_thread")]
 async fn flood_of_one_account() {
     let plan = ClusterPlan {
@@ -26,21 +26,21 @@
     let cluster = Arc::new(Cluster::start(plan).await);
     cluster.offer().await;
     let entry = cluster.http("entry-1");
-    let over = Arc::new(AtomicBool::new(false));
+    let stop = Arc::new(AtomicBool::new(false));
     let flood = (0..CALLERS).map(|n| {
-        let over = Arc::clone(&over);
+        let stop = Arc::clone(&stop);
         tokio::spawn(async move {
-            let mut told = Vec::new();
-            while !over.load(Ordering::Relaxed) {
+            let mut answers = Vec::new();
+            while !stop.load(Ordering::Relaxed) {
                 let answer = chat(entry, "huber", &format!("flood {n}"), false).await;
                 let answer = answer.unwrap();
                 if answer.status != 200 {
-                    // Connections are not free of cost for the machine.
-                    tokio::time::sleep(PAUSE).await;
+                    // Limits the connection rate, since connections load the host.
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
-                told.push(answer);
+                answers.push(answer);
             }
-            told
+            answers
         })
     });
     let flood: Vec<_> = flood.collect();
@@ -54,7 +54,7 @@
         let answer = answer.unwrap();
         assert_eq!(answer.status, 200, "{}", answer.text());
     }
-    over.store(true, Ordering::Relaxed);
+    stop.store(true, Ordering::Relaxed);
     let (mut served, mut refused) = (0, 0);
     for caller in flood {
         for answer in caller.await.unwrap() {
@@ -68,6 +68,6 @@
             assert_ne!(answer.header("retry-after"), "");
         }
     }
-    println!("of the flood {served} were served and {refused} refused");
+    println!("requests of the flooding account: {served} served, {refused} refused");
     assert!(served > 0 && refused > 0);
 }
--- a/crates/lovageramp/tests/processes/quarantine.rs
+++ b/crates/lovageramp/tests/processes/quarantine.rs
@@ -1,10 +1,10 @@
-//! A request that crashes targets stops doing so; its neighbours go on.
+//! Quarantine of a request that crashes targets; other requests are not affected.
 
 use crate::support::{Cluster, ClusterPlan, chat, until};
 
-/// One request crashes each target that runs it, and its caller sends it again through
-/// every entry. After the second crash it must be refused everywhere, and what ran
-/// beside it must not be.
+/// One request crashes each target that runs it, and its caller retries it through every
+/// entry. After the second crash it must be refused at every entry, and requests that ran
+/// concurrently must not be.
 #[tokio::test(flavor = "multi_thread")]
 async fn crashing_request_convicted() {
     let mut cluster = Cluster::start(ClusterPlan {
@@ -42,14 +42,14 @@
     }
     assert!(crashes <= 2, "{crashes} crashes");
     for entry in ["entry-1", "entry-2"] {
-        until("refused at each entry", || async {
+        until("the request is refused at each entry", || async {
             let answer = chat(cluster.http(entry), "huber", "poison", false)
                 .await
                 .ok()?;
             (answer.status == 422).then_some(())
         })
         .await;
-        until("others go on", || async {
+        until("other requests are served", || async {
             let answer = chat(cluster.http(entry), "maier", "a harmless note", false)
                 .await
                 .ok()?;
--- a/crates/lovageramp/tests/processes/standalone.rs
+++ b/crates/lovageramp/tests/processes/standalone.rs
@@ -1,4 +1,4 @@
-//! `lovageramp standalone`, as a new user runs it.
+//! `lovageramp standalone`, as a first-time user runs it.
 
 use crate::support::until;
 use std::process::Stdio;
@@ -20,7 +20,7 @@
     assert!(text.contains("the reservation ran 1 time(s)"), "{text}");
 }
 
-/// A new user pastes the two printed lines. They must work as printed.
+/// The two printed curl commands must work when pasted unchanged.
 #[tokio::test(flavor = "multi_thread")]
 async fn standalone_curl_lines_work() {
     let mut child = Command::new(CLIENT)
@@ -46,8 +46,8 @@
             .unwrap();
         let text = String::from_utf8_lossy(&output.stdout);
         assert!(output.status.success(), "{command}: {output:?}");
-        let whole = text.trim_end().ends_with("data: [DONE]") || text.contains("\"count\":1");
-        assert!(whole, "{command}: {text}");
+        let complete = text.trim_end().ends_with("data: [DONE]") || text.contains("\"count\":1");
+        assert!(complete, "{command}: {text}");
     }
     let pid = child.id().unwrap().to_string();
     Command::new("kill")
--- a/crates/lovageramp/tests/processes/streams.rs
+++ b/crates/lovageramp/tests/processes/streams.rs
@@ -1,4 +1,4 @@
-//! Streams through the real processes: whole, and nobody else's.
+//! Streams through the real processes are complete and reach only their own caller.
 
 use crate::support::{
     Answer, Cluster, ClusterPlan, bearer, open_stream, request, rest, some, until,
@@ -24,21 +24,21 @@
         .unwrap()
 }
 
-/// What the engine itself gives for a request: the truth to compare with.
-async fn truth(cluster: &Cluster, prompt: &str, tokens: u32) -> Answer {
+/// The engine's own answer to a request, which the caller's answer must equal.
+async fn expected_answer(cluster: &Cluster, prompt: &str, tokens: u32) -> Answer {
     ask(cluster.http("fake-advisor-01"), prompt, tokens).await
 }
 
-/// The same for all of several prompts.
-async fn truths(cluster: &Cluster, prompts: &[String], tokens: u32) -> Vec<Answer> {
+/// The engine's own answers to several prompts.
+async fn expected_answers(cluster: &Cluster, prompts: &[String], tokens: u32) -> Vec<Answer> {
     let engine = cluster.http("fake-advisor-01");
     let asked = prompts.iter().cloned();
     let asked = asked.map(|prompt| tokio::spawn(async move { ask(engine, &prompt, tokens).await }));
-    let mut truths = Vec::new();
+    let mut expected_answers = Vec::new();
     for answer in asked.collect::<Vec<_>>() {
-        truths.push(answer.await.unwrap());
+        expected_answers.push(answer.await.unwrap());
     }
-    truths
+    expected_answers
 }
 
 fn prompts(count: usize) -> Vec<String> {
@@ -58,7 +58,7 @@
     res.into_body()
 }
 
-async fn cluster(plan: ClusterPlan) -> Cluster {
+async fn start_cluster(plan: ClusterPlan) -> Cluster {
     let cluster = Cluster::start(plan).await;
     cluster.offer().await;
     cluster
@@ -66,8 +66,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn link_cut_in_mid_stream() {
-    // The link between entry and agent is reset while streams run, and a fresh
-    // one works. Each caller's stream goes on at the byte where it stopped.
+    // The link between entry and agent is reset while streams run, and a new
+    // one works. Each caller's stream continues at the byte where it stopped.
     let plan = ClusterPlan {
         entries: 1,
         engines: 1,
@@ -75,56 +75,58 @@
         step_ms: 5,
         ..ClusterPlan::default()
     };
-    let cluster = cluster(plan).await;
+    let cluster = start_cluster(plan).await;
     let entry = cluster.http("entry-1");
     let mut streams = Vec::new();
     let prompts = prompts(20);
     for prompt in &prompts {
         streams.push(open(entry, prompt).await);
     }
-    let mut got = Vec::new();
+    let mut received = Vec::new();
     for stream in &mut streams {
-        got.push(some(stream, 2_000).await);
+        received.push(some(stream, 2_000).await);
     }
     cluster.relays["advisor-01"].cut();
     cluster.relays["advisor-01"].heal();
-    let truths = truths(&cluster, &prompts, TOKENS).await;
-    for ((stream, got), truth) in streams.into_iter().zip(got).zip(truths) {
-        assert_eq!(rest(stream, got).await, truth.body);
+    let expected_answers = expected_answers(&cluster, &prompts, TOKENS).await;
+    for ((stream, received), expected_answer) in
+        streams.into_iter().zip(received).zip(expected_answers)
+    {
+        assert_eq!(rest(stream, received).await, expected_answer.body);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn streams_200_through_one_entry() {
-    // Two hundred callers stream at once through one entry and one agent, over
-    // one link. Each gets its own answer, byte by byte.
+    // 200 callers stream concurrently through one entry and one agent, over
+    // one link. Each gets exactly the bytes of its own answer.
     let plan = ClusterPlan {
         entries: 1,
         engines: 1,
         services: 1,
-        // All of them run at once; none depends on how soon another one ends.
+        // High enough that all run concurrently and none waits for another one to end.
         limit: 1_000,
         ..ClusterPlan::default()
     };
-    let cluster = cluster(plan).await;
+    let cluster = start_cluster(plan).await;
     let entry = cluster.http("entry-1");
     let prompts = prompts(200);
     let asked = prompts.iter().cloned();
     let asked = asked.map(|prompt| tokio::spawn(async move { ask(entry, &prompt, 60).await }));
     let asked: Vec<_> = asked.collect();
-    let truths = truths(&cluster, &prompts, 60).await;
-    for (answer, truth) in asked.into_iter().zip(truths) {
+    let expected_answers = expected_answers(&cluster, &prompts, 60).await;
+    for (answer, expected_answer) in asked.into_iter().zip(expected_answers) {
         let answer = answer.await.unwrap();
         assert_eq!(answer.status, 200, "{}", answer.text());
         assert!(!answer.broken);
-        assert_eq!(answer.body, truth.body);
+        assert_eq!(answer.body, expected_answer.body);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn agent_killed_in_mid_stream() {
-    // An agent dies with streams open, and its target is out of reach with it.
-    // The streams go on at another target, after the events already given.
+    // An agent is killed with streams open, which makes its target unreachable.
+    // The streams continue at another target after the events already delivered.
     let plan = ClusterPlan {
         entries: 1,
         engines: 3,
@@ -132,28 +134,30 @@
         step_ms: 5,
         ..ClusterPlan::default()
     };
-    let mut cluster = cluster(plan).await;
+    let mut cluster = start_cluster(plan).await;
     let entry = cluster.http("entry-1");
     let mut streams = Vec::new();
-    let mut got = Vec::new();
+    let mut received = Vec::new();
     let prompts = prompts(12);
     for prompt in &prompts {
         streams.push(open(entry, prompt).await);
     }
     for stream in &mut streams {
-        got.push(some(stream, 2_000).await);
+        received.push(some(stream, 2_000).await);
     }
     cluster.kill("advisor-02").await;
-    let truths = truths(&cluster, &prompts, TOKENS).await;
-    for ((stream, got), truth) in streams.into_iter().zip(got).zip(truths) {
-        assert_eq!(rest(stream, got).await, truth.body);
+    let expected_answers = expected_answers(&cluster, &prompts, TOKENS).await;
+    for ((stream, received), expected_answer) in
+        streams.into_iter().zip(received).zip(expected_answers)
+    {
+        assert_eq!(rest(stream, received).await, expected_answer.body);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn engine_ends_early() {
-    // The only engine ends each stream after a few events as if that were all.
-    // The caller must see its stream break off, never a short one that ends
+    // The only engine ends each stream after a few events as if it were complete.
+    // The caller must see a broken stream, never a truncated one that ends
     // properly.
     let plan = ClusterPlan {
         entries: 1,
@@ -161,17 +165,20 @@
         services: 1,
         ..ClusterPlan::default()
     };
-    let cluster = cluster(plan).await;
+    let cluster = start_cluster(plan).await;
     let entry = cluster.http("entry-1");
     cluster.fault("advisor-01", "end-early", "5").await;
     let answer = ask(entry, "short", 60).await;
-    let ended = answer.text().ends_with("data: [DONE]\n\n");
-    assert!(!ended && (answer.broken || answer.status != 200));
+    let ended_properly = answer.text().ends_with("data: [DONE]\n\n");
+    assert!(!ended_properly && (answer.broken || answer.status != 200));
     cluster.fault("advisor-01", "clear", "").await;
-    let whole = until("streams are whole again", || async {
+    let complete = until("streams are complete again", || async {
         let answer = ask(entry, "short", 60).await;
         (answer.status == 200 && !answer.broken).then_some(answer)
     })
     .await;
-    assert_eq!(whole.body, truth(&cluster, "short", 60).await.body);
+    assert_eq!(
+        complete.body,
+        expected_answer(&cluster, "short", 60).await.body
+    );
 }
--- a/crates/lovageramp/tests/processes/whole_path.rs
+++ b/crates/lovageramp/tests/processes/whole_path.rs
@@ -1,18 +1,18 @@
-//! One whole session through the real processes, compared with a golden file.
+//! A complete session through the real processes, compared with a snapshot.
 
 use crate::support::{Answer, Cluster, ClusterPlan, bearer, chat, get, request, reserve};
 use serde_json::{Value, json};
 use std::fmt::Write;
 
-/// The log of a session, with what differs from run to run taken out.
+/// The transcript of a session, with values that differ between runs redacted.
 #[derive(Default)]
 struct Session(String);
 
 impl Session {
-    fn answer(&mut self, what: &str, answer: &Answer) {
+    fn answer(&mut self, title: &str, answer: &Answer) {
         let kind = answer.header("content-type").to_owned();
         let retry = answer.header("retry-after").to_owned();
-        writeln!(self.0, "== {what}\n{} {kind}", answer.status).unwrap();
+        writeln!(self.0, "== {title}\n{} {kind}", answer.status).unwrap();
         if !retry.is_empty() {
             writeln!(self.0, "retry-after: given").unwrap();
         }
@@ -27,15 +27,16 @@
         }
     }
 
-    fn output(&mut self, what: &str, output: &std::process::Output) {
+    fn output(&mut self, title: &str, output: &std::process::Output) {
         let code = output.status.code().unwrap();
         let text = String::from_utf8_lossy(&output.stdout);
         let err = String::from_utf8_lossy(&output.stderr);
-        writeln!(self.0, "== {what}\nexit code {code}\n{text}{err}").unwrap();
+        writeln!(self.0, "== {title}\nexit code {code}\n{text}{err}").unwrap();
     }
 }
 
-/// The order behind the nearest availability zone is drawn anew for each caller.
+/// Sorts the addresses, since entries outside the caller's availability zone are listed in
+/// random order for each caller.
 fn sort_addresses(value: &mut Value) {
     let own = value["zone"].clone();
     if let Some(addresses) = value["addresses"].as_array_mut() {
@@ -88,10 +89,10 @@
         .await
         .unwrap();
     session.answer("streamed chat completion", &streamed);
-    let whole = chat(entry, "huber", "Figure notes for a burl", false)
+    let unstreamed = chat(entry, "huber", "Figure notes for a burl", false)
         .await
         .unwrap();
-    session.answer("chat completion", &whole);
+    session.answer("chat completion", &unstreamed);
 
     let reserved = reserve(entry, "huber", "lot-17", "maple burl 17")
         .await
@@ -118,7 +119,7 @@
     insta::assert_snapshot!(session.0);
 }
 
-/// Bad requests, each with its one clear answer.
+/// Records the answers to invalid requests.
 async fn errors(cluster: &Cluster, session: &mut Session) {
     let entry = cluster.http("entry-2");
     let post = "POST";
@@ -184,8 +185,8 @@
             String::new(),
         ),
     ];
-    for (what, method, path, headers, body) in cases {
+    for (title, method, path, headers, body) in cases {
         let answer = request(entry, method, path, headers, body).await.unwrap();
-        session.answer(what, &answer);
+        session.answer(title, &answer);
     }
 }
