--- a/crates/lovageramp/tests/processes/moments.rs
+++ b/crates/lovageramp/tests/processes/moments.rs
@@ -148,7 +148,8 @@
 async fn entry_killed_before_finish() {
     let mut cluster = start_cluster().await;
     let relays = control_relays(&cluster);
-    let held = kill_entry_when_held(&mut cluster, &relays, |relay| relay.hold_to_target(ANSWER)).await;
+    let held =
+        kill_entry_when_held(&mut cluster, &relays, |relay| relay.hold_to_target(ANSWER)).await;
     assert_eq!(cluster.ran(KEY).await, 1);
     let answer = retry_until_answered(&cluster).await;
     assert_ran_once_after_release(&cluster, &held, &answer).await;
