--- a/crates/lovageramp/benches/capacity.rs
+++ b/crates/lovageramp/benches/capacity.rs
@@ -80,7 +80,7 @@
         ..ClusterPlan::default()
     })
     .await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let leader = cluster.leader().await;
     let mut number = 1;
     for &size in sizes {
--- a/crates/lovageramp/benches/durable.rs
+++ b/crates/lovageramp/benches/durable.rs
@@ -191,7 +191,7 @@
         ..ClusterPlan::default()
     })
     .await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let leader = cluster.leader().await;
     let mut spans = Vec::new();
     for number in 2..2 + NOTES {
--- a/crates/lovageramp/benches/path.rs
+++ b/crates/lovageramp/benches/path.rs
@@ -49,7 +49,7 @@
         ..ClusterPlan::default()
     })
     .await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     lift_limits(&cluster).await;
     let entry = cluster.http("entry-1");
     // The stand-ins are called through the same relay as by their agents, so that its
--- a/crates/lovageramp/benches/users.rs
+++ b/crates/lovageramp/benches/users.rs
@@ -50,7 +50,7 @@
         ..ClusterPlan::default()
     };
     let mut cluster = Cluster::start(plan).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     add_accounts(&cluster).await;
     let mut right = true;
     for (seed, mix) in [(1, "association"), (2, "hotline")] {
--- a/crates/lovageramp/tests/processes/at_most_once.rs
+++ b/crates/lovageramp/tests/processes/at_most_once.rs
@@ -36,7 +36,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn reserve_same_key_at_all_entries() {
     let cluster = Cluster::start(plan(4)).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     for round in 0..10 {
         let key = format!("lot-{round}");
         let sent = (1..=4).map(|n| cluster.http(&format!("entry-{n}")));
@@ -61,7 +61,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn reserve_entry_killed_while_running() {
     let mut cluster = Cluster::start(plan(2)).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     stall(&cluster, "stall").await;
     let entry = cluster.http("entry-1");
     let lost = tokio::spawn(async move { reserve(entry, "huber", "lot-1", "burl").await });
@@ -83,7 +83,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn reserve_entry_killed_at_any_moment() {
     let mut cluster = Cluster::start(plan(2)).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     for round in 0..12_u64 {
         let key = format!("lot-{round}");
         let entry = cluster.http("entry-1");
@@ -117,7 +117,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn reserve_agent_killed_while_running() {
     let mut cluster = Cluster::start(plan(2)).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     stall(&cluster, "stall").await;
     let entry = cluster.http("entry-1");
     let first = tokio::spawn(async move { reserve(entry, "huber", "lot-1", "burl").await });
@@ -144,7 +144,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn reserve_answer_lost() {
     let cluster = Cluster::start(plan(2)).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     stall(&cluster, "lose-answer").await;
     let first = reserve(cluster.http("entry-1"), "huber", "lot-1", "burl")
         .await
@@ -165,7 +165,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn reserve_leader_killed_while_running() {
     let mut cluster = Cluster::start(plan(2)).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     stall(&cluster, "stall").await;
     let entry = cluster.http("entry-1");
     let first = tokio::spawn(async move { reserve(entry, "huber", "lot-1", "burl").await });
@@ -195,7 +195,7 @@
 async fn reserve_silent_connection() {
     for direction in 0..3 {
         let cluster = Cluster::start(plan(1)).await;
-        cluster.offer().await;
+        cluster.submit_first_note().await;
         stall(&cluster, "stall").await;
         let entry = cluster.http("entry-1");
         let first = tokio::spawn(async move { reserve(entry, "huber", "lot-1", "burl").await });
--- a/crates/lovageramp/tests/processes/bench.rs
+++ b/crates/lovageramp/tests/processes/bench.rs
@@ -111,7 +111,7 @@
         ..ClusterPlan::default()
     })
     .await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let service = cluster.http("fake-desk-01");
     let (figures, code) = play(&cluster, service, "3").await;
     assert_eq!(code, Some(0), "{figures}");
--- a/crates/lovageramp/tests/processes/claim_history.rs
+++ b/crates/lovageramp/tests/processes/claim_history.rs
@@ -245,7 +245,7 @@
         ..ClusterPlan::default()
     })
     .await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let shared = Shared::default();
     shared.learn(&cluster);
     let mut buyers = JoinSet::new();
--- a/crates/lovageramp/tests/processes/cli.rs
+++ b/crates/lovageramp/tests/processes/cli.rs
@@ -13,7 +13,7 @@
         ..ClusterPlan::default()
     })
     .await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     until("the first note is in force everywhere", || async {
         let status = cluster.client("entry-1", &["note", "status"]).await;
         (text(&status) == "note 1 is in force everywhere\n").then_some(())
--- a/crates/lovageramp/tests/processes/durable.rs
+++ b/crates/lovageramp/tests/processes/durable.rs
@@ -29,7 +29,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn state_survives_all_killed() {
     let mut cluster = Cluster::start(plan()).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     note(&cluster, 2).await;
     let first = reserve(cluster.http("entry-1"), "huber", "lot-1", "burl")
         .await
@@ -59,7 +59,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn state_survives_second_lost_after_repair() {
     let mut cluster = Cluster::start(plan()).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     cluster.until_repaired().await;
     let first = reserve(cluster.http("entry-1"), "huber", "lot-1", "burl")
         .await
--- a/crates/lovageramp/tests/processes/durable_alarms.rs
+++ b/crates/lovageramp/tests/processes/durable_alarms.rs
@@ -37,7 +37,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn alarms_majority_gone() {
     let mut cluster = Cluster::start(plan()).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     for name in ["control-1", "control-2", "control-3"] {
         cluster
             .until_metric(name, "lovageramp_control_has_leader", 1.0)
@@ -86,7 +86,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn alarms_follower_stuck() {
     let cluster = Cluster::start(plan()).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let leader = cluster.leader().await;
     let mut others = (1..=3).map(|n| format!("control-{n}"));
     let stuck = others.find(|name| *name != leader).unwrap();
@@ -121,7 +121,7 @@
         repair.contains(&named).then_some(())
     })
     .await;
-    cluster.mend_disk(&stuck, DiskFault::Full);
+    cluster.clear_disk_fault(&stuck, DiskFault::Full);
     cluster
         .until_metric(&stuck, "lovageramp_control_note", 2.0)
         .await;
@@ -138,7 +138,7 @@
         ..plan()
     })
     .await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let leader = cluster.leader().await;
     let refused = "lovageramp_control_links_refused_total";
     let before = cluster.metric(&leader, refused).await.unwrap();
--- a/crates/lovageramp/tests/processes/durable_disk.rs
+++ b/crates/lovageramp/tests/processes/durable_disk.rs
@@ -11,7 +11,7 @@
 /// The control that the other tests of this file start: this executable once more.
 #[test]
 fn control_process_with_faults() {
-    disks::be_control();
+    disks::run_control_process();
 }
 
 fn plan() -> ClusterPlan {
@@ -49,7 +49,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn disk_full_leader() {
     let cluster = Cluster::start(plan()).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let entry = cluster.http("entry-1");
     let first = reserve(entry, "huber", "lot-1", "burl").await.unwrap();
     assert_eq!(first.status, 200, "{}", first.text());
@@ -79,7 +79,7 @@
     assert_eq!(cluster.ran("lot-2").await, 0);
     reads_go_on(&cluster, &leader).await;
 
-    cluster.mend_disk(&leader, DiskFault::Full);
+    cluster.clear_disk_fault(&leader, DiskFault::Full);
     cluster.until_metric(&leader, FULL, 0.0).await;
     until_accepted(&cluster, "entry-1", 2).await;
     until_accepted(&cluster, "entry-1", 3).await;
@@ -113,7 +113,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn sync_fails_at_leader() {
     let mut cluster = Cluster::start(plan()).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let entry = cluster.http("entry-1");
     let first = reserve(entry, "huber", "lot-1", "burl").await.unwrap();
     assert_eq!(first.status, 200, "{}", first.text());
@@ -131,7 +131,7 @@
     until_accepted(&cluster, "entry-1", 3).await;
 
     // The next syncs would report success.
-    cluster.mend_disk(&leader, DiskFault::Sync);
+    cluster.clear_disk_fault(&leader, DiskFault::Sync);
     for _ in 0..2 {
         let said = cluster.start_and_end(&leader).await;
         assert!(said.contains("a sync failed here"), "{said}");
@@ -174,17 +174,17 @@
         match fault {
             DiskFault::Full => {
                 cluster.until_metric(&name, FULL, 1.0).await;
-                operators.until_tried_again(20).await;
-                cluster.mend_disk(&name, fault);
+                operators.until_operations(20).await;
+                cluster.clear_disk_fault(&name, fault);
                 cluster.until_metric(&name, FULL, 0.0).await;
             }
             DiskFault::Sync => {
                 assert!(!cluster.until_ended(&name).await);
-                cluster.mend_disk(&name, fault);
+                cluster.clear_disk_fault(&name, fault);
                 let said = cluster.start_and_end(&name).await;
                 assert!(said.contains("a sync failed here"), "{said}");
                 cluster.replace_disk(number_of(&name)).await;
-                operators.shared.learn(&cluster, &name);
+                operators.shared.add_host(&cluster, &name);
             }
         }
     }
--- a/crates/lovageramp/tests/processes/durable_history.rs
+++ b/crates/lovageramp/tests/processes/durable_history.rs
@@ -77,7 +77,7 @@
             cluster.start_control(number).await;
         }
     }
-    shared.learn(cluster, &name);
+    shared.add_host(cluster, &name);
     sleep(span / 2).await;
 }
 
--- a/crates/lovageramp/tests/processes/durable_lag.rs
+++ b/crates/lovageramp/tests/processes/durable_lag.rs
@@ -133,7 +133,7 @@
         ..ClusterPlan::default()
     })
     .await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let operators = Operators::start(&cluster, 4, 1);
     for round in 0..3 {
         cluster.until_repaired().await;
@@ -151,7 +151,7 @@
         let withdraw = json!({"withdrawn": [{"kind": "account", "name": account}]});
         let number = operators.send_next(&cluster, "entry-1", withdraw).await;
         cluster.until_in_force("entry-1", number).await;
-        operators.until_tried_again(20).await;
+        operators.until_operations(20).await;
         cluster.signal(&leader, "CONT").await;
         for _ in 0..20 {
             let late = chat(cluster.http("entry-2"), &account, "hello", false).await;
--- a/crates/lovageramp/tests/processes/durable_zones.rs
+++ b/crates/lovageramp/tests/processes/durable_zones.rs
@@ -65,7 +65,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn zone_lost() {
     let mut cluster = Cluster::start(plan()).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let operators = Operators::start(&cluster, 3, 1);
     let callers = Callers::start(&cluster);
     let zone = zone_of(&cluster.leader().await);
@@ -74,7 +74,7 @@
     let first = reserve(cluster.http(&stays), "maier", "lot-1", "burl").await;
     let first = first.unwrap();
     assert_eq!(first.status, 200, "{}", first.text());
-    cluster.lose_zone(zone).await;
+    cluster.kill_zone(zone).await;
 
     let note = json!({"added": [account_item("late")]});
     let number = operators.send_next(&cluster, &stays, note).await;
@@ -87,12 +87,12 @@
     let blank = lost.iter().find(|name| name.starts_with("control"));
     let blank = blank.unwrap();
     cluster.replace_disk(number_of(blank)).await;
-    operators.shared.learn(&cluster, blank);
+    operators.shared.add_host(&cluster, blank);
     until_voter(&cluster, &stays, blank).await;
     for name in lost.iter().filter(|name| *name != blank) {
         cluster.start_again(name).await;
         if name.starts_with("control") {
-            operators.shared.learn(&cluster, name);
+            operators.shared.add_host(&cluster, name);
         }
     }
     cluster.until_repaired().await;
@@ -109,7 +109,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn region_cut_off() {
     let mut cluster = Cluster::start(plan()).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let operators = Operators::start(&cluster, 3, 1);
     let callers = Callers::start(&cluster);
     let leaders = zone_of(&cluster.leader().await);
@@ -138,7 +138,7 @@
         cluster.lose_disk(number).await;
         cluster.start_control(number).await;
         let name = format!("control-{number}");
-        operators.shared.learn(cluster, &name);
+        operators.shared.add_host(cluster, &name);
         until_voter(cluster, &outside, &name).await;
     }
     let withdraw = json!({"withdrawn": [{"kind": "account", "name": account}]});
--- a/crates/lovageramp/tests/processes/export.rs
+++ b/crates/lovageramp/tests/processes/export.rs
@@ -48,7 +48,7 @@
     }
     cluster.start_agent("desk-01").await;
     cluster.start_entry(1).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     cluster
 }
 
--- a/crates/lovageramp/tests/processes/leaving.rs
+++ b/crates/lovageramp/tests/processes/leaving.rs
@@ -1,6 +1,6 @@
 //! Leaving targets and graceful shutdown.
 
-use crate::support::{Cluster, ClusterPlan, assert_whole, chat, get, long_stream, until};
+use crate::support::{Cluster, ClusterPlan, assert_complete, chat, get, long_stream, until};
 use serde_json::json;
 
 fn plan() -> ClusterPlan {
@@ -18,7 +18,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn target_withdrawn_no_new_work() {
     let cluster = Cluster::start(plan()).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let mut streams = Vec::new();
     for entry in ["entry-1", "entry-2", "entry-1", "entry-2"] {
         streams.push(long_stream(&cluster, entry).await);
@@ -42,7 +42,7 @@
     }
     assert_eq!(cluster.ran_at("advisor-01", "").await, before);
     for stream in streams {
-        assert_whole(stream.await.unwrap());
+        assert_complete(stream.await.unwrap());
     }
 }
 
@@ -51,7 +51,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn agent_shutdown_streams_end_whole() {
     let mut cluster = Cluster::start(plan()).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let mut streams = Vec::new();
     for _ in 0..6 {
         streams.push(long_stream(&cluster, "entry-1").await);
@@ -66,7 +66,7 @@
     })
     .await;
     for stream in streams {
-        assert_whole(stream.await.unwrap());
+        assert_complete(stream.await.unwrap());
     }
     let agent = cluster.processes.get_mut("advisor-01").unwrap();
     assert!(agent.ended().await);
@@ -78,7 +78,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn entry_shutdown_streams_end_whole() {
     let mut cluster = Cluster::start(plan()).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let leaving = cluster.http("entry-1").to_string();
     let stream = long_stream(&cluster, "entry-1").await;
     cluster.signal("entry-1", "TERM").await;
@@ -94,7 +94,7 @@
         .await
         .unwrap();
     assert_eq!(late.status, 200, "{}", late.text());
-    assert_whole(stream.await.unwrap());
+    assert_complete(stream.await.unwrap());
     let entry = cluster.processes.get_mut("entry-1").unwrap();
     assert!(entry.ended().await);
 }
@@ -104,7 +104,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn control_shutdown_streams_end_whole() {
     let mut cluster = Cluster::start(plan()).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let stream = long_stream(&cluster, "entry-1").await;
     let leader = cluster.leader().await;
     cluster.signal(&leader, "TERM").await;
@@ -117,5 +117,5 @@
             .unwrap();
         assert_eq!(answer.status, 200, "{}", answer.text());
     }
-    assert_whole(stream.await.unwrap());
+    assert_complete(stream.await.unwrap());
 }
--- a/crates/lovageramp/tests/processes/leaving_cut_off.rs
+++ b/crates/lovageramp/tests/processes/leaving_cut_off.rs
@@ -1,6 +1,8 @@
 //! Targets that leave while an entry is cut off from control and still has its callers.
 
-use crate::support::{Caller, Cluster, ClusterPlan, assert_whole, chat, get, long_stream, until};
+use crate::support::{
+    Caller, Cluster, ClusterPlan, assert_complete, chat, get, long_stream, until,
+};
 use serde_json::json;
 
 /// Requests of each caller that are watched once the target has left.
@@ -16,7 +18,7 @@
         ..ClusterPlan::default()
     })
     .await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     cluster
 }
 
@@ -57,7 +59,7 @@
     ];
     let before = cluster.ran_at(leaving, "").await;
     for caller in &callers {
-        caller.answered(5).await;
+        caller.until_answered(5).await;
     }
     until("the target has work", || async {
         (cluster.ran_at(leaving, "").await > before + 3).then_some(())
@@ -92,11 +94,11 @@
 async fn assert_no_new_work(cluster: &Cluster, leaving: &str, callers: &[Caller]) {
     // What was taken before may reach the target a moment later.
     for caller in callers {
-        caller.answered(1).await;
+        caller.until_answered(1).await;
     }
     let before = cluster.ran_at(leaving, "").await;
     for caller in callers {
-        caller.answered(WATCHED).await;
+        caller.until_answered(WATCHED).await;
     }
     assert_eq!(cluster.ran_at(leaving, "").await, before);
 }
@@ -126,7 +128,7 @@
     assert_no_new_work(&cluster, &leaving, &callers).await;
     assert_served(callers).await;
     for stream in streams {
-        assert_whole(stream.await.unwrap());
+        assert_complete(stream.await.unwrap());
     }
 }
 
@@ -146,7 +148,7 @@
     assert_no_new_work(&cluster, &leaving, &callers).await;
     assert_served(callers).await;
     for stream in streams {
-        assert_whole(stream.await.unwrap());
+        assert_complete(stream.await.unwrap());
     }
 }
 
@@ -191,7 +193,7 @@
     assert_no_new_work(&cluster, &leaving, &callers).await;
     assert_served(callers).await;
     for stream in streams {
-        assert_whole(stream.await.unwrap());
+        assert_complete(stream.await.unwrap());
     }
     let agent = cluster.processes.get_mut(&leaving).unwrap();
     assert!(agent.ended().await);
--- a/crates/lovageramp/tests/processes/ledger.rs
+++ b/crates/lovageramp/tests/processes/ledger.rs
@@ -20,7 +20,7 @@
         ..ClusterPlan::default()
     })
     .await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     cluster
 }
 
--- a/crates/lovageramp/tests/processes/logs.rs
+++ b/crates/lovageramp/tests/processes/logs.rs
@@ -27,7 +27,7 @@
     }
     cluster.start_agent("desk-01").await;
     cluster.start_entry(1).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
 
     let entry = cluster.http("entry-1");
     let bearer = bearer("huber");
--- a/crates/lovageramp/tests/processes/maps.rs
+++ b/crates/lovageramp/tests/processes/maps.rs
@@ -1,6 +1,6 @@
 //! One expert map in every step, through separate processes.
 
-use crate::support::{AGENTS, EXPERT_BYTES, MapGroup, TRIES, until};
+use crate::support::{AGENTS, EXPERT_BYTES, MAX_ATTEMPTS, MapGroup, until};
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -84,7 +84,7 @@
     // with the new map: if it went on with the former one, callers would get
     // nonsense.
     let mut group = MapGroup::start(&[]).await;
-    let mut tries = 0..TRIES;
+    let mut tries = 0..MAX_ATTEMPTS;
     while !decided_unheard(&group).await {
         tries
             .next()
@@ -106,7 +106,7 @@
     // all. An agent that was never told finds it in the durable state; until
     // then its engine waits at the barrier, and the group with it.
     let mut group = MapGroup::start(&[]).await;
-    let mut tries = 0..TRIES;
+    let mut tries = 0..MAX_ATTEMPTS;
     loop {
         tries.next().expect("nobody was kept from hearing");
         let deaf = AGENTS[2];
--- a/crates/lovageramp/tests/processes/moments.rs
+++ b/crates/lovageramp/tests/processes/moments.rs
@@ -23,7 +23,7 @@
 
 async fn cluster() -> Cluster {
     let cluster = Cluster::start(plan()).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     cluster
 }
 
@@ -180,7 +180,7 @@
         ..plan()
     })
     .await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let relays = before_controls(&cluster);
     for relay in &relays {
         cluster.relays[relay].hold_there(KEY);
--- a/crates/lovageramp/tests/processes/not_run.rs
+++ b/crates/lovageramp/tests/processes/not_run.rs
@@ -92,7 +92,7 @@
         ..ClusterPlan::default()
     };
     let mut cluster = Cluster::start(plan).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let addresses = |cluster: &Cluster| {
         (1..=3)
             .map(|n| cluster.http(&format!("entry-{n}")))
@@ -185,7 +185,7 @@
         ..ClusterPlan::default()
     };
     let cluster = Cluster::start(plan).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let entry = cluster.http("entry-1");
     let before = cluster.ran_at("desk-01", "").await;
     let key = bearer("huber");
--- a/crates/lovageramp/tests/processes/overload.rs
+++ b/crates/lovageramp/tests/processes/overload.rs
@@ -24,7 +24,7 @@
         ..ClusterPlan::default()
     };
     let cluster = Arc::new(Cluster::start(plan).await);
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let entry = cluster.http("entry-1");
     let over = Arc::new(AtomicBool::new(false));
     let flood = (0..CALLERS).map(|n| {
--- a/crates/lovageramp/tests/processes/quarantine.rs
+++ b/crates/lovageramp/tests/processes/quarantine.rs
@@ -15,7 +15,7 @@
         ..ClusterPlan::default()
     })
     .await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     for agent in cluster.agents() {
         cluster.fault(&agent, "crash-on", "poison").await;
     }
--- a/crates/lovageramp/tests/processes/release_notes.rs
+++ b/crates/lovageramp/tests/processes/release_notes.rs
@@ -88,7 +88,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn notes_racing_operators_linearizable() {
     let mut cluster = Cluster::start(small()).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let hosts = ["entry-1", "entry-2"].map(|name| cluster.http(name));
     let history = Arc::new(Mutex::new(Vec::new()));
     let operators: Vec<_> = (0..4_usize)
@@ -194,7 +194,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn notes_down_for_hundreds() {
     let mut cluster = Cluster::start(small()).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let leader = cluster.leader().await;
     let follower = (1..=3).find(|n| format!("control-{n}") != leader).unwrap();
     let control = format!("control-{follower}");
@@ -235,7 +235,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn notes_leader_cut_off_with_an_entry() {
     let cluster = Cluster::start(small()).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let leader = cluster.leader().await;
     let majority: Vec<String> = (1..=3)
         .map(|n| format!("control-{n}"))
@@ -324,7 +324,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn notes_resent_after_lost_answer() {
     let cluster = Cluster::start(small()).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let leader = cluster.leader().await;
     for (number, first) in [(2, leader.as_str()), (3, "entry-1")] {
         let note = add_account(number, &format!("account-{number}"));
@@ -354,7 +354,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn notes_answer_lost_behind_entry() {
     let cluster = Cluster::start(small()).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     for number in 2..=4 {
         let leader = cluster.leader().await;
         cluster.relays[&format!("entry-1>{leader}")].swallow_back();
--- a/crates/lovageramp/tests/processes/silent.rs
+++ b/crates/lovageramp/tests/processes/silent.rs
@@ -1,7 +1,8 @@
 //! Connections that go silent for good while new ones work.
 
 use crate::support::{
-    Cluster, ClusterPlan, Relay, bearer, chat, open_stream, request, reserve, rest, some, until,
+    Cluster, ClusterPlan, Relay, bearer, chat, open_stream, read_at_least, read_to_end, request,
+    reserve, until,
 };
 use hyper::body::Incoming;
 use serde_json::json;
@@ -50,7 +51,7 @@
         ..ClusterPlan::default()
     };
     let cluster = Cluster::start(plan).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     cluster
 }
 
@@ -59,9 +60,9 @@
     let cluster = cluster(1).await;
     let entry = cluster.http("entry-1");
     let mut stream = open(entry, "figure of a burl").await;
-    let got = some(&mut stream, 2_000).await;
+    let got = read_at_least(&mut stream, 2_000).await;
     swallow(&cluster.relays["advisor-01"], lost);
-    let whole = rest(stream, got).await;
+    let whole = read_to_end(stream, got).await;
     let bearer = bearer("huber");
     let headers = [("authorization", bearer.as_str())];
     let fake = cluster.http("fake-advisor-01");
@@ -149,10 +150,10 @@
     let entry = cluster.http("entry-1");
     for lost in [Lost::There, Lost::Back, Lost::Both] {
         let mut stream = open(entry, "knots and bark").await;
-        let got = some(&mut stream, 2_000).await;
+        let got = read_at_least(&mut stream, 2_000).await;
         swallow(&cluster.relays["fake-advisor-01"], lost);
         swallow(&cluster.relays["fake-advisor-02"], lost);
-        let whole = rest(stream, got).await;
+        let whole = read_to_end(stream, got).await;
         assert!(whole.ends_with(b"data: [DONE]\n\n"));
     }
 }
--- a/crates/lovageramp/tests/processes/silent_callers.rs
+++ b/crates/lovageramp/tests/processes/silent_callers.rs
@@ -70,7 +70,7 @@
     cluster.entry_timing.insert("stall_ms", 2_000);
     cluster.processes.get_mut("entry-1").unwrap().kill().await;
     cluster.start_entry(1).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let entry = cluster.http("entry-1");
     let before = cluster.processes["entry-1"].resident_bytes();
 
@@ -93,7 +93,7 @@
 
     // Nothing is read from these until the engine has been told to stop.
     until("no silent stream runs at the engine any more", || async {
-        (cluster.open_at("advisor-01").await == 0).then_some(())
+        (cluster.running_at("advisor-01").await == 0).then_some(())
     })
     .await;
     for stream in unread {
--- a/crates/lovageramp/tests/processes/streams.rs
+++ b/crates/lovageramp/tests/processes/streams.rs
@@ -1,7 +1,7 @@
 //! Streams through the real processes: whole, and nobody else's.
 
 use crate::support::{
-    Answer, Cluster, ClusterPlan, bearer, open_stream, request, rest, some, until,
+    Answer, Cluster, ClusterPlan, bearer, open_stream, read_at_least, read_to_end, request, until,
 };
 use hyper::body::Incoming;
 use serde_json::json;
@@ -60,7 +60,7 @@
 
 async fn cluster(plan: ClusterPlan) -> Cluster {
     let cluster = Cluster::start(plan).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     cluster
 }
 
@@ -84,13 +84,13 @@
     }
     let mut got = Vec::new();
     for stream in &mut streams {
-        got.push(some(stream, 2_000).await);
+        got.push(read_at_least(stream, 2_000).await);
     }
     cluster.relays["advisor-01"].cut();
     cluster.relays["advisor-01"].heal();
     let truths = truths(&cluster, &prompts, TOKENS).await;
     for ((stream, got), truth) in streams.into_iter().zip(got).zip(truths) {
-        assert_eq!(rest(stream, got).await, truth.body);
+        assert_eq!(read_to_end(stream, got).await, truth.body);
     }
 }
 
@@ -141,12 +141,12 @@
         streams.push(open(entry, prompt).await);
     }
     for stream in &mut streams {
-        got.push(some(stream, 2_000).await);
+        got.push(read_at_least(stream, 2_000).await);
     }
     cluster.kill("advisor-02").await;
     let truths = truths(&cluster, &prompts, TOKENS).await;
     for ((stream, got), truth) in streams.into_iter().zip(got).zip(truths) {
-        assert_eq!(rest(stream, got).await, truth.body);
+        assert_eq!(read_to_end(stream, got).await, truth.body);
     }
 }
 
--- a/crates/lovageramp/tests/processes/support/cluster.rs
+++ b/crates/lovageramp/tests/processes/support/cluster.rs
@@ -89,7 +89,7 @@
     pub options: Vec<&'static str>,
     /// Further times of entries that are started from now on.
     pub entry_timing: BTreeMap<&'static str, u64>,
-    _turn: SemaphorePermit<'static>,
+    _permit: SemaphorePermit<'static>,
 }
 
 impl Cluster {
@@ -107,9 +107,9 @@
             lost_disks: Vec::new(),
             options: Vec::new(),
             entry_timing: BTreeMap::new(),
-            _turn: super::limit::turn().await,
+            _permit: super::limit::acquire_permit().await,
         };
-        cluster.lay_relays().await;
+        cluster.start_relays().await;
         for number in 1..=cluster.plan.controls {
             cluster.start_control(number).await;
         }
@@ -124,7 +124,7 @@
         cluster
     }
 
-    async fn lay_relays(&mut self) {
+    async fn start_relays(&mut self) {
         let controls: Vec<String> = (1..=self.plan.controls)
             .map(|n| format!("control-{n}"))
             .collect();
@@ -409,7 +409,7 @@
 
     /// Sends the first note and waits until it is in force everywhere and every entry
     /// serves both a model request and a read of the service.
-    pub async fn offer(&self) {
+    pub async fn submit_first_note(&self) {
         let note = self.first_note();
         until("the first note is accepted", || async {
             let answer = self
--- a/crates/lovageramp/tests/processes/support/disks.rs
+++ b/crates/lovageramp/tests/processes/support/disks.rs
@@ -45,7 +45,7 @@
 }
 
 /// What that process does; nothing in a plain run of the tests.
-pub fn be_control() {
+pub fn run_control_process() {
     let Some(path) = std::env::var_os(SETTINGS).map(PathBuf::from) else {
         return;
     };
@@ -98,7 +98,7 @@
     }
 
     /// Ends the fault.
-    pub fn mend_disk(&self, control: &str, fault: DiskFault) {
+    pub fn clear_disk_fault(&self, control: &str, fault: DiskFault) {
         std::fs::remove_file(fault.switch(&self.settings_of(control))).unwrap();
     }
 
--- a/crates/lovageramp/tests/processes/support/faults.rs
+++ b/crates/lovageramp/tests/processes/support/faults.rs
@@ -41,7 +41,7 @@
     }
 
     /// Requests that a stand-in runs now.
-    pub async fn open_at(&self, agent: &str) -> u64 {
+    pub async fn running_at(&self, agent: &str) -> u64 {
         let fake = self.http(&format!("fake-{agent}"));
         let load = get(fake, "/load", &[]).await.unwrap().json();
         load["running"].as_u64().unwrap()
--- a/crates/lovageramp/tests/processes/support/limit.rs
+++ b/crates/lovageramp/tests/processes/support/limit.rs
@@ -7,7 +7,7 @@
 const AT_ONCE: usize = 8;
 
 /// Waits for a turn.
-pub async fn turn() -> SemaphorePermit<'static> {
+pub async fn acquire_permit() -> SemaphorePermit<'static> {
     static TURNS: OnceLock<Semaphore> = OnceLock::new();
     let turns = TURNS.get_or_init(|| Semaphore::new(AT_ONCE));
     turns.acquire().await.unwrap()
--- a/crates/lovageramp/tests/processes/support/map_group.rs
+++ b/crates/lovageramp/tests/processes/support/map_group.rs
@@ -10,7 +10,7 @@
 /// Ranks of each engine.
 const RANKS_EACH: u32 = 2;
 /// How often a test tries to come at the right moment.
-pub const TRIES: usize = 10;
+pub const MAX_ATTEMPTS: usize = 10;
 /// Bytes of an expert.
 pub const EXPERT_BYTES: u64 = 64 << 10;
 /// Bytes that the weight store gives out in a second.
@@ -76,7 +76,7 @@
             collective,
             weights,
         };
-        group.cluster.offer().await;
+        group.cluster.submit_first_note().await;
         group.until_switches(1).await;
         group
     }
@@ -214,7 +214,7 @@
     /// Waits until all engines stop before a barrier, while the coordinator can't
     /// reach control: the decision was not made. Returns the version.
     pub async fn until_undecided(&self) -> u64 {
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             self.until_staged().await;
             self.cut_off_control(AGENTS[0]);
             let stopped = until("all stop, or go on", || async {
--- a/crates/lovageramp/tests/processes/support/notes.rs
+++ b/crates/lovageramp/tests/processes/support/notes.rs
@@ -93,7 +93,7 @@
 
 impl Shared {
     /// Operators ask this process from now on.
-    pub fn learn(&self, cluster: &Cluster, name: &str) {
+    pub fn add_host(&self, cluster: &Cluster, name: &str) {
         let address = cluster.http(name);
         self.hosts.lock().unwrap().insert(name.to_owned(), address);
     }
@@ -207,7 +207,7 @@
             ..Shared::default()
         };
         for number in 1..=cluster.plan.controls {
-            shared.learn(cluster, &format!("control-{number}"));
+            shared.add_host(cluster, &format!("control-{number}"));
         }
         let mut tasks = JoinSet::new();
         for seed in 0..count {
@@ -250,7 +250,7 @@
     }
 
     /// Waits until they have done this much more.
-    pub async fn until_tried_again(&self, times: usize) {
+    pub async fn until_operations(&self, times: usize) {
         let done = || *self.shared.operations.lock().unwrap();
         let enough = done() + times;
         until("the operators go on", || async {
--- a/crates/lovageramp/tests/processes/support/stream.rs
+++ b/crates/lovageramp/tests/processes/support/stream.rs
@@ -47,14 +47,14 @@
 }
 
 /// Every event of a long stream has come, and its end.
-pub fn assert_whole(text: Option<String>) {
+pub fn assert_complete(text: Option<String>) {
     let text = text.expect("the stream broke off");
     assert!(text.trim_end().ends_with("data: [DONE]"));
     assert_eq!(text.matches("data: ").count(), 1502);
 }
 
 /// Reads until some bytes are here.
-pub async fn some(stream: &mut Incoming, bytes: usize) -> Vec<u8> {
+pub async fn read_at_least(stream: &mut Incoming, bytes: usize) -> Vec<u8> {
     let mut got = Vec::new();
     while got.len() < bytes {
         let frame = stream.frame().await.unwrap().unwrap();
@@ -64,7 +64,7 @@
 }
 
 /// Reads to the end, which must be whole; returns it behind what was read before.
-pub async fn rest(mut stream: Incoming, mut got: Vec<u8>) -> Vec<u8> {
+pub async fn read_to_end(mut stream: Incoming, mut got: Vec<u8>) -> Vec<u8> {
     while let Some(frame) = stream.frame().await {
         got.extend(frame.expect("broken off").into_data().unwrap());
     }
@@ -107,7 +107,7 @@
     }
 
     /// Waits until so many more requests were answered.
-    pub async fn answered(&self, more: u64) {
+    pub async fn until_answered(&self, more: u64) {
         let goal = self.answered.load(Ordering::Relaxed) + more;
         super::until("requests are answered", || async {
             (self.answered.load(Ordering::Relaxed) >= goal).then_some(())
--- a/crates/lovageramp/tests/processes/support/zones.rs
+++ b/crates/lovageramp/tests/processes/support/zones.rs
@@ -21,14 +21,14 @@
     }
 
     /// The same of all other zones.
-    pub fn besides_zone(&self, zone: &str) -> Vec<String> {
+    pub fn outside_zone(&self, zone: &str) -> Vec<String> {
         let names = self.processes.keys();
         let own = names.filter(|name| !name.starts_with("fake") && zone_of(name) != zone);
         own.cloned().collect()
     }
 
     /// Kills all processes of a zone, without a pause between them.
-    pub async fn lose_zone(&mut self, zone: &str) {
+    pub async fn kill_zone(&mut self, zone: &str) {
         let lost = self.in_zone(zone);
         for name in &lost {
             self.signal(name, "KILL").await;
@@ -53,7 +53,7 @@
     /// Cuts all links between a zone and the others.
     pub fn cut_off_zone(&self, zone: &str) {
         let side: BTreeSet<String> = self.in_zone(zone).into_iter().collect();
-        let others: BTreeSet<String> = self.besides_zone(zone).into_iter().collect();
+        let others: BTreeSet<String> = self.outside_zone(zone).into_iter().collect();
         for (name, relay) in &self.relays {
             match name.split_once('>') {
                 Some((from, to)) if side.contains(from) != side.contains(to) => relay.cut(),
--- a/crates/lovageramp/tests/processes/whole_path.rs
+++ b/crates/lovageramp/tests/processes/whole_path.rs
@@ -72,7 +72,7 @@
     let note = note.to_str().unwrap();
     let sent = cluster.client("entry-1", &["note", "send", note]).await;
     session.output("lovageramp note send", &sent);
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     cluster.until_in_force("entry-2", 1).await;
     let again = cluster.client("control-2", &["note", "send", note]).await;
     session.output("the same note again, at a control", &again);
