--- a/crates/lovageramp/tests/processes/support/callers.rs
+++ b/crates/lovageramp/tests/processes/support/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of the order desk who go on through faults, and what became of each call.
+//! Callers that send reservations throughout faults, and the recorded outcome of each call.
 
 use super::cluster::Cluster;
 use super::reserve;
@@ -10,82 +10,86 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// A caller gives up on an answer after this.
-const PATIENCE: Duration = Duration::from_secs(5);
-const PAUSE: Duration = Duration::from_millis(50);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+const CALL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a caller was told of a call; it never sends the same again.
+/// Outcome of a call as its caller saw it. No call is sent twice.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Told {
-    Done,
+enum Outcome {
+    Executed,
     NotRun,
     Unknown,
 }
 
-/// One caller at each entry, who reserves a lot after the other.
+/// One caller for each entry, each sending reservations one at a time.
 pub struct Callers {
-    calls: Arc<Mutex<BTreeMap<String, Told>>>,
-    over: Arc<AtomicBool>,
+    calls: Arc<Mutex<BTreeMap<String, Outcome>>>,
+    stop: Arc<AtomicBool>,
     tasks: JoinSet<()>,
 }
 
 impl Callers {
-    /// Starts a caller at each entry.
+    /// Starts one caller for each entry.
     pub fn start(cluster: &Cluster) -> Callers {
         let mut callers = Callers {
             calls: Arc::default(),
-            over: Arc::default(),
+            stop: Arc::default(),
             tasks: JoinSet::new(),
         };
         for number in 1..=cluster.plan.entries {
             let name = format!("entry-{number}");
             let entry = cluster.http(&name);
-            let (calls, over) = (Arc::clone(&callers.calls), Arc::clone(&callers.over));
-            callers.tasks.spawn(call(name, entry, calls, over));
+            let (calls, stop) = (Arc::clone(&callers.calls), Arc::clone(&callers.stop));
+            callers.tasks.spawn(send_calls(name, entry, calls, stop));
         }
         callers
     }
 
-    /// Ends them and compares what they were told with what ran; gives how many calls
-    /// were answered in full.
+    /// Stops the callers and checks every outcome against the number of executions.
+    /// Returns the number of calls that were answered with success.
     pub async fn end(mut self, cluster: &Cluster) -> usize {
-        self.over.store(true, Ordering::Relaxed);
-        while let Some(ended) = self.tasks.join_next().await {
-            ended.unwrap();
+        self.stop.store(true, Ordering::Relaxed);
+        while let Some(result) = self.tasks.join_next().await {
+            result.unwrap();
         }
         let calls = self.calls.lock().unwrap().clone();
-        for (key, told) in &calls {
+        for (key, outcome) in &calls {
             let ran = cluster.ran(key).await;
-            let right = match told {
-                Told::Done => ran == 1,
-                Told::NotRun => ran == 0,
-                Told::Unknown => ran <= 1,
+            let consistent = match outcome {
+                Outcome::Executed => ran == 1,
+                Outcome::NotRun => ran == 0,
+                Outcome::Unknown => ran <= 1,
             };
-            assert!(right, "{key}: told {told:?}, ran {ran} times");
+            assert!(consistent, "{key}: outcome {outcome:?}, ran {ran} times");
         }
-        calls.values().filter(|told| **told == Told::Done).count()
+        calls
+            .values()
+            .filter(|outcome| **outcome == Outcome::Executed)
+            .count()
     }
 }
 
-async fn call(
+async fn send_calls(
     name: String,
     entry: SocketAddr,
-    calls: Arc<Mutex<BTreeMap<String, Told>>>,
-    over: Arc<AtomicBool>,
+    calls: Arc<Mutex<BTreeMap<String, Outcome>>>,
+    stop: Arc<AtomicBool>,
 ) {
     for number in 0.. {
-        if over.load(Ordering::Relaxed) {
+        if stop.load(Ordering::Relaxed) {
             return;
         }
         let key = format!("{name}-{number}");
-        let asked = reserve(entry, "huber", &key, "burl");
-        let told = match timeout(PATIENCE, asked).await {
-            Ok(Ok(answer)) if answer.status == 200 => Told::Done,
-            Ok(Ok(answer)) if answer.status == 503 && answer.json()["ran"] == "no" => Told::NotRun,
-            // It may still run when its caller has given up.
-            _ => Told::Unknown,
+        let response = reserve(entry, "huber", &key, "burl");
+        let outcome = match timeout(CALL_TIMEOUT, response).await {
+            Ok(Ok(answer)) if answer.status == 200 => Outcome::Executed,
+            Ok(Ok(answer)) if answer.status == 503 && answer.json()["ran"] == "no" => {
+                Outcome::NotRun
+            }
+            // The call may still run after its caller has timed out.
+            _ => Outcome::Unknown,
         };
-        calls.lock().unwrap().insert(key, told);
-        sleep(PAUSE).await;
+        calls.lock().unwrap().insert(key, outcome);
+        sleep(CALL_INTERVAL).await;
     }
 }
--- a/crates/lovageramp/tests/processes/support/calls.rs
+++ b/crates/lovageramp/tests/processes/support/calls.rs
@@ -1,22 +1,22 @@
-//! Calls of the tests' client accounts.
+//! Requests that the tests send for their client accounts.
 
 use super::{Answer, request};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// The key of an account of the tests.
+/// The `authorization` header of a test account.
 pub fn bearer(account: &str) -> String {
     format!("Bearer key-of-{account}")
 }
 
-/// An account's item in a note.
+/// The item that adds an account in a note.
 pub fn account_item(account: &str) -> Value {
     let digest = note::Digest::of(format!("key-of-{account}").as_bytes()).to_string();
     json!({"kind": "account", "name": account, "key_sha256": digest, "share": 1,
            "tokens_per_s": 1_000_000, "requests_per_s": 10000, "concurrent": 1000, "priority": 1})
 }
 
-/// A chat completion.
+/// Sends a chat completion request.
 pub async fn chat(
     entry: SocketAddr,
     account: &str,
@@ -40,7 +40,7 @@
     .await
 }
 
-/// A call of the order desk that may not be repeated.
+/// Sends a reservation to the `order-desk` service, a call that must not be repeated.
 pub async fn reserve(
     entry: SocketAddr,
     account: &str,
--- a/crates/lovageramp/tests/processes/support/http.rs
+++ b/crates/lovageramp/tests/processes/support/http.rs
@@ -11,16 +11,16 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Generous: no request of a test may hang for longer.
-const BOUND: Duration = Duration::from_mins(1);
+/// Upper bound for a whole request, so that none can hang a test.
+const REQUEST_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// A whole answer.
+/// A response with its whole body.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
     pub headers: HeaderMap,
     pub body: Bytes,
-    /// Set when the answer broke off before its end.
+    /// Whether the body ended early with an error.
     pub broken: bool,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// Sends a request on a fresh connection and takes the head of its answer.
+/// Sends a request on a new connection and returns once the response head has arrived.
 pub async fn open_stream(
     address: SocketAddr,
     method: &str,
@@ -71,7 +71,7 @@
         .map_err(std::io::Error::other)
 }
 
-/// Sends a request on a fresh connection and takes its whole answer.
+/// Sends a request on a new connection and reads the whole response.
 pub async fn request(
     address: SocketAddr,
     method: &str,
@@ -79,7 +79,7 @@
     headers: &[(&str, &str)],
     body: impl Into<Bytes>,
 ) -> std::io::Result<Answer> {
-    let whole = async {
+    let response = async {
         let res = open_stream(address, method, path, headers, body).await?;
         let status = res.status().as_u16();
         let headers = res.headers().clone();
@@ -100,12 +100,12 @@
             broken,
         })
     };
-    tokio::time::timeout(BOUND, whole)
+    tokio::time::timeout(REQUEST_TIMEOUT, response)
         .await
         .map_err(std::io::Error::other)?
 }
 
-/// Gets a path.
+/// Sends a `GET` request.
 pub async fn get(
     address: SocketAddr,
     path: &str,
--- a/crates/lovageramp/tests/processes/support/limit.rs
+++ b/crates/lovageramp/tests/processes/support/limit.rs
@@ -1,14 +1,16 @@
-//! How many deployments run at once.
+//! Limits the number of deployments that run concurrently.
 
 use std::sync::OnceLock;
 use tokio::sync::{Semaphore, SemaphorePermit};
 
-/// Each has up to two dozen processes; more at once only slow each other down.
-const AT_ONCE: usize = 8;
+/// Each deployment has up to two dozen processes; more deployments at once only slow
+/// each other down.
+const MAX_DEPLOYMENTS: usize = 8;
 
-/// Waits for a turn.
+/// Waits until another deployment may start. It counts as running until the permit is
+/// dropped.
 pub async fn acquire_permit() -> SemaphorePermit<'static> {
-    static TURNS: OnceLock<Semaphore> = OnceLock::new();
-    let turns = TURNS.get_or_init(|| Semaphore::new(AT_ONCE));
-    turns.acquire().await.unwrap()
+    static PERMITS: OnceLock<Semaphore> = OnceLock::new();
+    let permits = PERMITS.get_or_init(|| Semaphore::new(MAX_DEPLOYMENTS));
+    permits.acquire().await.unwrap()
 }
--- a/crates/lovageramp/tests/processes/support/mod.rs
+++ b/crates/lovageramp/tests/processes/support/mod.rs
@@ -1,9 +1,9 @@
-//! Starts the real binaries on loopback, with relays between them.
+//! Runs the daemons as processes on loopback, with relays between them.
 
 #![allow(
     dead_code,
     unused_imports,
-    reason = "each test file is a crate of its own and uses a part of this"
+    reason = "each test binary compiles this module separately and uses a part of it"
 )]
 
 pub mod callers;
--- a/crates/lovageramp/tests/processes/support/process.rs
+++ b/crates/lovageramp/tests/processes/support/process.rs
@@ -1,4 +1,4 @@
-//! One real process of ours.
+//! A daemon or fake that runs as a process.
 
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -7,29 +7,30 @@
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::{Child, Command};
 
-/// Ticks of a process's time a second, as the kernel reports them.
-const TICKS: f64 = 100.0;
-/// Bytes of a page of memory.
-const PAGE: u64 = 4096;
+/// Clock ticks per second in `/proc/PID/stat`.
+const TICKS_PER_S: f64 = 100.0;
+/// Bytes of a memory page, the unit of `/proc/PID/statm`.
+const PAGE_BYTES: u64 = 4096;
 
 /// A running process; it is killed when dropped.
 pub struct Process {
     child: Child,
-    /// Where its links listen, if it has any.
+    /// Address of its link listener, if it has one.
     pub links: Option<SocketAddr>,
-    /// Where it answers HTTP.
+    /// Address of its HTTP listener.
     pub http: SocketAddr,
 }
 
 impl Process {
-    /// Starts `program` and waits for the line that says where it listens.
+    /// Starts `program` and waits until it has printed its listening addresses. Its
+    /// stderr is appended to `log`.
     pub async fn start(program: &str, args: &[&str], log: &Path) -> Process {
         let mut command = Command::new(program);
         command.args(args);
         Process::launch(command, log).await
     }
 
-    /// As [`Process::start`], from a command.
+    /// Like [`Process::start`], for a prepared command.
     pub async fn launch(mut command: Command, log: &Path) -> Process {
         let log = std::fs::File::options()
             .create(true)
@@ -46,13 +47,13 @@
         let mut lines = BufReader::new(child.stdout.take().unwrap()).lines();
         let ready = loop {
             let line = lines.next_line().await.unwrap();
-            let line = line.unwrap_or_else(|| panic!("{command:?} ended before it was ready"));
-            // A test that is started as a daemon prints lines of its own before.
+            let line = line.unwrap_or_else(|| panic!("{command:?} exited before it was ready"));
+            // A test executable that runs as a daemon first prints lines of the test harness.
             if let Ok(ready @ Value::Object(_)) = serde_json::from_str(&line) {
                 break ready;
             }
         };
-        // The pipe stays open: a daemon that prints must not fail at it.
+        // Drain the pipe, so that a daemon that prints more neither blocks nor fails.
         tokio::spawn(async move { while let Ok(Some(_)) = lines.next_line().await {} });
         let address = |key: &str| ready[key].as_str().map(|text| text.parse().unwrap());
         Process {
@@ -62,12 +63,12 @@
         }
     }
 
-    /// Its number at the kernel.
+    /// The process id.
     pub fn pid(&self) -> u32 {
         self.child.id().unwrap()
     }
 
-    /// Seconds of processor time that it has used.
+    /// CPU time used so far, user and system, in seconds.
     pub fn cpu_seconds(&self) -> f64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.pid())).unwrap();
         let fields: Vec<&str> = stat
@@ -77,17 +78,17 @@
             .split_whitespace()
             .collect();
         let ticks = |field: usize| fields[field].parse::<f64>().unwrap();
-        (ticks(11) + ticks(12)) / TICKS
+        (ticks(11) + ticks(12)) / TICKS_PER_S
     }
 
-    /// Bytes that it holds in memory.
+    /// Resident set size in bytes.
     pub fn resident_bytes(&self) -> u64 {
         let statm = std::fs::read_to_string(format!("/proc/{}/statm", self.pid())).unwrap();
         let pages: u64 = statm.split_whitespace().nth(1).unwrap().parse().unwrap();
-        pages * PAGE
+        pages * PAGE_BYTES
     }
 
-    /// Kills it with SIGKILL and waits until it is gone.
+    /// Kills it with SIGKILL and waits until it has exited.
     pub async fn kill(&mut self) {
         self.child.kill().await.unwrap();
     }
@@ -103,12 +104,12 @@
         assert!(sent.success());
     }
 
-    /// Waits until it has ended by itself; true for exit code 0.
+    /// Waits until it has exited by itself. Returns whether the exit code was 0.
     pub async fn ended(&mut self) -> bool {
         self.child.wait().await.unwrap().success()
     }
 
-    /// True once it has ended.
+    /// Whether it has exited.
     pub fn has_ended(&mut self) -> bool {
         self.child.try_wait().unwrap().is_some()
     }
--- a/crates/lovageramp/tests/processes/support/stream.rs
+++ b/crates/lovageramp/tests/processes/support/stream.rs
@@ -1,4 +1,4 @@
-//! Long streams, and callers who keep their connection.
+//! Long streamed responses, and callers that reuse one connection.
 
 use super::bearer;
 use super::cluster::Cluster;
@@ -16,7 +16,8 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// Begins a long stream and hands back a task that ends with its whole text.
+/// Starts a long streamed completion and returns once its first bytes have arrived. The
+/// task reads the rest and yields the whole text, or `None` if the stream failed.
 pub async fn long_stream(
     cluster: &Cluster,
     entry: &str,
@@ -46,14 +47,14 @@
     })
 }
 
-/// Every event of a long stream has come, and its end.
+/// Asserts that every event of a [`long_stream`] has arrived, including the final one.
 pub fn assert_complete(text: Option<String>) {
-    let text = text.expect("the stream broke off");
+    let text = text.expect("the stream ended early");
     assert!(text.trim_end().ends_with("data: [DONE]"));
     assert_eq!(text.matches("data: ").count(), 1502);
 }
 
-/// Reads until some bytes are here.
+/// Reads until at least `bytes` bytes have arrived.
 pub async fn read_at_least(stream: &mut Incoming, bytes: usize) -> Vec<u8> {
     let mut got = Vec::new();
     while got.len() < bytes {
@@ -63,15 +64,16 @@
     got
 }
 
-/// Reads to the end, which must be whole; returns it behind what was read before.
+/// Reads the rest of the stream, which must end without an error, and returns it
+/// appended to `got`.
 pub async fn read_to_end(mut stream: Incoming, mut got: Vec<u8>) -> Vec<u8> {
     while let Some(frame) = stream.frame().await {
-        got.extend(frame.expect("broken off").into_data().unwrap());
+        got.extend(frame.expect("the stream ended early").into_data().unwrap());
     }
     got
 }
 
-/// A caller who sends one request after the other on one connection that stays open.
+/// A caller that sends requests one at a time on one persistent connection.
 pub struct Caller {
     answered: Arc<AtomicU64>,
     stop: Arc<AtomicBool>,
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Waits until so many more requests were answered.
+    /// Waits until `more` further requests have been answered.
     pub async fn until_answered(&self, more: u64) {
         let goal = self.answered.load(Ordering::Relaxed) + more;
         super::until("requests are answered", || async {
@@ -115,14 +117,15 @@
         .await;
     }
 
-    /// Ends, and tells the statuses of all answers.
+    /// Stops the caller and returns the status of every response.
     pub async fn finish(self) -> Vec<u16> {
         self.stop.store(true, Ordering::Relaxed);
         self.task.await.unwrap()
     }
 }
 
-/// Each has a prompt of its own, or all would go where the first one is cached.
+/// The prompts differ, since equal prompts would all be routed to the engine that has
+/// the first one cached.
 fn short_chat(number: usize) -> Request<Full<Bytes>> {
     let body = json!({"model": "burl-notes", "max_tokens": 4,
                       "messages": [{"role": "user", "content": format!("{number}, short")}]});
--- a/crates/lovageramp/tests/processes/support/zones.rs
+++ b/crates/lovageramp/tests/processes/support/zones.rs
@@ -1,33 +1,34 @@
-//! Availability zones: their loss, and a region that is cut off.
+//! Loss and network partition of availability zones.
 
 use super::cluster::Cluster;
 use std::collections::BTreeSet;
 
 const ZONES: [&str; 3] = ["oberpfalz", "allgaeu", "franken"];
 
-/// The zone of a process: controls and entries go round by number, targets too.
+/// The zone of a process. Processes of each kind are assigned round-robin by their number.
 pub fn zone_of(name: &str) -> &'static str {
     let number = name.rsplit('-').next().and_then(|n| n.parse().ok());
-    let place: usize = number.unwrap_or(0);
-    ZONES[place % ZONES.len()]
+    let index: usize = number.unwrap_or(0);
+    ZONES[index % ZONES.len()]
 }
 
 impl Cluster {
-    /// Controls, entries and agents of a zone.
+    /// Names of the controls, entries and agents in a zone.
     pub fn in_zone(&self, zone: &str) -> Vec<String> {
         let names = self.processes.keys();
         let own = names.filter(|name| !name.starts_with("fake") && zone_of(name) == zone);
         own.cloned().collect()
     }
 
-    /// The same of all other zones.
+    /// Names of the controls, entries and agents in all other zones.
     pub fn outside_zone(&self, zone: &str) -> Vec<String> {
         let names = self.processes.keys();
         let own = names.filter(|name| !name.starts_with("fake") && zone_of(name) != zone);
         own.cloned().collect()
     }
 
-    /// Kills all processes of a zone, without a pause between them.
+    /// Kills all processes of a zone at once: every signal is sent before any exit is
+    /// awaited.
     pub async fn kill_zone(&mut self, zone: &str) {
         let lost = self.in_zone(zone);
         for name in &lost {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Starts a process of a lost zone again.
+    /// Restarts a control, an entry or an agent by its name.
     pub async fn start_again(&mut self, name: &str) {
         let number = || name.rsplit('-').next().unwrap().parse().unwrap();
         if name.starts_with("control") {
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Cuts all links between a zone and the others.
+    /// Partitions a zone from the others.
     pub fn cut_off_zone(&self, zone: &str) {
         let side: BTreeSet<String> = self.in_zone(zone).into_iter().collect();
         let others: BTreeSet<String> = self.outside_zone(zone).into_iter().collect();
@@ -59,13 +60,14 @@
                 Some((from, to)) if side.contains(from) != side.contains(to) => relay.cut(),
                 None if side.contains(name) => relay.bar(others.clone()),
                 None if others.contains(name) => relay.bar(side.clone()),
-                // Within one side, or before a fake, which stands beside its agent.
+                // Both ends are on one side, or the relay is in front of a fake, which runs in
+                // the zone of its agent.
                 Some(_) | None => {}
             }
         }
     }
 
-    /// Ends all cuts.
+    /// Heals all relays and lifts the bars set on them.
     pub fn heal_all(&self) {
         for relay in self.relays.values() {
             relay.heal();
