--- a/crates/lovageramp/tests/processes/support/cluster.rs
+++ b/crates/lovageramp/tests/processes/support/cluster.rs
@@ -1,8 +1,8 @@
-//! A whole deployment of real processes on loopback.
+//! A complete deployment of daemon processes on loopback.
 //!
-//! Every daemon that others dial stands behind a relay with a fixed address, so that
-//! settings can be written before the kernel has chosen the daemons' own ports, and so
-//! that tests can cut, freeze and swallow what goes between any two of them.
+//! Every daemon that others connect to is behind a relay with a fixed address. So
+//! settings can be written before the kernel has chosen the daemons' own ports, and tests
+//! can cut, stall or discard the traffic between any two daemons.
 
 use super::other_build;
 use super::process::Process;
@@ -21,34 +21,34 @@
 const ENTRY: &str = env!("CARGO_BIN_EXE_lovageramp-entry");
 const AGENT: &str = env!("CARGO_BIN_EXE_lovageramp-agent");
 const CLIENT: &str = env!("CARGO_BIN_EXE_lovageramp");
-/// The operators' token of every test deployment.
+/// Operator token of every test deployment.
 pub const TOKEN: &str = "operators-token-of-the-tests";
 
-/// How many of each process to start.
+/// Which processes to start, with their settings.
 pub struct ClusterPlan {
     pub controls: usize,
     pub entries: usize,
     pub engines: usize,
     pub services: usize,
-    /// Milliseconds of an engine's step.
+    /// Duration of an engine's step in milliseconds.
     pub step_ms: u32,
-    /// Requests that an engine runs at once.
+    /// Number of requests that an engine runs concurrently.
     pub limit: u32,
-    /// Entries between two snapshots of a control.
+    /// Log entries between two snapshots of a control.
     pub snapshot_entries: u64,
     /// Controls run with disks that can be made to fail, see [`super::disks`].
     pub faulty_disks: bool,
-    /// Settings of the controls' ledger, where they differ from the defaults.
+    /// Ledger settings of the controls that differ from the defaults.
     pub ledger: Value,
-    /// Ranks of each engine.
+    /// Number of ranks of each engine.
     pub ranks_each: usize,
-    /// More arguments of each engine.
+    /// Additional command-line arguments of each engine.
     pub engine_args: Vec<String>,
-    /// More settings of each agent before an engine.
+    /// Additional settings of each agent in front of an engine.
     pub agent_settings: Value,
-    /// Fields of the group's item in the first note that differ.
+    /// Fields of the group in the first note that differ from [`Cluster::first_note`].
     pub group: Value,
-    /// Times of the agents, likewise.
+    /// Timing settings of the agents that differ from the defaults.
     pub agent_timing: Value,
 }
 
@@ -73,28 +73,28 @@
     }
 }
 
-/// A running deployment; all of it ends when dropped.
+/// A running deployment. All processes are killed when it is dropped.
 pub struct Cluster {
     pub folder: TempDir,
-    /// Control replicas, entries, agents and fakes by name.
+    /// Control replicas, entries, agents and fakes, by name.
     pub processes: BTreeMap<String, Process>,
-    /// Relays by the name of what stands behind them. Each control and each agent has
-    /// one for all that dial it, and `control-1>control-2` and `entry-1>control-2`
-    /// stand between just these two.
+    /// Relays, by the name of the process behind them. Each agent and each fake has one
+    /// for all connections to it. Each control has one for every process that connects
+    /// to it, named like `control-1>control-2` and `entry-1>control-2`.
     pub relays: BTreeMap<String, Relay>,
     pub plan: ClusterPlan,
-    /// Identities of the controls' disks that were thrown away.
+    /// Identities of the controls' disks that were deleted.
     pub lost_disks: Vec<String>,
-    /// Further options of what is started from now on.
+    /// Additional options of all daemons started from now on.
     pub options: Vec<&'static str>,
-    /// Further times of entries that are started from now on.
+    /// Additional timing settings, in milliseconds, of entries started from now on.
     pub entry_timing: BTreeMap<&'static str, u64>,
     _permit: SemaphorePermit<'static>,
 }
 
 impl Cluster {
-    /// Starts all processes and waits until a leader answers and every entry is ready
-    /// for a first note.
+    /// Starts all processes and waits until every entry is ready for a first note and
+    /// every control replica is a voter with the complete log.
     pub async fn start(plan: ClusterPlan) -> Cluster {
         let folder = tempfile::tempdir().unwrap();
         std::fs::write(folder.path().join("cluster.key"), "key of the test cluster").unwrap();
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Names of all agents, which are those of their targets.
+    /// Names of all agents, which are also the names of their targets.
     pub fn agents(&self) -> Vec<String> {
         let engines = (1..=self.plan.engines).map(|n| format!("advisor-{n:02}"));
         let services = (1..=self.plan.services).map(|n| format!("desk-{n:02}"));
@@ -157,16 +157,16 @@
         self.relays[name].address
     }
 
-    /// Points every relay before `name` at its links.
+    /// Points every relay in front of `name` at the address of its link listener.
     fn point_relays(&self, name: &str, links: SocketAddr) {
-        for (relay, before) in &self.relays {
-            if relay == name || relay.ends_with(&format!(">{name}")) {
-                before.set_target(links);
+        for (key, relay) in &self.relays {
+            if key == name || key.ends_with(&format!(">{name}")) {
+                relay.set_target(links);
             }
         }
     }
 
-    fn common(&self, name: &str) -> Value {
+    fn common_settings(&self, name: &str) -> Value {
         json!({
             "name": name,
             "zone": super::zones::zone_of(name),
@@ -197,8 +197,8 @@
         self.processes.insert(name.to_owned(), process);
     }
 
-    /// Starts or restarts control replica `number`; the first one begins the cluster
-    /// when its data folder was never there.
+    /// Starts or restarts control replica `number`. The first start of `control-1`
+    /// initializes the cluster.
     pub async fn start_control(&mut self, number: usize) {
         let name = format!("control-{number}");
         let data = self.path(&format!("{name}-data"));
@@ -217,7 +217,7 @@
                 })
             })
             .collect();
-        let mut settings = self.common(&name);
+        let mut settings = self.common_settings(&name);
         settings["listen"] = "127.0.0.1:0".into();
         settings["data"] = json!(data);
         settings["operator_token_file"] = json!(self.path("operator.token"));
@@ -227,11 +227,12 @@
         let file = self.write_settings(&name, &settings);
         let first_start = number == 1 && !self.path("began").exists();
         if first_start {
-            let formatted = std::process::Command::new(other_build::program(CONTROL, &name, true))
-                .args(["--settings", &file, "--init"])
-                .output()
-                .unwrap();
-            assert!(formatted.status.success(), "{formatted:?}");
+            let initialized =
+                std::process::Command::new(other_build::program(CONTROL, &name, true))
+                    .args(["--settings", &file, "--init"])
+                    .output()
+                    .unwrap();
+            assert!(initialized.status.success(), "{initialized:?}");
             std::fs::write(self.path("began"), "").unwrap();
         }
         if self.plan.faulty_disks {
@@ -241,7 +242,7 @@
         self.launch(CONTROL, &name, &["--settings", &file]).await;
     }
 
-    /// Link addresses of all controls, as `dialer` reaches them.
+    /// Link addresses of all controls for `dialer`, which are those of its relays.
     fn controls_for(&self, dialer: &str) -> Vec<String> {
         (1..=self.plan.controls)
             .map(|control| {
@@ -254,10 +255,10 @@
     /// Starts or restarts an entry.
     pub async fn start_entry(&mut self, number: usize) {
         let name = format!("entry-{number}");
-        let mut settings = self.common(&name);
+        let mut settings = self.common_settings(&name);
         settings["controls"] = json!(self.controls_for(&name));
         settings["operator_token_file"] = json!(self.path("operator.token"));
-        // A slow machine must not turn a wait for room into a refusal.
+        // On a slow host, a request that waits in the queue must not be refused.
         settings["timing"] = json!({"address_ttl_ms": 2000, "queue_wait_ms": 30000});
         for (key, ms) in &self.entry_timing {
             settings["timing"][*key] = json!(ms);
@@ -273,7 +274,8 @@
         }
     }
 
-    /// Starts or restarts the fake behind an agent; its address stays the same.
+    /// Starts or restarts the fake behind an agent. The address that the agent uses stays
+    /// the same.
     pub async fn start_fake(&mut self, name: &str) {
         let fake = format!("fake-{name}");
         let kind = if name.starts_with("advisor") {
@@ -314,7 +316,7 @@
 
     /// Starts or restarts an agent.
     pub async fn start_agent(&mut self, name: &str) {
-        let mut settings = self.common(name);
+        let mut settings = self.common_settings(name);
         settings["listen"] = "127.0.0.1:0".into();
         settings["advertise"] = json!(self.relay(name).to_string());
         settings["timing"] = self.plan.agent_timing.clone();
@@ -332,7 +334,7 @@
         self.launch(AGENT, name, &["--settings", &file]).await;
     }
 
-    /// Address for callers of an entry.
+    /// HTTP address of a process.
     pub fn http(&self, name: &str) -> SocketAddr {
         self.processes[name].http
     }
@@ -347,7 +349,7 @@
         .await;
     }
 
-    /// An operators' request at an entry or a control.
+    /// Sends an operator request to an entry or a control.
     pub async fn operator(&self, host: &str, method: &str, path: &str, body: &Value) -> Answer {
         let bearer = format!("Bearer {TOKEN}");
         let body = if body.is_null() {
@@ -364,7 +366,7 @@
             .unwrap()
     }
 
-    /// Runs the operators' client against `host`.
+    /// Runs the command-line client against `host`.
     pub async fn client(&self, host: &str, args: &[&str]) -> std::process::Output {
         let host = self.http(host).to_string();
         tokio::process::Command::new(CLIENT)
@@ -376,7 +378,7 @@
             .unwrap()
     }
 
-    /// The first note: one group, one service, two accounts, all targets.
+    /// The first note, with a model, a group, a service, two accounts and all targets.
     pub fn first_note(&self) -> Value {
         let ranks = self.plan.engines.max(1) * self.plan.ranks_each;
         let mut group = json!({"kind": "group", "name": "blank-advisor", "model": "burl-notes",
@@ -407,8 +409,8 @@
         json!({"number": 1, "added": added})
     }
 
-    /// Sends the first note and waits until it is in force everywhere and every entry
-    /// serves both a model request and a read of the service.
+    /// Sends the first note and waits until every entry serves both a model request, if
+    /// there are engines, and a read of the service, if there are services.
     pub async fn submit_first_note(&self) {
         let note = self.first_note();
         until("the first note is accepted", || async {
@@ -423,7 +425,7 @@
             let (engines, services) = (self.plan.engines, self.plan.services);
             until(&format!("entry-{number} serves"), || async move {
                 let model = engines == 0 || serves_models(entry).await;
-                let service = services == 0 || serves_services(entry).await;
+                let service = services == 0 || serves_service(entry).await;
                 (model && service).then_some(())
             })
             .await;
@@ -436,14 +438,14 @@
     answer.is_ok_and(|answer| answer.status == 200)
 }
 
-async fn serves_services(entry: SocketAddr) -> bool {
+async fn serves_service(entry: SocketAddr) -> bool {
     let bearer = bearer("huber");
     let headers = [("authorization", bearer.as_str())];
     let answer = get(entry, "/s/order-desk/stock", &headers).await;
     answer.is_ok_and(|answer| answer.status == 200)
 }
 
-/// Sets each field of `more`.
+/// Sets each field of `more` in `into`.
 fn merge(into: &mut Value, more: &Value) {
     for (key, value) in more.as_object().into_iter().flatten() {
         into[key] = value.clone();
--- a/crates/lovageramp/tests/processes/support/disks.rs
+++ b/crates/lovageramp/tests/processes/support/disks.rs
@@ -1,7 +1,8 @@
-//! Control processes whose disks can be made to fail from outside.
+//! Control processes whose disks can be made to fail by a test.
 //!
-//! Such a process is the test executable, started again for one test that does nothing
-//! else: the daemon's own code on file operations that fail while a file is there.
+//! Such a process is the test executable, started to run a single test that serves as
+//! the daemon. It runs the daemon's own code on file operations that fail as long as a
+//! marker file exists.
 
 use super::cluster::Cluster;
 use super::until;
@@ -11,23 +12,23 @@
 use store::Ops;
 use tokio::process::Command;
 
-/// Path of the settings file, for the process that is a control.
+/// Path of the settings file; set only in a process that serves as a control.
 const SETTINGS: &str = "LOVAGERAMP_TEST_CONTROL_SETTINGS";
-/// The test that becomes the control.
+/// The test that serves as the control.
 const TEST: &str = "durable_disk::control_process_with_faults";
 
 /// A way in which a disk fails.
 #[derive(Clone, Copy, Debug)]
 pub enum DiskFault {
-    /// Nothing more can be written.
+    /// The disk is full: creating and writing files fails.
     Full,
-    /// Syncs fail.
+    /// Syncing files fails.
     Sync,
 }
 
 impl DiskFault {
-    /// The file that switches it on, beside the control's settings.
-    fn switch(self, settings: &Path) -> PathBuf {
+    /// The marker file that switches the fault on, beside the control's settings.
+    fn marker(self, settings: &Path) -> PathBuf {
         settings.with_extension(match self {
             DiskFault::Full => "full",
             DiskFault::Sync => "sync-fails",
@@ -35,7 +36,7 @@
     }
 }
 
-/// The command that starts a control on such a disk.
+/// The command that starts a control with file operations that can fail.
 pub(super) fn control_with_faults(settings: &str) -> Command {
     let mut command = Command::new(std::env::current_exe().unwrap());
     command
@@ -44,7 +45,8 @@
     command
 }
 
-/// What that process does; nothing in a plain run of the tests.
+/// Serves as a control if the settings variable is set. Returns at once in a normal run
+/// of the tests.
 pub fn run_control_process() {
     let Some(path) = std::env::var_os(SETTINGS).map(PathBuf::from) else {
         return;
@@ -52,24 +54,25 @@
     let json = std::fs::read(&path).unwrap();
     let settings = control::Settings::from_slice(&json).unwrap();
     let _logs = trace::start_logging("info", trace::LogFormat::Text).unwrap();
-    // The line that tells where it listens must begin a line.
+    // The harness has printed an unfinished line; the listening addresses need a line
+    // of their own.
     println!();
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
         .unwrap();
-    let ended = runtime.block_on(lovageramp::daemon::serve_control(settings, ops(&path)));
-    ended.unwrap();
+    let result = runtime.block_on(lovageramp::daemon::serve_control(settings, ops(&path)));
+    result.unwrap();
 }
 
 fn ops(settings: &Path) -> Ops {
-    let full = DiskFault::Full.switch(settings);
-    let failing = DiskFault::Sync.switch(settings);
+    let full = DiskFault::Full.marker(settings);
+    let sync_fails = DiskFault::Sync.marker(settings);
     let real = Ops::default();
-    let (no_room, create) = (full.clone(), Arc::clone(&real.create));
+    let (full_on_create, create) = (full.clone(), Arc::clone(&real.create));
     Ops {
         create: Arc::new(move |path| {
-            if no_room.exists() {
+            if full_on_create.exists() {
                 return Err(io::ErrorKind::StorageFull.into());
             }
             create(path)
@@ -82,7 +85,7 @@
             file.write_all(bytes)
         }),
         sync: Arc::new(move |path, file| {
-            if failing.exists() {
+            if sync_fails.exists() {
                 return Err(io::Error::other("input/output error"));
             }
             (real.sync)(path, file)
@@ -92,21 +95,21 @@
 }
 
 impl Cluster {
-    /// Makes the disk of a control fail.
+    /// Switches a fault of a control's disk on.
     pub fn fail_disk(&self, control: &str, fault: DiskFault) {
-        std::fs::write(fault.switch(&self.settings_of(control)), "").unwrap();
+        std::fs::write(fault.marker(&self.settings_of(control)), "").unwrap();
     }
 
-    /// Ends the fault.
+    /// Switches the fault off.
     pub fn clear_disk_fault(&self, control: &str, fault: DiskFault) {
-        std::fs::remove_file(fault.switch(&self.settings_of(control))).unwrap();
+        std::fs::remove_file(fault.marker(&self.settings_of(control))).unwrap();
     }
 
     fn settings_of(&self, control: &str) -> PathBuf {
         self.path(&format!("{control}.json"))
     }
 
-    /// Waits until a process has ended; true for exit code 0.
+    /// Waits until a process has exited. Returns whether the exit code was 0.
     pub async fn until_ended(&mut self, name: &str) -> bool {
         let process = self.processes.get_mut(name).unwrap();
         tokio::time::timeout(std::time::Duration::from_mins(1), process.ended())
@@ -114,8 +117,8 @@
             .unwrap()
     }
 
-    /// Starts a control again, as a supervisor does, and gives what it says when it
-    /// ends.
+    /// Starts a control as a supervisor would and expects it to fail. Returns its output,
+    /// stdout before stderr.
     pub async fn start_and_end(&self, control: &str) -> String {
         let settings = self.settings_of(control);
         let command = control_with_faults(settings.to_str().unwrap()).output();
@@ -126,7 +129,8 @@
         String::from_utf8([out, err].concat()).unwrap()
     }
 
-    /// Replaces the disk of a control that has ended by a blank one and starts it.
+    /// Replaces the disk of a control that has exited by a blank one and starts the
+    /// control.
     pub async fn replace_disk(&mut self, number: usize) {
         let name = format!("control-{number}");
         let data = self.path(&format!("{name}-data"));
@@ -138,7 +142,7 @@
         self.start_control(number).await;
     }
 
-    /// Waits until a line of a process's metrics is as given.
+    /// Waits until a metric of a process has the expected value.
     pub async fn until_metric(&self, name: &str, metric: &str, expected: f64) {
         until(&format!("{metric} of {name} is {expected}"), || async {
             let value = self.metric(name, metric).await?;
@@ -147,7 +151,7 @@
         .await;
     }
 
-    /// A value of a process's metrics: that of the line which begins with `metric`.
+    /// Value of a metric of a process. `metric` is the name with its labels, as exposed.
     pub async fn metric(&self, name: &str, metric: &str) -> Option<f64> {
         let answer = super::get(self.http(name), "/metrics", &[]).await.ok()?;
         let text = answer.text();
--- a/crates/lovageramp/tests/processes/support/faults.rs
+++ b/crates/lovageramp/tests/processes/support/faults.rs
@@ -1,4 +1,4 @@
-//! Failures that tests cause in a running deployment.
+//! Faults that tests inject into a running deployment, and conditions to wait for.
 
 use super::cluster::Cluster;
 use super::{get, request, until};
@@ -15,7 +15,7 @@
         self.processes[name].signal(signal).await;
     }
 
-    /// Kills a control replica and throws its disk away.
+    /// Kills a control replica and deletes its data folder.
     pub async fn lose_disk(&mut self, number: usize) {
         let name = format!("control-{number}");
         let disk = until("the disk's identity", || async {
@@ -30,7 +30,8 @@
         std::fs::remove_dir_all(self.folder.path().join(format!("{name}-data"))).unwrap();
     }
 
-    /// Switches a fault on at the stand-in behind an agent.
+    /// Switches a fault on in the fake behind an agent. A fake that does not answer is
+    /// ignored.
     pub async fn fault(&self, agent: &str, fault: &str, value: &str) {
         let fake = self.http(&format!("fake-{agent}"));
         let path = format!("/fault/{fault}");
@@ -40,14 +41,15 @@
         }
     }
 
-    /// Requests that a stand-in runs now.
+    /// Number of requests that the fake behind an agent is running.
     pub async fn running_at(&self, agent: &str) -> u64 {
         let fake = self.http(&format!("fake-{agent}"));
         let load = get(fake, "/load", &[]).await.unwrap().json();
         load["running"].as_u64().unwrap()
     }
 
-    /// How often a stand-in ran requests of this key; an empty key counts all.
+    /// Number of times that the fake behind an agent ran requests with this key. An empty
+    /// key counts all requests; a fake that does not answer counts as 0.
     pub async fn ran_at(&self, agent: &str, key: &str) -> u64 {
         let fake = self.http(&format!("fake-{agent}"));
         let Ok(seen) = get(fake, "/seen", &[]).await else {
@@ -59,7 +61,7 @@
         rows.map(|row| row["count"].as_u64().unwrap()).sum()
     }
 
-    /// How often all services ran the call with this key.
+    /// Number of times that all services together ran the call with this key.
     pub async fn ran(&self, key: &str) -> u64 {
         let mut ran = 0;
         for agent in self.agents() {
@@ -70,7 +72,7 @@
         ran
     }
 
-    /// Waits until a call with this key runs at some service.
+    /// Waits until some service has started the call with this key.
     pub async fn until_runs(&self, key: &str) {
         until(&format!("{key} runs"), || async {
             (self.ran(key).await > 0).then_some(())
@@ -78,12 +80,13 @@
         .await;
     }
 
-    /// The time of the durable state, in milliseconds that there was a leader.
+    /// Clock of the replicated ledger in milliseconds. It advances only while there is a
+    /// leader.
     pub async fn ledger_time_ms(&self) -> Option<u64> {
         self.any_status().await?["ledger"]["time_ms"].as_u64()
     }
 
-    /// Waits until one of these relays holds something, and says which.
+    /// Waits until one of these relays holds bytes back, and returns its name.
     pub async fn until_held(&self, relays: &[String]) -> String {
         until("bytes are held", || async {
             let mut relays = relays.iter();
@@ -92,7 +95,7 @@
         .await
     }
 
-    /// `GET /v1/operator/status` of any host that answers.
+    /// Answer of a host to `GET /v1/operator/status`, if it answers with 200.
     pub async fn status(&self, host: &str) -> Option<Value> {
         let bearer = format!("Bearer {}", super::cluster::TOKEN);
         let headers = [("authorization", bearer.as_str())];
@@ -101,8 +104,9 @@
         (answer.status == 200).then(|| answer.json())
     }
 
-    /// The status as the first host that answers has it: an entry asks the leader, a
-    /// control that does not lead has only its own view.
+    /// Status from the first host that answers and knows a leader. Entries are asked
+    /// first, since an entry asks the leader, while a control that does not lead has only
+    /// its own view.
     async fn any_status(&self) -> Option<Value> {
         let hosts = self.processes.keys();
         let entries = hosts.clone().filter(|name| name.starts_with("entry"));
@@ -119,10 +123,10 @@
         None
     }
 
-    /// Waits until every control replica is a voter that has all of the log. A replica
-    /// with a blank disk is a learner until then, and the loss of others may take the
-    /// majority away. While a lost disk is still among the voters its loss has not been
-    /// noticed yet, whatever the rest of the status says.
+    /// Waits until every control replica is a voter with the complete log. Until then a
+    /// replica with a blank disk is a learner, and losing other replicas may cost the
+    /// majority. As long as a lost disk is listed as a voter, its loss has not been
+    /// detected, whatever the rest of the status says.
     pub async fn until_repaired(&self) {
         let expected = self.plan.controls;
         until("the repair is complete", || async {
@@ -132,10 +136,10 @@
                 let mut lost = self.lost_disks.iter();
                 lost.any(|disk| replica["disk"] == disk.as_str())
             };
-            let is_whole = |replica: &Value| replica["state"] == "voter" && !is_lost(replica);
-            let whole = replicas.iter().all(is_whole);
+            let is_repaired = |replica: &Value| replica["state"] == "voter" && !is_lost(replica);
+            let repaired = replicas.iter().all(is_repaired);
             let complete = status["repair"] == "complete";
-            (replicas.len() == expected && whole && complete).then_some(())
+            (replicas.len() == expected && repaired && complete).then_some(())
         })
         .await;
     }
@@ -149,7 +153,7 @@
         .await
     }
 
-    /// Waits until a note is in force everywhere.
+    /// Waits until a note is in force on all hosts.
     pub async fn until_in_force(&self, host: &str, number: u64) {
         until(&format!("note {number} in force everywhere"), || async {
             let answer = self
--- a/crates/lovageramp/tests/processes/support/map_group.rs
+++ b/crates/lovageramp/tests/processes/support/map_group.rs
@@ -1,24 +1,25 @@
-//! A group of three engines with two ranks each, whose popular experts change.
+//! A group of three engines with two ranks each, in which the popularity of experts shifts
+//! over time.
 
 use super::{Cluster, ClusterPlan, get, until};
 use fake::{Collective, WeightSettings, WeightStore};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The agents of the group; the first one coordinates while it lives.
+/// The agents of the group. The first one is the coordinator while it is running.
 pub const AGENTS: [&str; 3] = ["advisor-01", "advisor-02", "advisor-03"];
-/// Ranks of each engine.
-const RANKS_EACH: u32 = 2;
-/// How often a test tries to come at the right moment.
+/// Number of ranks of each engine.
+const RANKS_PER_ENGINE: u32 = 2;
+/// Number of attempts of a test to inject a fault at the intended moment.
 pub const MAX_ATTEMPTS: usize = 10;
-/// Bytes of an expert.
+/// Size of an expert's weights in bytes.
 pub const EXPERT_BYTES: u64 = 64 << 10;
-/// Bytes that the weight store gives out in a second.
+/// Throughput of the weight store in bytes per second.
 const STORE_BYTES_PER_S: u64 = 64 * EXPERT_BYTES;
-/// Staging takes this long, so that a test sees it while it lasts.
+/// Duration of staging a map in milliseconds, long enough for a test to observe it.
 const STAGE_MS: &str = "300";
 
-/// A group of three engines in lock-step, with everything before them.
+/// A group of three engines that run in lockstep, with the deployment in front of them.
 pub struct MapGroup {
     pub cluster: Cluster,
     pub collective: Collective,
@@ -26,14 +27,15 @@
 }
 
 impl MapGroup {
-    /// Starts the group; `more` are further arguments of its engines.
+    /// Starts the group. `more` are additional arguments of its engines.
     pub async fn start(more: &[&str]) -> MapGroup {
         MapGroup::start_with(more, &json!({}), 4.0).await
     }
 
-    /// The same with other settings of maps, and another weight of skew.
+    /// Like [`MapGroup::start`], with `maps` overriding the map settings and `skew` as the
+    /// weight of load skew.
     pub async fn start_with(more: &[&str], maps: &Value, skew: f64) -> MapGroup {
-        let ranks = u32::try_from(AGENTS.len()).unwrap() * RANKS_EACH;
+        let ranks = u32::try_from(AGENTS.len()).unwrap() * RANKS_PER_ENGINE;
         let collective = Collective::start(0..ranks).await.unwrap();
         let address = collective.address().to_string();
         let weights = WeightStore::start(WeightSettings {
@@ -81,21 +83,21 @@
         group
     }
 
-    /// Where the engine behind an agent stands with its maps.
+    /// Map status of the engine behind an agent, `null` if it does not answer.
     pub async fn map(&self, agent: &str) -> Value {
         let engine = self.cluster.http(&format!("fake-{agent}"));
         let answer = get(engine, "/map", &[]).await;
         answer.map_or(Value::Null, |answer| answer.json())
     }
 
-    /// The map that the engine behind an agent uses, by layer, rank and slot.
+    /// The map in use by the engine behind an agent, by layer, rank and slot.
     pub async fn used(&self, agent: &str) -> Vec<Vec<Vec<Option<u64>>>> {
         let engine = self.cluster.http(&format!("fake-{agent}"));
         let answer = get(engine, "/map/used", &[]).await.unwrap();
         serde_json::from_value(answer.json()["layers"].clone()).unwrap_or_default()
     }
 
-    /// The same of all engines.
+    /// Map status of all engines.
     pub async fn maps(&self) -> Vec<Value> {
         let mut maps = Vec::new();
         for agent in AGENTS {
@@ -104,7 +106,7 @@
         maps
     }
 
-    /// Versions that have run in a step which all have ended.
+    /// Map versions used in the steps that all ranks have completed.
     fn versions(&self) -> BTreeSet<u64> {
         let ended = self.collective.ended();
         let history = self.collective.history().into_iter();
@@ -114,7 +116,7 @@
             .collect()
     }
 
-    /// Waits until all have run steps on so many maps that none had run on.
+    /// Waits until all ranks have completed steps on `count` map versions not used before.
     pub async fn until_switches(&self, count: usize) {
         let before = self.versions().len();
         until(&format!("{count} switches"), || async {
@@ -123,7 +125,7 @@
         .await;
     }
 
-    /// Waits until the group has run so many more steps.
+    /// Waits until the group has completed `count` more steps.
     pub async fn until_steps(&self, count: u64) {
         let before = self.collective.ended();
         until(&format!("{count} steps"), || async {
@@ -132,19 +134,20 @@
         .await;
     }
 
-    /// Waits until an engine has a map staged and none has promised a barrier yet.
+    /// Waits until some engine is loading or has staged a map and no engine has promised a
+    /// barrier yet.
     pub async fn until_staged(&self) {
         until("a map is staged", || async {
             let maps = self.maps().await;
-            let free = maps.iter().all(|map| map["held"].is_null());
+            let no_barrier = maps.iter().all(|map| map["held"].is_null());
             let begun = |map: &Value| map["loading"].is_u64() || map["staged"].is_u64();
             let staged = maps.iter().any(begun);
-            (free && staged).then_some(())
+            (no_barrier && staged).then_some(())
         })
         .await;
     }
 
-    /// In every step all ranks used the same map.
+    /// Asserts that in every step all ranks used the same map.
     pub fn assert_one_map(&self) {
         let mut maps: BTreeMap<u64, BTreeSet<(u64, String)>> = BTreeMap::new();
         for ran in self.collective.history() {
@@ -155,7 +158,7 @@
         assert!(mixed.is_empty(), "steps on several maps: {mixed:?}");
     }
 
-    fn to_control(&self, agent: &str) -> Vec<&super::Relay> {
+    fn control_relays(&self, agent: &str) -> Vec<&super::Relay> {
         let from = format!("{agent}>");
         let relays = self.cluster.relays.iter();
         relays
@@ -164,78 +167,90 @@
             .collect()
     }
 
-    /// The engine behind an agent is lost: the others go on without its ranks.
+    /// Removes the ranks of the engine behind an agent from the collective, so that the other
+    /// ranks continue without them.
     pub fn lose_ranks(&self, agent: &str) {
         let number = AGENTS.iter().position(|name| *name == agent).unwrap();
-        let first = u32::try_from(number).unwrap() * RANKS_EACH;
-        (first..first + RANKS_EACH).for_each(|rank| self.collective.lose(rank));
+        let first = u32::try_from(number).unwrap() * RANKS_PER_ENGINE;
+        (first..first + RANKS_PER_ENGINE).for_each(|rank| self.collective.lose(rank));
     }
 
-    /// Cuts an agent off all controls.
+    /// Disconnects an agent from all controls.
     pub fn cut_off_control(&self, agent: &str) {
-        self.to_control(agent).iter().for_each(|relay| relay.cut());
+        self.control_relays(agent)
+            .iter()
+            .for_each(|relay| relay.cut());
     }
 
-    /// From now on an agent hears nothing of any control, but is heard.
+    /// Drops everything that controls send to an agent; what the agent sends still arrives.
     pub fn mute_control(&self, agent: &str) {
-        self.to_control(agent).iter().for_each(|relay| relay.mute());
+        self.control_relays(agent)
+            .iter()
+            .for_each(|relay| relay.mute());
     }
 
-    /// Whether an agent has dialled a control anew since it was last muted.
+    /// Whether an agent has opened a new connection to a control since it was last muted.
     pub fn is_redialled(&self, agent: &str) -> bool {
-        let relays = self.to_control(agent);
+        let relays = self.control_relays(agent);
         relays.iter().any(|relay| relay.muted_connections() > 0)
     }
 
-    /// Lets an agent reach all controls again.
+    /// Undoes [`MapGroup::cut_off_control`] and [`MapGroup::mute_control`].
     pub fn heal_control(&self, agent: &str) {
-        self.to_control(agent).iter().for_each(|relay| relay.heal());
+        self.control_relays(agent)
+            .iter()
+            .for_each(|relay| relay.heal());
     }
 
-    /// Cuts an agent off everything but its engine.
+    /// Disconnects an agent from everything but its engine.
     pub fn cut_off(&self, agent: &str) {
         self.cluster.relays[agent].cut();
         self.cut_off_control(agent);
     }
 
-    /// Lets an agent reach everything again.
+    /// Undoes [`MapGroup::cut_off`].
     pub fn heal(&self, agent: &str) {
         self.cluster.relays[agent].heal();
         self.heal_control(agent);
     }
 
-    /// The highest fencing number that the engine behind an agent has seen.
+    /// Highest fencing token seen by the engine behind an agent.
     pub async fn fencing(&self, agent: &str) -> u64 {
         self.map(agent).await["fencing"]
             .as_u64()
             .unwrap_or_default()
     }
 
-    /// Waits until all engines stop before a barrier, while the coordinator can't
-    /// reach control: the decision was not made. Returns the version.
+    /// Waits until all engines have stopped before a barrier while the coordinator is
+    /// disconnected from control, so that the switch is undecided. Returns the version of
+    /// the first engine's staged map.
     pub async fn until_undecided(&self) -> u64 {
         for _ in 0..MAX_ATTEMPTS {
             self.until_staged().await;
             self.cut_off_control(AGENTS[0]);
-            let stopped = until("all stop, or go on", || async {
-                let maps = self.maps().await;
-                let staged = maps[0]["staged"].as_u64();
-                let waits =
-                    |map: &Value| map["held"].as_u64() == map["step"].as_u64().map(|step| step + 1);
-                if maps.iter().all(waits) {
-                    return Some(staged);
-                }
-                let idle = |map: &Value| map["staged"].is_null() && map["loading"].is_null();
-                let over = maps.iter().all(idle);
-                over.then_some(None)
-            })
+            let stopped = until(
+                "all engines have stopped before a barrier or dropped the map",
+                || async {
+                    let maps = self.maps().await;
+                    let staged = maps[0]["staged"].as_u64();
+                    let is_stopped = |map: &Value| {
+                        map["held"].as_u64() == map["step"].as_u64().map(|step| step + 1)
+                    };
+                    if maps.iter().all(is_stopped) {
+                        return Some(staged);
+                    }
+                    let idle = |map: &Value| map["staged"].is_null() && map["loading"].is_null();
+                    let all_idle = maps.iter().all(idle);
+                    all_idle.then_some(None)
+                },
+            )
             .await;
             if let Some(version) = stopped {
                 return version;
             }
-            // It was decided before the cut.
+            // The switch was decided before the cut.
             self.heal_control(AGENTS[0]);
         }
-        panic!("the decision was never kept back")
+        panic!("the switch was decided before the cut in each of {MAX_ATTEMPTS} attempts")
     }
 }
