--- a/crates/lovageramp/tests/processes/support/notes.rs
+++ b/crates/lovageramp/tests/processes/support/notes.rs
@@ -1,5 +1,5 @@
-//! Operators who send and read notes at any control, and the history of what they were
-//! told.
+//! Operators that concurrently send and read notes at any control, and a check that the
+//! history of their operations is linearizable.
 
 use super::cluster::{Cluster, TOKEN};
 use super::http::{Answer, request};
@@ -16,31 +16,34 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// An operator gives up on an answer after this.
-const PATIENCE: Duration = Duration::from_secs(4);
+/// Time-out of an operator's request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What an operator did, with the answer. A note's content is a number of its own.
+/// An operator's operation with its result. The content of a note is represented by a
+/// unique number.
 #[derive(Clone, Copy, Debug)]
 pub enum Operation {
-    /// A note was sent: its number, its content, what was answered.
+    /// A note was sent: its number, its content and the result.
     Send(usize, u32, Sent),
-    /// The note of a number was read.
+    /// A note was read: its number, and its content if there is such a note.
     Read(usize, Option<u32>),
 }
 
+/// Result of sending a note.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Sent {
-    /// Accepted, now or when it was first sent.
-    Holds,
+    /// Accepted, now or by an earlier request with the same note.
+    Accepted,
     /// Another note has the number, or the number is not the next.
     Refused,
-    /// Not accepted, and never will be by this sending.
-    Never,
-    /// No answer: it may count at any time since, or never.
+    /// Not accepted, and this request will never cause it to be.
+    NotAccepted,
+    /// No answer: it may take effect at any later time, or never.
     Unknown,
 }
 
-/// The accepted notes, one after the other.
+/// Sequential specification: the contents of the accepted notes in the order of their
+/// numbers.
 pub struct Notes;
 
 impl Specification for Notes {
@@ -59,14 +62,14 @@
             Operation::Send(number, content, sent) => {
                 let is_next = number == state.len() + 1;
                 let mut after = state.clone();
-                if is_next && matches!(sent, Sent::Holds | Sent::Unknown) {
+                if is_next && matches!(sent, Sent::Accepted | Sent::Unknown) {
                     after.push(content);
                 }
                 let holds = after.get(number - 1) == Some(&content);
                 let valid = match sent {
-                    Sent::Holds => holds,
+                    Sent::Accepted => holds,
                     Sent::Refused => !is_next && !holds,
-                    Sent::Never | Sent::Unknown => true,
+                    Sent::NotAccepted | Sent::Unknown => true,
                 };
                 (valid, after)
             }
@@ -74,25 +77,26 @@
     }
 }
 
-/// Calls and responses, each with the number of its operation.
+/// Calls and responses, each with the id of its operation.
 pub type Actions = Vec<(usize, Action<Operation>)>;
 
-/// What all operators and the troublemaker share.
+/// State shared by all operators and the test that injects faults.
 #[derive(Clone, Default)]
 pub struct Shared {
     pub hosts: Arc<Mutex<BTreeMap<String, SocketAddr>>>,
     pub actions: Arc<Mutex<Actions>>,
     contents: Arc<AtomicU32>,
-    /// Each operation is a process of its own in the history, since one without an
+    /// Number of operations so far, which gives the next id. Each operation has an id of
+    /// its own in place of a process in the history, since an operation without an
     /// answer never ends.
     operations: Arc<Mutex<usize>>,
-    over: Arc<AtomicBool>,
-    /// Notes that were accepted before the first of the history.
-    before: usize,
+    stop: Arc<AtomicBool>,
+    /// Number of notes accepted before the first note of the history.
+    accepted_before: usize,
 }
 
 impl Shared {
-    /// Operators ask this process from now on.
+    /// Adds a process to those that operators send requests to, or updates its address.
     pub fn add_host(&self, cluster: &Cluster, name: &str) {
         let address = cluster.http(name);
         self.hosts.lock().unwrap().insert(name.to_owned(), address);
@@ -100,8 +104,8 @@
 
     fn any_host(&self, rng: &mut StdRng) -> SocketAddr {
         let hosts = self.hosts.lock().unwrap();
-        let place = rng.random_range(0..hosts.len());
-        *hosts.values().nth(place).unwrap()
+        let index = rng.random_range(0..hosts.len());
+        *hosts.values().nth(index).unwrap()
     }
 
     fn call(&self, operation: Operation) -> usize {
@@ -118,28 +122,29 @@
     fn respond(&self, id: usize, operation: Operation) {
         let mut actions = self.actions.lock().unwrap();
         actions.push((id, Action::Response(operation)));
-        // The checker looks at the operation of the call.
+        // The checker reads the result from the operation of the call.
         let call = actions.iter_mut().find(|(of, _)| *of == id).unwrap();
         call.1 = Action::Call(operation);
     }
 }
 
-async fn ask(host: SocketAddr, method: &str, path: &str, body: String) -> Option<Answer> {
+async fn send_request(host: SocketAddr, method: &str, path: &str, body: String) -> Option<Answer> {
     let bearer = format!("Bearer {TOKEN}");
     let headers = [("authorization", bearer.as_str())];
-    let asked = request(host, method, path, &headers, body);
-    timeout(PATIENCE, asked).await.ok()?.ok()
+    let response = request(host, method, path, &headers, body);
+    timeout(REQUEST_TIMEOUT, response).await.ok()?.ok()
 }
 
-/// Reads a note and enters it into the history, unless there is no answer.
+/// Reads a note and records the operation, unless there is no answer. Returns the result
+/// of the read, `None` without an answer.
 async fn read(shared: &Shared, host: SocketAddr, number: usize) -> Option<Option<u32>> {
     let id = shared.call(Operation::Read(number, None));
-    let path = format!("/v1/operator/notes/{}", shared.before + number);
-    let answer = ask(host, "GET", &path, String::new()).await;
+    let path = format!("/v1/operator/notes/{}", shared.accepted_before + number);
+    let answer = send_request(host, "GET", &path, String::new()).await;
     let content = match answer {
         Some(answer) if answer.status == 200 => Some(content_of(&answer.json())),
         Some(answer) if answer.status == 404 => None,
-        // A read without an answer says nothing.
+        // A read without an answer has no effect and no result to check.
         _ => {
             shared.actions.lock().unwrap().retain(|(of, _)| *of != id);
             return None;
@@ -156,7 +161,7 @@
     content.unwrap().parse().unwrap()
 }
 
-/// Sends a note with a content of its own, and the items of `note` beside it.
+/// Sends a note with a unique model as its content, in addition to the items of `note`.
 async fn send(shared: &Shared, host: SocketAddr, number: usize, mut note: Value) -> Sent {
     let content = shared.contents.fetch_add(1, Ordering::Relaxed);
     let id = shared.call(Operation::Send(number, content, Sent::Unknown));
@@ -164,23 +169,23 @@
     let mut added = vec![model];
     added.extend(note["added"].as_array().into_iter().flatten().cloned());
     note["added"] = added.into();
-    note["number"] = json!(shared.before + number);
-    let answer = ask(host, "POST", "/v1/operator/notes", note.to_string()).await;
+    note["number"] = json!(shared.accepted_before + number);
+    let answer = send_request(host, "POST", "/v1/operator/notes", note.to_string()).await;
     let sent = match answer {
-        Some(answer) if answer.status == 200 => Sent::Holds,
+        Some(answer) if answer.status == 200 => Sent::Accepted,
         Some(answer) if answer.status == 409 => Sent::Refused,
-        Some(answer) if answer.status == 503 && answer.json()["ran"] == "no" => Sent::Never,
+        Some(answer) if answer.status == 503 && answer.json()["ran"] == "no" => Sent::NotAccepted,
         _ => return Sent::Unknown,
     };
     shared.respond(id, Operation::Send(number, content, sent));
     sent
 }
 
-/// Sends and reads at any host until the trouble is over.
-async fn operate(shared: Shared, seed: u64) {
+/// Sends and reads notes at random hosts until `stop` is set.
+async fn run_operator(shared: Shared, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut next = 1;
-    while !shared.over.load(Ordering::Relaxed) {
+    while !shared.stop.load(Ordering::Relaxed) {
         let host = shared.any_host(&mut rng);
         if rng.random_range(0..2) == 0 {
             send(&shared, host, next, json!({})).await;
@@ -193,17 +198,18 @@
     }
 }
 
-/// Operators at work.
+/// The running operators.
 pub struct Operators {
     pub shared: Shared,
     tasks: JoinSet<()>,
 }
 
 impl Operators {
-    /// Starts some who ask all the controls of `cluster`, which holds this many notes.
-    pub fn start(cluster: &Cluster, count: u64, before: usize) -> Operators {
+    /// Starts `count` operators that use all controls of `cluster`, which has accepted
+    /// `accepted_before` notes so far.
+    pub fn start(cluster: &Cluster, count: u64, accepted_before: usize) -> Operators {
         let shared = Shared {
-            before,
+            accepted_before,
             ..Shared::default()
         };
         for number in 1..=cluster.plan.controls {
@@ -211,68 +217,68 @@
         }
         let mut tasks = JoinSet::new();
         for seed in 0..count {
-            tasks.spawn(operate(shared.clone(), seed));
+            tasks.spawn(run_operator(shared.clone(), seed));
         }
         Operators { shared, tasks }
     }
 
-    /// Has a note accepted among theirs, under whichever number is free; gives the
-    /// number.
+    /// Sends a note among those of the operators, with the next free number, until one is
+    /// accepted. Returns its number.
     pub async fn send_next(&self, cluster: &Cluster, host: &str, note: Value) -> u64 {
         let host = cluster.http(host);
         until("the note is accepted", || async {
             let path = "/v1/operator/notes/status";
-            let status = ask(host, "GET", path, String::new()).await?;
+            let status = send_request(host, "GET", path, String::new()).await?;
             let accepted = status.json()["accepted"].as_u64()?;
-            let next = usize::try_from(accepted).unwrap() + 1 - self.shared.before;
+            let next = usize::try_from(accepted).unwrap() + 1 - self.shared.accepted_before;
             let sent = send(&self.shared, host, next, note.clone()).await;
-            (sent == Sent::Holds).then_some(accepted + 1)
+            (sent == Sent::Accepted).then_some(accepted + 1)
         })
         .await
     }
 
-    /// Reads the note after the newest that is known to be accepted at one host: there
-    /// is one, or there is none, and the history tells whether that is right.
+    /// Reads the newest note known to be accepted, and the number after it, at one host.
+    /// The check of the history decides whether the results are valid.
     pub async fn read_newest(&self, cluster: &Cluster, host: &str) {
         let accepted = self.accepted();
         read(&self.shared, cluster.http(host), accepted.max(1)).await;
         read(&self.shared, cluster.http(host), accepted + 1).await;
     }
 
-    /// The highest number of which somebody was told that it is accepted.
+    /// Highest number that was answered as accepted, 0 if there is none.
     fn accepted(&self) -> usize {
         let actions = self.shared.actions.lock().unwrap();
         let numbers = actions.iter().map(|(_, action)| match action {
-            Action::Response(Operation::Send(number, _, Sent::Holds)) => *number,
+            Action::Response(Operation::Send(number, _, Sent::Accepted)) => *number,
             _ => 0,
         });
         numbers.max().unwrap_or(0)
     }
 
-    /// Waits until they have done this much more.
-    pub async fn until_operations(&self, times: usize) {
-        let done = || *self.shared.operations.lock().unwrap();
-        let enough = done() + times;
-        until("the operators go on", || async {
-            (done() >= enough).then_some(())
+    /// Waits until the operators have started `count` more operations.
+    pub async fn until_operations(&self, count: usize) {
+        let started = || *self.shared.operations.lock().unwrap();
+        let goal = started() + count;
+        until("the operators start more operations", || async {
+            (started() >= goal).then_some(())
         })
         .await;
     }
 
-    /// Ends their work, reads all notes at each control and checks the history; gives
-    /// the number of accepted notes.
+    /// Stops the operators, reads all notes at each control and checks the history.
+    /// Returns the number of accepted notes since the start.
     pub async fn end(mut self, cluster: &Cluster) -> usize {
-        self.shared.over.store(true, Ordering::Relaxed);
-        while let Some(ended) = self.tasks.join_next().await {
-            ended.unwrap();
+        self.shared.stop.store(true, Ordering::Relaxed);
+        while let Some(result) = self.tasks.join_next().await {
+            result.unwrap();
         }
         let accepted = read_all(cluster, &self.shared).await;
-        check(&self.shared);
+        assert_linearizable(&self.shared);
         accepted
     }
 }
 
-/// Reads all notes at each control; gives their number.
+/// Reads all notes of the history at each control. Returns their number.
 async fn read_all(cluster: &Cluster, shared: &Shared) -> usize {
     let mut accepted = 0;
     for control in 1..=cluster.plan.controls {
@@ -288,9 +294,9 @@
     accepted
 }
 
-/// Fails the test unless all of it could have happened one after the other.
-fn check(shared: &Shared) {
-    let history = History::from_actions(complete(shared));
+/// Fails the test unless the history is linearizable.
+fn assert_linearizable(shared: &Shared) {
+    let history = History::from_actions(resolve_pending(shared));
     assert!(
         WGLChecker::<Notes>::is_linearizable(history),
         "{:?}",
@@ -298,31 +304,32 @@
     );
 }
 
-/// Settles the operations without an answer. All notes were read at the end, and none is
-/// ever taken out: a note that was never read never held, so its sending is left out; one
-/// that was read held at some time before the end. Left open, each such sending would
-/// double what the checker has to try.
-fn complete(shared: &Shared) -> Actions {
+/// Resolves the send operations without an answer. All notes were read at the end, and an
+/// accepted note is never removed. So a note that was never read was never accepted, and
+/// its operation is left out; one that was read was accepted before the end, and its
+/// operation gets a response there. Each operation left pending would double the search
+/// space of the checker.
+fn resolve_pending(shared: &Shared) -> Actions {
     let mut actions = shared.actions.lock().unwrap().clone();
     let read: BTreeSet<u32> = actions
         .iter()
         .filter_map(|(_, a)| content_read(a))
         .collect();
-    let ended: BTreeSet<usize> = actions.iter().filter_map(ended).collect();
-    let mut ends = Vec::new();
+    let answered: BTreeSet<usize> = actions.iter().filter_map(answered_id).collect();
+    let mut responses = Vec::new();
     actions.retain(|(id, action)| {
         let Action::Call(Operation::Send(number, content, _)) = action else {
             return true;
         };
-        if ended.contains(id) {
+        if answered.contains(id) {
             return true;
         }
         let operation = Operation::Send(*number, *content, Sent::Unknown);
-        ends.push((*id, Action::Response(operation)));
+        responses.push((*id, Action::Response(operation)));
         read.contains(content)
     });
     let kept: BTreeSet<usize> = actions.iter().map(|(id, _)| *id).collect();
-    actions.extend(ends.into_iter().filter(|(id, _)| kept.contains(id)));
+    actions.extend(responses.into_iter().filter(|(id, _)| kept.contains(id)));
     actions
 }
 
@@ -333,6 +340,6 @@
     }
 }
 
-fn ended((id, action): &(usize, Action<Operation>)) -> Option<usize> {
+fn answered_id((id, action): &(usize, Action<Operation>)) -> Option<usize> {
     matches!(action, Action::Response(_)).then_some(*id)
 }
