--- a/crates/lovageramp/tests/client.rs
+++ b/crates/lovageramp/tests/client.rs
@@ -1,5 +1,5 @@
-//! The operators' client as a process, against operators' routes with control
-//! played by closures.
+//! Runs the command-line client as a process against the operator routes, with closures in
+//! place of the control replicas.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::net::SocketAddr;
@@ -67,16 +67,16 @@
     }
 }
 
-/// Serves the operators' routes over one history.
+/// Serves the operator routes on one history of notes.
 async fn start() -> SocketAddr {
     start_with_failures(0).await
 }
 
-/// The same, while the first reads find no leader.
+/// Like [`start`], but the first `failures` queries fail for lack of a leader.
 async fn start_with_failures(failures: u32) -> SocketAddr {
     let failures = AtomicU32::new(failures);
     let history = Arc::new(Mutex::new(History::default()));
-    let asked = Arc::clone(&history);
+    let queried = Arc::clone(&history);
     let operators = OperatorRoutes::new(
         OperatorToken::from_bytes(TOKEN.as_bytes()).unwrap(),
         Arc::new(move |command| {
@@ -84,12 +84,12 @@
             Box::pin(async { Outcome { index: 1, body } })
         }),
         Arc::new(move |query| {
-            let left = failures.load(Ordering::Relaxed);
-            if left > 0 {
-                failures.store(left - 1, Ordering::Relaxed);
+            let remaining = failures.load(Ordering::Relaxed);
+            if remaining > 0 {
+                failures.store(remaining - 1, Ordering::Relaxed);
                 return Box::pin(async { Err(eyre::eyre!("no leader")) });
             }
-            let json = read(&asked.lock().unwrap(), &query).into();
+            let json = read(&queried.lock().unwrap(), &query).into();
             let body = Some(query_reply::Body::Json(json));
             Box::pin(async { Ok(QueryReply { body }) })
         }),
@@ -105,7 +105,7 @@
     address
 }
 
-/// Runs the client; its exit code, what it printed and what it complained of.
+/// Runs the client. Returns its exit code, stdout and stderr.
 async fn client(args: &[&str], token: &str) -> (i32, String, String) {
     let mut client = Command::new(env!("CARGO_BIN_EXE_lovageramp"));
     client
@@ -113,29 +113,29 @@
         .env("LOVAGERAMP_TOKEN", token)
         .env("USER", "anna")
         .env_remove("LOVAGERAMP_HOST");
-    let ended = tokio::task::spawn_blocking(move || client.output()).await;
+    let output = tokio::task::spawn_blocking(move || client.output()).await;
     let Output {
         status,
         stdout,
         stderr,
-    } = ended.unwrap().unwrap();
+    } = output.unwrap().unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
     (status.code().unwrap(), text(stdout), text(stderr))
 }
 
-fn file(folder: &tempfile::TempDir, name: &str, text: &str) -> String {
+fn write_file(folder: &tempfile::TempDir, name: &str, text: &str) -> String {
     let path = folder.path().join(name);
     std::fs::write(&path, text).unwrap();
     path.to_str().unwrap().to_owned()
 }
 
 #[tokio::test]
-async fn run_whole_session() {
+async fn run_operator_commands() {
     let host = start().await.to_string();
     let folder = tempfile::tempdir().unwrap();
-    let first = file(&folder, "1.json", FIRST);
-    let other = file(&folder, "other.json", r#"{"number": 1}"#);
-    let third = file(&folder, "3.json", r#"{"number": 3}"#);
+    let first = write_file(&folder, "1.json", FIRST);
+    let other = write_file(&folder, "other.json", r#"{"number": 1}"#);
+    let third = write_file(&folder, "3.json", r#"{"number": 3}"#);
     let host = host.as_str();
     let cases: [(&[&str], i32, &str); 9] = [
         (
@@ -206,12 +206,12 @@
 
 #[tokio::test]
 async fn send_name_beyond_ascii() {
-    // An operator is called Kovačič, and so is the login. The note must go out,
-    // and whoever comes second must read the name as it is written.
+    // An operator's name may have characters beyond ASCII. The note must be sent all the
+    // same, and a later conflict must show the name unchanged.
     let host = start().await.to_string();
     let folder = tempfile::tempdir().unwrap();
-    let note = file(&folder, "1.json", r#"{"number": 1}"#);
-    let other = file(&folder, "other.json", FIRST);
+    let note = write_file(&folder, "1.json", r#"{"number": 1}"#);
+    let other = write_file(&folder, "other.json", FIRST);
     let args = [
         "note",
         "send",
@@ -230,12 +230,12 @@
 
 #[tokio::test]
 async fn send_wait_through_election() {
-    // A note is accepted and the leader dies, so that for a while nobody can say
-    // where it is in force. Told "no host answered", the operator would think
-    // that it was not accepted.
+    // A note is accepted and the leader fails, so that its status is unavailable until a
+    // new one is elected. An error such as "no host answered" would make the operator
+    // believe that the note was not accepted.
     let host = start_with_failures(3).await.to_string();
     let folder = tempfile::tempdir().unwrap();
-    let note = file(&folder, "1.json", FIRST);
+    let note = write_file(&folder, "1.json", FIRST);
     let args = ["note", "send", &note, "--host", &host, "--wait", "30"];
     let (exit, out, err) = client(&args, TOKEN).await;
     assert_eq!((exit, err.as_str()), (0, ""));
@@ -243,25 +243,25 @@
 }
 
 #[tokio::test]
-async fn run_next_host() {
-    // The first host that the operator named is down. The command must go
-    // through the second one, as any host may be named.
+async fn run_on_second_host() {
+    // The first of the given hosts is down. The command must succeed through the second
+    // one, since any host can serve it.
     let unused = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let dead = unused.local_addr().unwrap().to_string();
+    let unreachable = unused.local_addr().unwrap().to_string();
     drop(unused);
     let host = start().await.to_string();
-    let args = ["note", "status", "--host", &dead, "--host", &host];
+    let args = ["note", "status", "--host", &unreachable, "--host", &host];
     let (exit, out, _) = client(&args, TOKEN).await;
     assert_eq!((exit, out.as_str()), (0, "note 0 is in force everywhere\n"));
-    let (exit, _, err) = client(&["status", "--host", &dead], TOKEN).await;
+    let (exit, _, err) = client(&["status", "--host", &unreachable], TOKEN).await;
     assert_eq!(exit, 3, "{err}");
-    assert!(err.starts_with(&dead), "{err}");
+    assert!(err.starts_with(&unreachable), "{err}");
 }
 
 #[tokio::test]
 async fn run_wrong_usage() {
-    // An operator mistypes a command, or forgets host, token or file. Scripts
-    // must be able to tell that from a refusal by the system.
+    // A mistyped command, or a missing host, token or file, must give an exit code of its
+    // own, so that scripts can tell it from a refusal by the system.
     let host = start().await.to_string();
     let cases: [&[&str]; 4] = [
         &["nots", "check", "x"],
@@ -282,11 +282,11 @@
 
 #[tokio::test]
 async fn check_findings() {
-    // A note with several slips must be reported whole before it is sent.
+    // All errors of a note must be reported in one run, before it is sent.
     let folder = tempfile::tempdir().unwrap();
     let note = r#"{"number": 1, "added": [{"kind": "target", "name": "t", "group": "g"}],
         "changed": [{"kind": "model", "name": "m"}]}"#;
-    let path = file(&folder, "note.json", note);
+    let path = write_file(&folder, "note.json", note);
     let (exit, _, err) = client(&["note", "check", &path], TOKEN).await;
     assert_eq!(exit, 1);
     assert_eq!(
--- a/crates/lovageramp/tests/examples.rs
+++ b/crates/lovageramp/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The examples and the page of settings against the daemons' own settings.
+//! Checks the example settings and the settings page against the daemons' own settings.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::collections::BTreeMap;
@@ -7,12 +7,12 @@
 use note::Catalogue;
 use serde_json::Value;
 
-fn root() -> PathBuf {
+fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn files(user: &str) -> Vec<(String, Vec<u8>)> {
-    let folder = root().join("examples").join(user);
+fn example_files(example: &str) -> Vec<(String, Vec<u8>)> {
+    let folder = repository_root().join("examples").join(example);
     let mut files: Vec<(String, Vec<u8>)> = std::fs::read_dir(folder)
         .unwrap()
         .map(|file| file.unwrap().path())
@@ -25,19 +25,19 @@
     files
 }
 
-/// What is in force under an example's settings, by the daemon it is for.
+/// Effective settings of an example, as the daemon that it is for reads them.
 fn effective(name: &str, json: &[u8]) -> Value {
     let settings = match name.split(['-', '.']).next().unwrap() {
         "control" => control::Settings::from_slice(json).map(|settings| settings.effective),
         "entry" => entry::Settings::from_slice(json).map(|settings| settings.effective()),
         "agent" => agent::Settings::from_slice(json).map(|settings| settings.effective()),
-        other => panic!("{other} is no daemon"),
+        other => panic!("no daemon is called {other}"),
     };
     settings.unwrap_or_else(|findings| panic!("{name}: {findings}"))
 }
 
-/// The keys of a document with their values, those of sections after a dot.
-fn keys(value: &Value, path: &str, found: &mut BTreeMap<String, Value>) {
+/// Collects the keys of a document with their values. Keys of sections are joined by dots.
+fn collect_keys(value: &Value, path: &str, found: &mut BTreeMap<String, Value>) {
     match value {
         Value::Object(members) => {
             for (key, value) in members {
@@ -49,20 +49,21 @@
                 if !value.is_object() {
                     found.insert(path.clone(), value.clone());
                 }
-                keys(value, &path, found);
+                collect_keys(value, &path, found);
             }
         }
-        Value::Array(list) => list.iter().for_each(|item| keys(item, path, found)),
+        Value::Array(list) => list.iter().for_each(|item| collect_keys(item, path, found)),
         _ => {}
     }
 }
 
-/// The rows that the page should have, each up to its default. A key that the
-/// example gives may be required or have any default.
-fn rows(name: &str, json: &[u8]) -> Vec<String> {
-    let (mut in_force, mut given) = (BTreeMap::new(), BTreeMap::new());
-    keys(&effective(name, json), "", &mut in_force);
-    keys(&serde_json::from_slice(json).unwrap(), "", &mut given);
+/// Beginnings, up to the default, of the rows that the settings page must have. For a key
+/// that the example sets the default is left open: the effective value doesn't show it,
+/// and the key may be required.
+fn expected_rows(name: &str, json: &[u8]) -> Vec<String> {
+    let (mut effective_keys, mut given) = (BTreeMap::new(), BTreeMap::new());
+    collect_keys(&effective(name, json), "", &mut effective_keys);
+    collect_keys(&serde_json::from_slice(json).unwrap(), "", &mut given);
     let row = |(key, value): (String, Value)| {
         if given.contains_key(&key) {
             return format!("\n| `{key}` | ");
@@ -73,15 +74,15 @@
         };
         format!("\n| `{key}` | {default} | ")
     };
-    in_force.into_iter().map(row).collect()
+    effective_keys.into_iter().map(row).collect()
 }
 
 #[test]
 fn examples_settings_and_note_fit() {
-    // An operator starts from an example. One that the daemons refuse, or whose
-    // targets aren't in its note, would cost the first evening.
-    for user in ["association", "hotline"] {
-        let files = files(user);
+    // Operators start from an example, so the daemons must accept its settings and its
+    // note must have the targets of its agents.
+    for example in ["association", "hotline"] {
+        let files = example_files(example);
         let note = files.iter().find(|(name, _)| name == "note.json");
         let mut catalogue = Catalogue::default();
         let checked = catalogue.check(&note.unwrap().1).unwrap();
@@ -94,8 +95,8 @@
             let text = |key: &str| effective[key].as_str();
             if name.starts_with("agent") {
                 let target = catalogue.target(text("name").unwrap()).unwrap();
-                assert_eq!(target.group(), text("group"), "{user}/{name}");
-                assert_eq!(target.service(), text("service"), "{user}/{name}");
+                assert_eq!(target.group(), text("group"), "{example}/{name}");
+                assert_eq!(target.service(), text("service"), "{example}/{name}");
             }
         }
     }
@@ -103,12 +104,12 @@
 
 #[test]
 fn settings_page_has_every_key() {
-    // A key that the page doesn't name can't be found when it must be turned,
-    // and a default that isn't the daemon's misleads whoever turns it.
-    let page = std::fs::read_to_string(root().join("docs/SETTINGS.md")).unwrap();
+    // Operators look keys up on the page when they must change a setting: every key must
+    // be listed there, with the default that the daemon uses.
+    let page = std::fs::read_to_string(repository_root().join("docs/SETTINGS.md")).unwrap();
     let mut missing = Vec::new();
-    for user in ["association", "hotline"] {
-        let files = files(user).into_iter();
+    for example in ["association", "hotline"] {
+        let files = example_files(example).into_iter();
         for (name, json) in files.filter(|(name, _)| name != "note.json") {
             let daemon = name.split(['-', '.']).next().unwrap();
             let section = page
@@ -116,7 +117,7 @@
                 .nth(1)
                 .unwrap();
             let section = section.split("\n## ").next().unwrap();
-            let absent = rows(&name, &json).into_iter();
+            let absent = expected_rows(&name, &json).into_iter();
             missing.extend(absent.filter(|row| !section.contains(row.as_str())));
         }
     }
--- a/crates/lovageramp/tests/spans.rs
+++ b/crates/lovageramp/tests/spans.rs
@@ -1,4 +1,4 @@
-//! One request's spans, from the caller to the target.
+//! Tracing spans of one request, from the entry to the target.
 
 #[path = "processes/support/mod.rs"]
 mod support;
@@ -10,10 +10,10 @@
 use support::{request, until};
 use tracing_subscriber::layer::SubscriberExt;
 
-const TRACE: &str = "0af7651916cd43dd8448eb211c80319c";
-const CALLER: &str = "b7ad6b7169203331";
-/// The hops, from the caller inwards.
-const HOPS: [&str; 6] = [
+const TRACE_ID: &str = "0af7651916cd43dd8448eb211c80319c";
+const CALLER_SPAN_ID: &str = "b7ad6b7169203331";
+/// Names of the spans, outermost first.
+const SPAN_NAMES: [&str; 6] = [
     "request",
     "admission",
     "choice",
@@ -22,9 +22,9 @@
     "engine",
 ];
 
-/// A summary reaches the dispatcher late, and whoever is on call asks which hop held it
-/// up. Each hop must have a span of its own, all of them in the caller's trace and
-/// hanging together, and the target must be handed the trace too.
+/// To find the hop that delayed a request, each hop needs a span of its own. All spans must
+/// be in the caller's trace and connected by their parents, and the target must receive the
+/// trace context too.
 #[tokio::test(flavor = "multi_thread")]
 async fn spans_of_one_request() {
     let exporter = InMemorySpanExporter::default();
@@ -36,7 +36,7 @@
     tracing::subscriber::set_global_default(subscriber).unwrap();
 
     let deployment = Deployment::start(None, Size::default()).await.unwrap();
-    let traceparent = format!("00-{TRACE}-{CALLER}-01");
+    let traceparent = format!("00-{TRACE_ID}-{CALLER_SPAN_ID}-01");
     let key = format!("Bearer {DEMO_KEY}");
     let headers = [
         ("authorization", key.as_str()),
@@ -47,26 +47,29 @@
     let answer = request(entry, "POST", "/v1/chat/completions", &headers, body).await;
     assert_eq!(answer.unwrap().status, 200);
 
-    let spans = until("all hops have ended their spans", || async {
+    let spans = until("the spans of all hops have ended", || async {
         let spans = exporter.get_finished_spans().unwrap();
-        let ours = spans.into_iter().filter(|span| trace_of(span) == TRACE);
+        let ours = spans.into_iter().filter(|span| trace_of(span) == TRACE_ID);
         let ours: Vec<SpanData> = ours.collect();
-        let all = HOPS
+        let all = SPAN_NAMES
             .iter()
-            .all(|hop| ours.iter().any(|span| span.name == *hop));
+            .all(|name| ours.iter().any(|span| span.name == *name));
         all.then_some(ours)
     })
     .await;
-    let known: BTreeSet<String> = spans.iter().map(id_of).collect();
+    let span_ids: BTreeSet<String> = spans.iter().map(id_of).collect();
     for span in &spans {
         let parent = span.parent_span_id.to_string();
-        assert!(known.contains(&parent) || parent == CALLER, "{span:#?}");
+        assert!(
+            span_ids.contains(&parent) || parent == CALLER_SPAN_ID,
+            "{span:#?}"
+        );
     }
     let engine = spans.iter().find(|span| span.name == "engine").unwrap();
-    let handed_on = format!("00-{TRACE}-{}-01", id_of(engine));
+    let expected = format!("00-{TRACE_ID}-{}-01", id_of(engine));
     let seen = deployment.engine_requests();
-    let told = seen.iter().filter_map(|seen| seen.header("traceparent"));
-    assert!(told.into_iter().any(|told| told == handed_on));
+    let mut received = seen.iter().filter_map(|seen| seen.header("traceparent"));
+    assert!(received.any(|traceparent| traceparent == expected));
     deployment.shutdown().await;
 }
 
