--- a/crates/lovageramp/benches/capacity.rs
+++ b/crates/lovageramp/benches/capacity.rs
@@ -83,7 +83,7 @@
         ..ClusterPlan::default()
     })
     .await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let leader = cluster.leader().await;
     let mut number = 1;
     for &size in sizes {
--- a/crates/lovageramp/benches/durable.rs
+++ b/crates/lovageramp/benches/durable.rs
@@ -196,7 +196,7 @@
         ..ClusterPlan::default()
     })
     .await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let leader = cluster.leader().await;
     let mut times = Vec::new();
     for number in 2..2 + NOTES {
--- a/crates/lovageramp/benches/path.rs
+++ b/crates/lovageramp/benches/path.rs
@@ -50,7 +50,7 @@
         ..ClusterPlan::default()
     })
     .await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     lift_limits(&cluster).await;
     let entry = cluster.http("entry-1");
     // The direct calls use the same relay as the agents, so that its overhead is on both
--- a/crates/lovageramp/tests/processes/at_most_once.rs
+++ b/crates/lovageramp/tests/processes/at_most_once.rs
@@ -37,7 +37,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn reserve_same_key_at_all_entries() {
     let cluster = Cluster::start(plan(4)).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     for round in 0..10 {
         let key = format!("lot-{round}");
         let sent = (1..=4).map(|n| cluster.http(&format!("entry-{n}")));
@@ -62,7 +62,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn reserve_entry_killed_while_running() {
     let mut cluster = Cluster::start(plan(2)).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     set_fault(&cluster, "stall").await;
     let entry = cluster.http("entry-1");
     let lost = tokio::spawn(async move { reserve(entry, "huber", "lot-1", "burl").await });
@@ -84,7 +84,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn reserve_entry_killed_at_any_moment() {
     let mut cluster = Cluster::start(plan(2)).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     for round in 0..12_u64 {
         let key = format!("lot-{round}");
         let entry = cluster.http("entry-1");
@@ -119,7 +119,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn reserve_agent_killed_while_running() {
     let mut cluster = Cluster::start(plan(2)).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     set_fault(&cluster, "stall").await;
     let entry = cluster.http("entry-1");
     let first = tokio::spawn(async move { reserve(entry, "huber", "lot-1", "burl").await });
@@ -146,7 +146,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn reserve_answer_lost() {
     let cluster = Cluster::start(plan(2)).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     set_fault(&cluster, "lose-answer").await;
     let first = reserve(cluster.http("entry-1"), "huber", "lot-1", "burl")
         .await
@@ -167,7 +167,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn reserve_leader_killed_while_running() {
     let mut cluster = Cluster::start(plan(2)).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     set_fault(&cluster, "stall").await;
     let entry = cluster.http("entry-1");
     let first = tokio::spawn(async move { reserve(entry, "huber", "lot-1", "burl").await });
@@ -198,7 +198,7 @@
 async fn reserve_silent_connection() {
     for direction in 0..3 {
         let cluster = Cluster::start(plan(1)).await;
-        cluster.offer().await;
+        cluster.submit_first_note().await;
         set_fault(&cluster, "stall").await;
         let entry = cluster.http("entry-1");
         let first = tokio::spawn(async move { reserve(entry, "huber", "lot-1", "burl").await });
--- a/crates/lovageramp/tests/processes/claim_history.rs
+++ b/crates/lovageramp/tests/processes/claim_history.rs
@@ -253,7 +253,7 @@
         ..ClusterPlan::default()
     })
     .await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let shared = Shared::default();
     shared.update_entries(&cluster);
     let mut callers = JoinSet::new();
--- a/crates/lovageramp/tests/processes/durable_history.rs
+++ b/crates/lovageramp/tests/processes/durable_history.rs
@@ -81,7 +81,7 @@
             cluster.start_control(number).await;
         }
     }
-    shared.learn(cluster, &name);
+    shared.add_host(cluster, &name);
     sleep(duration / 2).await;
 }
 
--- a/crates/lovageramp/tests/processes/leaving_cut_off.rs
+++ b/crates/lovageramp/tests/processes/leaving_cut_off.rs
@@ -1,7 +1,9 @@
 //! Withdrawal and shutdown of targets while an entry is partitioned from all controls but
 //! still reachable by its callers.
 
-use crate::support::{Caller, Cluster, ClusterPlan, assert_whole, chat, get, long_stream, until};
+use crate::support::{
+    Caller, Cluster, ClusterPlan, assert_complete, chat, get, long_stream, until,
+};
 use serde_json::json;
 
 /// Requests that each caller completes while no new work may reach the leaving target.
@@ -17,7 +19,7 @@
         ..ClusterPlan::default()
     })
     .await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     cluster
 }
 
@@ -58,7 +60,7 @@
     ];
     let before = cluster.ran_at(leaving, "").await;
     for caller in &callers {
-        caller.answered(5).await;
+        caller.until_answered(5).await;
     }
     until("the target gets requests", || async {
         (cluster.ran_at(leaving, "").await > before + 3).then_some(())
@@ -93,11 +95,11 @@
 async fn assert_no_new_work(cluster: &Cluster, leaving: &str, callers: &[Caller]) {
     // A request accepted earlier may still be on its way to the target.
     for caller in callers {
-        caller.answered(1).await;
+        caller.until_answered(1).await;
     }
     let before = cluster.ran_at(leaving, "").await;
     for caller in callers {
-        caller.answered(REQUESTS_PER_CALLER).await;
+        caller.until_answered(REQUESTS_PER_CALLER).await;
     }
     assert_eq!(cluster.ran_at(leaving, "").await, before);
 }
@@ -127,7 +129,7 @@
     assert_no_new_work(&cluster, &leaving, &callers).await;
     assert_served(callers).await;
     for stream in streams {
-        assert_whole(stream.await.unwrap());
+        assert_complete(stream.await.unwrap());
     }
 }
 
@@ -147,7 +149,7 @@
     assert_no_new_work(&cluster, &leaving, &callers).await;
     assert_served(callers).await;
     for stream in streams {
-        assert_whole(stream.await.unwrap());
+        assert_complete(stream.await.unwrap());
     }
 }
 
@@ -192,7 +194,7 @@
     assert_no_new_work(&cluster, &leaving, &callers).await;
     assert_served(callers).await;
     for stream in streams {
-        assert_whole(stream.await.unwrap());
+        assert_complete(stream.await.unwrap());
     }
     let agent = cluster.processes.get_mut(&leaving).unwrap();
     assert!(agent.ended().await);
--- a/crates/lovageramp/tests/processes/maps.rs
+++ b/crates/lovageramp/tests/processes/maps.rs
@@ -1,6 +1,6 @@
 //! All ranks use the same expert map in every step; run with separate processes.
 
-use crate::support::{AGENTS, EXPERT_BYTES, MapGroup, TRIES, until};
+use crate::support::{AGENTS, EXPERT_BYTES, MAX_ATTEMPTS, MapGroup, until};
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -86,7 +86,7 @@
     // it. Its own engine waits at the barrier while the others may continue with
     // the new map. If it continued with the previous map, answers would be wrong.
     let mut group = MapGroup::start(&[]).await;
-    let mut tries = 0..TRIES;
+    let mut tries = 0..MAX_ATTEMPTS;
     while !withhold_decision(&group).await {
         tries
             .next()
@@ -108,7 +108,7 @@
     // reached all. An agent that didn't get it reads it from the durable state;
     // until then its engine waits at the barrier, and the group with it.
     let mut group = MapGroup::start(&[]).await;
-    let mut tries = 0..TRIES;
+    let mut tries = 0..MAX_ATTEMPTS;
     loop {
         tries
             .next()
--- a/crates/lovageramp/tests/processes/moments.rs
+++ b/crates/lovageramp/tests/processes/moments.rs
@@ -23,7 +23,7 @@
 
 async fn start_cluster() -> Cluster {
     let cluster = Cluster::start(plan()).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     cluster
 }
 
@@ -188,7 +188,7 @@
         ..plan()
     })
     .await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     let relays = control_relays(&cluster);
     for relay in &relays {
         cluster.relays[relay].hold_to_target(KEY);
--- a/crates/lovageramp/tests/processes/silent.rs
+++ b/crates/lovageramp/tests/processes/silent.rs
@@ -1,7 +1,8 @@
 //! Established connections that silently drop all bytes while new connections work.
 
 use crate::support::{
-    Cluster, ClusterPlan, Relay, bearer, chat, open_stream, request, reserve, rest, some, until,
+    Cluster, ClusterPlan, Relay, bearer, chat, open_stream, read_at_least, read_to_end, request,
+    reserve, until,
 };
 use hyper::body::Incoming;
 use serde_json::json;
@@ -50,7 +51,7 @@
         ..ClusterPlan::default()
     };
     let cluster = Cluster::start(plan).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     cluster
 }
 
@@ -59,9 +60,9 @@
     let cluster = start_cluster(1).await;
     let entry = cluster.http("entry-1");
     let mut stream = open(entry, "figure of a burl").await;
-    let received = some(&mut stream, 2_000).await;
+    let received = read_at_least(&mut stream, 2_000).await;
     drop_bytes(&cluster.relays["advisor-01"], lost);
-    let full_body = rest(stream, received).await;
+    let full_body = read_to_end(stream, received).await;
     let bearer = bearer("huber");
     let headers = [("authorization", bearer.as_str())];
     let fake = cluster.http("fake-advisor-01");
@@ -161,10 +162,10 @@
         LostDirection::Both,
     ] {
         let mut stream = open(entry, "knots and bark").await;
-        let received = some(&mut stream, 2_000).await;
+        let received = read_at_least(&mut stream, 2_000).await;
         drop_bytes(&cluster.relays["fake-advisor-01"], lost);
         drop_bytes(&cluster.relays["fake-advisor-02"], lost);
-        let full_body = rest(stream, received).await;
+        let full_body = read_to_end(stream, received).await;
         assert!(full_body.ends_with(b"data: [DONE]\n\n"));
     }
 }
--- a/crates/lovageramp/tests/processes/streams.rs
+++ b/crates/lovageramp/tests/processes/streams.rs
@@ -1,7 +1,7 @@
 //! Streams through the real processes are complete and reach only their own caller.
 
 use crate::support::{
-    Answer, Cluster, ClusterPlan, bearer, open_stream, request, rest, some, until,
+    Answer, Cluster, ClusterPlan, bearer, open_stream, read_at_least, read_to_end, request, until,
 };
 use hyper::body::Incoming;
 use serde_json::json;
@@ -60,7 +60,7 @@
 
 async fn start_cluster(plan: ClusterPlan) -> Cluster {
     let cluster = Cluster::start(plan).await;
-    cluster.offer().await;
+    cluster.submit_first_note().await;
     cluster
 }
 
@@ -84,7 +84,7 @@
     }
     let mut received = Vec::new();
     for stream in &mut streams {
-        received.push(some(stream, 2_000).await);
+        received.push(read_at_least(stream, 2_000).await);
     }
     cluster.relays["advisor-01"].cut();
     cluster.relays["advisor-01"].heal();
@@ -92,7 +92,7 @@
     for ((stream, received), expected_answer) in
         streams.into_iter().zip(received).zip(expected_answers)
     {
-        assert_eq!(rest(stream, received).await, expected_answer.body);
+        assert_eq!(read_to_end(stream, received).await, expected_answer.body);
     }
 }
 
@@ -143,14 +143,14 @@
         streams.push(open(entry, prompt).await);
     }
     for stream in &mut streams {
-        received.push(some(stream, 2_000).await);
+        received.push(read_at_least(stream, 2_000).await);
     }
     cluster.kill("advisor-02").await;
     let expected_answers = expected_answers(&cluster, &prompts, TOKENS).await;
     for ((stream, received), expected_answer) in
         streams.into_iter().zip(received).zip(expected_answers)
     {
-        assert_eq!(rest(stream, received).await, expected_answer.body);
+        assert_eq!(read_to_end(stream, received).await, expected_answer.body);
     }
 }
 
--- a/crates/lovageramp/tests/processes/support/mod.rs
+++ b/crates/lovageramp/tests/processes/support/mod.rs
@@ -1,9 +1,9 @@
-//! Starts the real binaries on loopback, with relays between them.
+//! Runs the daemons as processes on loopback, with relays between them.
 
 #![allow(
     dead_code,
     unused_imports,
-    reason = "each test file is a crate of its own and uses a part of this"
+    reason = "each test binary compiles this module separately and uses a part of it"
 )]
 
 pub mod callers;
@@ -25,7 +25,7 @@
 pub use cluster::{Cluster, ClusterPlan, TOKEN};
 pub use fake::Relay;
 pub use http::{Answer, get, open_stream, request};
-pub use map_group::{AGENTS, EXPERT_BYTES, MapGroup, TRIES};
+pub use map_group::{AGENTS, EXPERT_BYTES, MAX_ATTEMPTS, MapGroup};
 pub use process::Process;
-pub use stream::{Caller, assert_whole, long_stream, rest, some};
+pub use stream::{Caller, assert_complete, long_stream, read_at_least, read_to_end};
 pub use until::until;
