--- a/crates/lovageramp/tests/processes/durable_alarms.rs
+++ b/crates/lovageramp/tests/processes/durable_alarms.rs
@@ -162,7 +162,7 @@
     let log = cluster.folder.path().join("entry-1-twice.log");
     let args = ["--settings", settings.to_str().unwrap()];
     let second = Process::start(entry, &args, &log).await;
-    let alarm = "no lease for entry-1: a later incarnation of this name was seen";
+    let alarm = "lease refused for entry-1: a later incarnation of this name was seen";
     until("the leader's log names it", || async {
         log_of(&cluster, &leader).contains(alarm).then_some(())
     })
