--- a/crates/agent/tests/leaving.rs
+++ b/crates/agent/tests/leaving.rs
@@ -41,6 +41,11 @@
     })
     .await;
     let second = shut_down(&fixture);
+    // An attempt is accepted before its request reaches the engine.
+    wait_until("the engine has all requests", async || {
+        engine.requests().len() == 10
+    })
+    .await;
     let seen = engine.requests().len();
     assert_eq!(
         entry.start_refused(fixture.chat(99, 4)).await,
